--- a/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
+++ b/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
@@ -15,7 +15,7 @@
 public final class DemandMeter implements DemandSource {
 
     private static final long BUCKET_MILLIS = 1_000;
-    private static final int MOST_BUCKETS = 300;
+    private static final int MAX_BUCKETS = 300;
 
     private final TimeSource time;
     private final Map<String, Deque<Bucket>> groups = new HashMap<>();
@@ -51,7 +51,7 @@
         if (buckets.isEmpty() || buckets.getLast().number != number) {
             buckets.addLast(new Bucket(number));
         }
-        if (buckets.size() > MOST_BUCKETS) {
+        if (buckets.size() > MAX_BUCKETS) {
             buckets.removeFirst();
         }
         double[] sums = buckets.getLast().sums(workClass);
@@ -65,10 +65,10 @@
     public synchronized List<ClassDemand> demand(String group, long horizonMillis) {
         long nowMillis = time.monotonicMillis();
         double seconds = Math.max(1, Math.min(horizonMillis, nowMillis) / 1_000.0);
-        long first = (nowMillis - horizonMillis) / BUCKET_MILLIS;
-        Bucket total = new Bucket(first);
+        long firstBucket = (nowMillis - horizonMillis) / BUCKET_MILLIS;
+        Bucket total = new Bucket(firstBucket);
         for (Bucket bucket : groups.getOrDefault(group, new ArrayDeque<>())) {
-            if (bucket.number > first) {
+            if (bucket.number > firstBucket) {
                 total.add(bucket);
             }
         }
@@ -86,7 +86,7 @@
     /** One second's sums for each class: requests, prompt tokens, output tokens, deadlines. */
     private static final class Bucket {
 
-        private static final int FIGURES = 4;
+        private static final int SUMS_PER_CLASS = 4;
 
         private final long number;
         private final Map<WorkClass, double[]> sums = new EnumMap<>(WorkClass.class);
@@ -96,14 +96,14 @@
         }
 
         double[] sums(WorkClass workClass) {
-            return sums.computeIfAbsent(workClass, _class -> new double[FIGURES]);
+            return sums.computeIfAbsent(workClass, _class -> new double[SUMS_PER_CLASS]);
         }
 
         void add(Bucket other) {
-            other.sums.forEach((workClass, more) -> {
-                double[] mine = sums(workClass);
-                for (int i = 0; i < FIGURES; i++) {
-                    mine[i] += more[i];
+            other.sums.forEach((workClass, otherSums) -> {
+                double[] ownSums = sums(workClass);
+                for (int i = 0; i < SUMS_PER_CLASS; i++) {
+                    ownSums[i] += otherSums[i];
                 }
             });
         }
--- a/src/main/java/org/dogwoodwinch/roles/EngineSpeed.java
+++ b/src/main/java/org/dogwoodwinch/roles/EngineSpeed.java
@@ -7,7 +7,7 @@
  * @param stepBaseMillis time of a step that generates nothing, in milliseconds
  * @param stepPerSequenceMillis time that one sequence adds to a step, in milliseconds
  * @param maxSequences the most sequences in the batch
- * @param kvMillisPerToken time to move the KV cache of one token, in milliseconds
+ * @param kvTransferMillisPerToken time to move the KV cache of one token, in milliseconds
  * @param roleChangeMillis how long a role change takes an engine away, in milliseconds
  */
 public record EngineSpeed(
@@ -15,7 +15,7 @@
         double stepBaseMillis,
         double stepPerSequenceMillis,
         int maxSequences,
-        double kvMillisPerToken,
+        double kvTransferMillisPerToken,
         long roleChangeMillis) {
 
     /** The speed assumed unless the settings say otherwise. */
--- a/src/main/java/org/dogwoodwinch/roles/GoodputModel.java
+++ b/src/main/java/org/dogwoodwinch/roles/GoodputModel.java
@@ -7,7 +7,7 @@
 /** Predicts how many requests a second a split of roles serves in time. */
 public final class GoodputModel {
 
-    private static final double[] MIXED_PARTS = {0, 0.25, 0.5, 0.75, 1};
+    private static final double[] MIXED_FRACTIONS = {0, 0.25, 0.5, 0.75, 1};
     private static final double DEADLINE_SPREAD = 0.15;
 
     private final EngineSpeed speed;
@@ -40,45 +40,47 @@
             return goodput(split, byUrgency, 1, 1);
         }
         double best = 0;
-        for (double soonPart : MIXED_PARTS) {
-            for (double longPart : MIXED_PARTS) {
-                best = Math.max(best, goodput(split, byUrgency, soonPart, longPart));
+        for (double interactiveFraction : MIXED_FRACTIONS) {
+            for (double longReadFraction : MIXED_FRACTIONS) {
+                best = Math.max(best, goodput(split, byUrgency, interactiveFraction, longReadFraction));
             }
         }
         return best;
     }
 
-    private double goodput(RoleSplit split, List<ClassDemand> byUrgency, double soonPart, double longPart) {
+    private double goodput(
+            RoleSplit split, List<ClassDemand> byUrgency, double interactiveFraction, double longReadFraction) {
         PoolLoad mixed = PoolLoad.mixed(speed, split.mixed());
-        PoolLoad apart = PoolLoad.split(speed, split.prefill(), split.decode());
-        double[] mixedFits = new double[byUrgency.size()];
-        double[] apartFits = new double[byUrgency.size()];
-        for (int i = 0; i < mixedFits.length; i++) {
-            double part = part(byUrgency.get(i), soonPart, longPart);
-            mixedFits[i] = mixed.add(byUrgency.get(i), part);
-            apartFits[i] = apart.add(byUrgency.get(i), 1 - part);
+        PoolLoad disaggregated = PoolLoad.disaggregated(speed, split.prefill(), split.decode());
+        double[] mixedServed = new double[byUrgency.size()];
+        double[] disaggregatedServed = new double[byUrgency.size()];
+        for (int i = 0; i < mixedServed.length; i++) {
+            double mixedFraction = mixedFraction(byUrgency.get(i), interactiveFraction, longReadFraction);
+            mixedServed[i] = mixed.add(byUrgency.get(i), mixedFraction);
+            disaggregatedServed[i] = disaggregated.add(byUrgency.get(i), 1 - mixedFraction);
         }
         double goodput = 0;
-        for (int i = 0; i < mixedFits.length; i++) {
-            ClassDemand each = byUrgency.get(i);
-            double part = part(each, soonPart, longPart);
-            double served = part * mixedFits[i] * inTime(each, mixed) + (1 - part) * apartFits[i] * inTime(each, apart);
-            goodput += each.requestsPerSecond() * served;
+        for (int i = 0; i < mixedServed.length; i++) {
+            ClassDemand demand = byUrgency.get(i);
+            double mixedFraction = mixedFraction(demand, interactiveFraction, longReadFraction);
+            double servedOnTime = mixedFraction * mixedServed[i] * onTimeFraction(demand, mixed)
+                    + (1 - mixedFraction) * disaggregatedServed[i] * onTimeFraction(demand, disaggregated);
+            goodput += demand.requestsPerSecond() * servedOnTime;
         }
         return goodput;
     }
 
-    private static double part(ClassDemand demand, double soonPart, double longPart) {
-        return demand.workClass() == WorkClass.LONG_READ ? longPart : soonPart;
+    private static double mixedFraction(ClassDemand demand, double interactiveFraction, double longReadFraction) {
+        return demand.workClass() == WorkClass.LONG_READ ? longReadFraction : interactiveFraction;
     }
 
     /** The part of a class's answers that come in time; a little below and above the deadline it is not all or none. */
-    private static double inTime(ClassDemand demand, PoolLoad pool) {
+    private static double onTimeFraction(ClassDemand demand, PoolLoad pool) {
         if (demand.workClass() == WorkClass.LONG_READ) {
             return 1;
         }
         double slack =
-                (demand.deadlineMillis() - pool.answerMillis(demand)) / (demand.deadlineMillis() * DEADLINE_SPREAD);
+                (demand.deadlineMillis() - pool.responseMillis(demand)) / (demand.deadlineMillis() * DEADLINE_SPREAD);
         return 1 / (1 + Math.exp(-slack));
     }
 }
--- a/src/main/java/org/dogwoodwinch/roles/PoolLoad.java
+++ b/src/main/java/org/dogwoodwinch/roles/PoolLoad.java
@@ -7,78 +7,87 @@
  */
 final class PoolLoad {
 
-    private static final double FULL = 0.85;
+    private static final double MAX_UTILIZATION = 0.85;
 
     /** The part of the prompts' time that answers on mixed engines feel: routing keeps long prompts on few of them. */
-    private static final double LANE_PART = 0.5;
+    private static final double PACKED_PREFILL_FRACTION = 0.5;
 
     private final EngineSpeed speed;
     private final int prefillEngines;
     private final int decodeEngines;
-    private final boolean shared;
-    private double prefillShare;
-    private double prefillSizeWeight;
+    private final boolean colocated;
+    private double prefillUtilization;
+    private double prefillWeightedTokens;
     private double decodeTokensPerMilli;
 
-    private PoolLoad(EngineSpeed speed, int prefillEngines, int decodeEngines, boolean shared) {
+    private PoolLoad(EngineSpeed speed, int prefillEngines, int decodeEngines, boolean colocated) {
         this.speed = speed;
         this.prefillEngines = prefillEngines;
         this.decodeEngines = decodeEngines;
-        this.shared = shared;
+        this.colocated = colocated;
     }
 
     static PoolLoad mixed(EngineSpeed speed, int engines) {
         return new PoolLoad(speed, engines, engines, true);
     }
 
-    static PoolLoad split(EngineSpeed speed, int prefillEngines, int decodeEngines) {
+    static PoolLoad disaggregated(EngineSpeed speed, int prefillEngines, int decodeEngines) {
         return new PoolLoad(speed, prefillEngines, decodeEngines, false);
     }
 
     /** Adds a part of a class's demand; returns the part of it that fits, from zero to one. */
-    double add(ClassDemand demand, double part) {
-        if (part <= 0) {
+    double add(ClassDemand demand, double fraction) {
+        if (fraction <= 0) {
             return 1;
         }
         if (prefillEngines == 0 || decodeEngines == 0) {
             return 0;
         }
-        double perMilli = demand.requestsPerSecond() * part / 1_000;
-        double prefill = perMilli * demand.promptTokens() / speed.prefillTokensPerMilli() / prefillEngines;
-        double tokens = perMilli * demand.outputTokens() / decodeEngines;
-        double fits = Math.min(1, fits(prefill, tokens));
-        prefillShare += prefill * fits;
-        prefillSizeWeight += prefill * fits * demand.promptTokens();
-        decodeTokensPerMilli += tokens * fits;
-        return fits;
+        double requestsPerMilli = demand.requestsPerSecond() * fraction / 1_000;
+        double addedPrefillUtilization =
+                requestsPerMilli * demand.promptTokens() / speed.prefillTokensPerMilli() / prefillEngines;
+        double addedTokensPerMilli = requestsPerMilli * demand.outputTokens() / decodeEngines;
+        double admitted = Math.min(1, admittedFraction(addedPrefillUtilization, addedTokensPerMilli));
+        prefillUtilization += addedPrefillUtilization * admitted;
+        prefillWeightedTokens += addedPrefillUtilization * admitted * demand.promptTokens();
+        decodeTokensPerMilli += addedTokensPerMilli * admitted;
+        return admitted;
     }
 
     /** Expected time of a request from start to last token, in milliseconds. */
-    double answerMillis(ClassDemand demand) {
-        double meanPrompt = prefillShare > 0 ? prefillSizeWeight / prefillShare : 0;
-        double wait = prefillShare / (1 - prefillShare) * meanPrompt / speed.prefillTokensPerMilli() / 2;
-        double prompt = demand.promptTokens() / speed.prefillTokensPerMilli();
-        double transfer = shared ? 0 : demand.promptTokens() * speed.kvMillisPerToken();
-        return wait / Math.max(1, Math.sqrt(prefillEngines)) + prompt + transfer + demand.outputTokens() * stepMillis();
+    double responseMillis(ClassDemand demand) {
+        double meanPromptTokens = prefillUtilization > 0 ? prefillWeightedTokens / prefillUtilization : 0;
+        double queueMillis =
+                prefillUtilization / (1 - prefillUtilization) * meanPromptTokens / speed.prefillTokensPerMilli() / 2;
+        double prefillMillis = demand.promptTokens() / speed.prefillTokensPerMilli();
+        double transferMillis = colocated ? 0 : demand.promptTokens() * speed.kvTransferMillisPerToken();
+        return queueMillis / Math.max(1, Math.sqrt(prefillEngines))
+                + prefillMillis
+                + transferMillis
+                + demand.outputTokens() * stepMillis();
     }
 
-    private double fits(double prefill, double tokens) {
-        double perToken = speed.stepPerSequenceMillis() + speed.stepBaseMillis() / speed.maxSequences();
-        double decodeNow = decodeTokensPerMilli * perToken;
-        double decodeMore = tokens * perToken;
-        if (shared) {
-            return room(FULL - prefillShare - decodeNow, prefill + decodeMore);
+    private double admittedFraction(double addedPrefillUtilization, double addedTokensPerMilli) {
+        double millisPerToken = speed.stepPerSequenceMillis() + speed.stepBaseMillis() / speed.maxSequences();
+        double decodeUtilization = decodeTokensPerMilli * millisPerToken;
+        double addedDecodeUtilization = addedTokensPerMilli * millisPerToken;
+        if (colocated) {
+            return fittingFraction(
+                    MAX_UTILIZATION - prefillUtilization - decodeUtilization,
+                    addedPrefillUtilization + addedDecodeUtilization);
         }
-        return Math.min(room(FULL - prefillShare, prefill), room(FULL - decodeNow, decodeMore));
+        return Math.min(
+                fittingFraction(MAX_UTILIZATION - prefillUtilization, addedPrefillUtilization),
+                fittingFraction(MAX_UTILIZATION - decodeUtilization, addedDecodeUtilization));
     }
 
-    private static double room(double left, double wanted) {
-        return wanted <= 0 ? 1 : Math.max(0, left) / wanted;
+    private static double fittingFraction(double available, double requested) {
+        return requested <= 0 ? 1 : Math.max(0, available) / requested;
     }
 
     /** A step takes longer with more sequences, and prompts in the same steps stretch it further. */
     private double stepMillis() {
-        double available = shared ? 1 - LANE_PART * prefillShare : 1;
+        double available = colocated ? 1 - PACKED_PREFILL_FRACTION * prefillUtilization : 1;
         double denominator = available - decodeTokensPerMilli * speed.stepPerSequenceMillis();
         double sequences = denominator <= 0
                 ? speed.maxSequences()
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanner.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlanner.java
@@ -45,54 +45,54 @@
     @Override
     public void plan(String group, List<EngineView> engines) {
         boolean changing = engines.stream().anyMatch(engine -> !engine.steady());
-        if (changing || dwells(groupChangedMillis.get(group), settings.groupDwellMillis())) {
+        if (changing || isWithinDwell(groupChangedMillis.get(group), settings.groupDwellMillis())) {
             return;
         }
-        RoleSplit now = splitOf(engines);
-        List<ClassDemand> recent = demand.demand(group, settings.shortHorizonMillis());
-        List<ClassDemand> lasting = demand.demand(group, settings.longHorizonMillis());
-        RoleSplit best = now;
-        double bestNet = 0;
+        RoleSplit current = splitOf(engines);
+        List<ClassDemand> shortTermDemand = demand.demand(group, settings.shortHorizonMillis());
+        List<ClassDemand> longTermDemand = demand.demand(group, settings.longHorizonMillis());
+        RoleSplit best = current;
+        double bestNetGain = 0;
         double bestGain = 0;
-        for (RoleSplit split : RoleSplit.all(engines.size())) {
-            double gain = Math.min(gain(now, split, recent), gain(now, split, lasting));
-            double net = gain - cost(now, split, recent, engines.size());
-            if (net > bestNet) {
-                best = split;
-                bestNet = net;
+        for (RoleSplit candidate : RoleSplit.all(engines.size())) {
+            double gain = Math.min(gain(current, candidate, shortTermDemand), gain(current, candidate, longTermDemand));
+            double netGain = gain - cost(current, candidate, shortTermDemand, engines.size());
+            if (netGain > bestNetGain) {
+                best = candidate;
+                bestNetGain = netGain;
                 bestGain = gain;
             }
         }
-        if (!best.equals(now)) {
-            propose(group, engines, now, best, bestGain);
+        if (!best.equals(current)) {
+            propose(group, engines, current, best, bestGain);
         }
     }
 
     /** A gain counts only where both recent and lasting demand show it, so that a burst alone changes nothing. */
-    private double gain(RoleSplit now, RoleSplit then, List<ClassDemand> classes) {
-        double perSecond = model.predict(then, classes) - model.predict(now, classes);
-        return perSecond * settings.planningHorizonMillis() / 1_000;
+    private double gain(RoleSplit current, RoleSplit candidate, List<ClassDemand> classes) {
+        double gainPerSecond = model.predict(candidate, classes) - model.predict(current, classes);
+        return gainPerSecond * settings.planningHorizonMillis() / 1_000;
     }
 
     /** What the engines miss while they drain and change, and the settings' price on top of it. */
-    private double cost(RoleSplit now, RoleSplit then, List<ClassDemand> recent, int engines) {
-        double millisAway = settings.speed().roleChangeMillis() + settings.drainMillis();
-        double secondsAway = now.changesTo(then) * millisAway / 1_000;
-        double missedPerSecond = model.predict(now, recent) / engines;
-        return secondsAway * (missedPerSecond + settings.pricePerSecondAway());
+    private double cost(RoleSplit current, RoleSplit candidate, List<ClassDemand> shortTermDemand, int engines) {
+        double millisUnavailable = settings.speed().roleChangeMillis() + settings.drainMillis();
+        double secondsUnavailable = current.changesTo(candidate) * millisUnavailable / 1_000;
+        double lostPerSecond = model.predict(current, shortTermDemand) / engines;
+        return secondsUnavailable * (lostPerSecond + settings.pricePerSecondAway());
     }
 
-    private void propose(String group, List<EngineView> engines, RoleSplit now, RoleSplit best, double gain) {
-        Optional<EngineRole> wanted = roleWith(now, best, true);
-        Optional<EngineRole> surplus = roleWith(now, best, false);
-        if (wanted.isEmpty() || surplus.isEmpty()) {
+    private void propose(String group, List<EngineView> engines, RoleSplit current, RoleSplit best, double gain) {
+        Optional<EngineRole> deficitRole = roleWithLargestDifference(current, best, true);
+        Optional<EngineRole> surplusRole = roleWithLargestDifference(current, best, false);
+        if (deficitRole.isEmpty() || surplusRole.isEmpty()) {
             return;
         }
         engines.stream()
-                .filter(engine -> engine.role() == surplus.get())
-                .filter(engine -> !dwells(engineChangedMillis.get(engine.name()), settings.engineDwellMillis()))
+                .filter(engine -> engine.role() == surplusRole.get())
+                .filter(engine -> !isWithinDwell(engineChangedMillis.get(engine.name()), settings.engineDwellMillis()))
                 .min(Comparator.comparingLong(EngineView::backlogTokens).thenComparing(EngineView::name))
-                .ifPresent(engine -> request(new RoleChange(group, engine.name(), wanted.get(), gain)));
+                .ifPresent(engine -> request(new RoleChange(group, engine.name(), deficitRole.get(), gain)));
     }
 
     private void request(RoleChange change) {
@@ -102,16 +102,16 @@
         }
     }
 
-    private boolean dwells(Long changedMillis, long dwellMillis) {
+    private boolean isWithinDwell(Long changedMillis, long dwellMillis) {
         return changedMillis != null && time.monotonicMillis() - changedMillis < dwellMillis;
     }
 
     /** The role that has most too few, or most too many, engines; decode first, as a prefill engine needs it. */
-    private static Optional<EngineRole> roleWith(RoleSplit now, RoleSplit best, boolean tooFew) {
-        int sign = tooFew ? 1 : -1;
+    private static Optional<EngineRole> roleWithLargestDifference(RoleSplit current, RoleSplit best, boolean deficit) {
+        int sign = deficit ? 1 : -1;
         return List.of(EngineRole.DECODE, EngineRole.PREFILL, EngineRole.MIXED).stream()
-                .filter(role -> sign * (best.of(role) - now.of(role)) > 0)
-                .max(Comparator.comparingInt(role -> sign * (best.of(role) - now.of(role))));
+                .filter(role -> sign * (best.of(role) - current.of(role)) > 0)
+                .max(Comparator.comparingInt(role -> sign * (best.of(role) - current.of(role))));
     }
 
     private static RoleSplit splitOf(List<EngineView> engines) {
--- a/src/main/java/org/dogwoodwinch/roles/RoleSplit.java
+++ b/src/main/java/org/dogwoodwinch/roles/RoleSplit.java
@@ -52,7 +52,7 @@
      * @return how many engines must change
      */
     public int changesTo(RoleSplit other) {
-        int moved = Math.abs(prefill - other.prefill) + Math.abs(decode - other.decode);
-        return (moved + Math.abs(mixed - other.mixed)) / 2;
+        int difference = Math.abs(prefill - other.prefill) + Math.abs(decode - other.decode);
+        return (difference + Math.abs(mixed - other.mixed)) / 2;
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/Attempt.java
+++ b/src/main/java/org/dogwoodwinch/routing/Attempt.java
@@ -5,46 +5,46 @@
 /** What the router remembers of one attempt until it ends. */
 final class Attempt {
 
-    private final TargetState state;
+    private final TargetState targetState;
     private final RouteQuery query;
-    private final long[] chain;
-    private final double cachedPart;
+    private final long[] blockHashes;
+    private final double cachedFraction;
     private final long prefillTokens;
     private final long decodeTokens;
-    private final long expectedMillis;
-    private boolean firstTokenSeen;
+    private final long expectedFirstTokenMillis;
+    private boolean firstTokenReceived;
 
     Attempt(
-            TargetState state,
+            TargetState targetState,
             RouteQuery query,
-            long[] chain,
-            double cachedPart,
+            long[] blockHashes,
+            double cachedFraction,
             long prefillTokens,
             long decodeTokens,
-            long expectedMillis) {
-        this.state = state;
+            long expectedFirstTokenMillis) {
+        this.targetState = targetState;
         this.query = query;
-        this.chain = chain;
-        this.cachedPart = cachedPart;
+        this.blockHashes = blockHashes;
+        this.cachedFraction = cachedFraction;
         this.prefillTokens = prefillTokens;
         this.decodeTokens = decodeTokens;
-        this.expectedMillis = expectedMillis;
+        this.expectedFirstTokenMillis = expectedFirstTokenMillis;
     }
 
-    TargetState state() {
-        return state;
+    TargetState targetState() {
+        return targetState;
     }
 
     RouteQuery query() {
         return query;
     }
 
-    long[] chain() {
-        return chain;
+    long[] blockHashes() {
+        return blockHashes;
     }
 
-    double cachedPart() {
-        return cachedPart;
+    double cachedFraction() {
+        return cachedFraction;
     }
 
     long prefillTokens() {
@@ -55,19 +55,19 @@
         return decodeTokens;
     }
 
-    long expectedMillis() {
-        return expectedMillis;
+    long expectedFirstTokenMillis() {
+        return expectedFirstTokenMillis;
     }
 
-    boolean urgent() {
+    boolean isUrgent() {
         return query.workClass() == WorkClass.URGENT;
     }
 
-    boolean firstTokenSeen() {
-        return firstTokenSeen;
+    boolean firstTokenReceived() {
+        return firstTokenReceived;
     }
 
-    void markFirstToken() {
-        firstTokenSeen = true;
+    void markFirstTokenReceived() {
+        firstTokenReceived = true;
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/CandidateSampler.java
+++ b/src/main/java/org/dogwoodwinch/routing/CandidateSampler.java
@@ -13,7 +13,7 @@
  */
 final class CandidateSampler {
 
-    private static final int TRIES_PER_CANDIDATE = 3;
+    private static final int DRAWS_PER_CANDIDATE = 3;
 
     private final UniformRandomProvider random;
 
@@ -21,18 +21,20 @@
         this.random = random;
     }
 
-    List<TargetState> sample(List<TargetState> from, int wanted, Predicate<TargetState> usable) {
-        if (from.size() <= wanted) {
-            return from.stream().filter(usable).toList();
+    List<TargetState> sample(List<TargetState> targets, int sampleSize, Predicate<TargetState> filter) {
+        if (targets.size() <= sampleSize) {
+            return targets.stream().filter(filter).toList();
         }
-        List<TargetState> sample = new ArrayList<>(wanted);
-        int tries = wanted * TRIES_PER_CANDIDATE;
-        for (int i = 0; i < tries && sample.size() < wanted; i++) {
-            TargetState candidate = from.get(random.nextInt(from.size()));
-            if (usable.test(candidate) && !sample.contains(candidate)) {
+        List<TargetState> sample = new ArrayList<>(sampleSize);
+        int draws = sampleSize * DRAWS_PER_CANDIDATE;
+        for (int i = 0; i < draws && sample.size() < sampleSize; i++) {
+            TargetState candidate = targets.get(random.nextInt(targets.size()));
+            if (filter.test(candidate) && !sample.contains(candidate)) {
                 sample.add(candidate);
             }
         }
-        return sample.isEmpty() ? from.stream().filter(usable).limit(wanted).toList() : sample;
+        return sample.isEmpty()
+                ? targets.stream().filter(filter).limit(sampleSize).toList()
+                : sample;
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/RouteClock.java
+++ b/src/main/java/org/dogwoodwinch/routing/DecisionTime.java
@@ -8,9 +8,9 @@
  * @param monotonicMillis for what this instance measured itself
  * @param wallMillis for reports, which carry the engine's time of day
  */
-record RouteClock(long monotonicMillis, long wallMillis) {
+record DecisionTime(long monotonicMillis, long wallMillis) {
 
-    static RouteClock read(TimeSource time) {
-        return new RouteClock(time.monotonicMillis(), time.wallMillis());
+    static DecisionTime now(TimeSource time) {
+        return new DecisionTime(time.monotonicMillis(), time.wallMillis());
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/EstimatingRouter.java
+++ b/src/main/java/org/dogwoodwinch/routing/EstimatingRouter.java
@@ -22,20 +22,20 @@
  */
 public final class EstimatingRouter implements Router {
 
-    private static final int MOST_PREFIX_BLOCKS = 50_000;
+    private static final int MAX_PREFIX_BLOCKS = 50_000;
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final long LEAVING_MARK_MILLIS = 10_000;
-    private static final double HIT_PART = 0.5;
-    private static final long[] NO_CHAIN = new long[0];
+    private static final long DRAINING_MARK_MILLIS = 10_000;
+    private static final double MIN_HIT_FRACTION = 0.5;
+    private static final long[] NO_BLOCK_HASHES = new long[0];
 
     private final FleetView fleet;
     private final RoutingPolicy policy;
     private final TimeSource time;
     private final CandidateSampler sampler;
-    private final PrefixIndex prefixes = new PrefixIndex(MOST_PREFIX_BLOCKS);
+    private final PrefixIndex prefixIndex = new PrefixIndex(MAX_PREFIX_BLOCKS);
     private final RouteScorer scorer;
     private final Map<String, Attempt> attempts = new HashMap<>();
-    private final Map<String, Long> lastCacheEvents = new HashMap<>();
+    private final Map<String, Long> lastEventSequences = new HashMap<>();
 
     /**
      * Creates a router.
@@ -56,7 +56,8 @@
         this.policy = Objects.requireNonNull(policy, "policy");
         this.time = Objects.requireNonNull(time, "time");
         this.sampler = new CandidateSampler(random);
-        this.scorer = new RouteScorer(policy, prefixes, random, Objects.requireNonNull(ownDataCentre, "ownDataCentre"));
+        this.scorer =
+                new RouteScorer(policy, prefixIndex, random, Objects.requireNonNull(ownDataCentre, "ownDataCentre"));
     }
 
     @Override
@@ -66,14 +67,14 @@
             if (group.isEmpty()) {
                 return new Route.None("no target of group " + query.group() + " is listed", RETRY_AFTER_MILLIS);
             }
-            RouteClock clock = RouteClock.read(time);
-            Predicate<TargetState> serving = state -> serving(state, query, clock);
+            DecisionTime now = DecisionTime.now(time);
+            Predicate<TargetState> eligible = state -> canServe(state, query, now);
             Predicate<TargetState> healthy =
-                    serving.and(state -> !policy.useHealth() || state.health().usable(clock.monotonicMillis()));
-            RouteOption best = best(group.get(), query, healthy, clock);
+                    eligible.and(state -> !policy.useHealth() || state.health().isUsable(now.monotonicMillis()));
+            RouteOption best = bestOption(group.get(), query, healthy, now);
             // Where outcomes speak against every target, a held-back one still beats a certain refusal.
-            best = best == null ? best(group.get(), query, serving, clock) : best;
-            return best == null ? none(query) : best.toRoute();
+            best = best == null ? bestOption(group.get(), query, eligible, now) : best;
+            return best == null ? noRoute(query) : best.toRoute();
         }
     }
 
@@ -85,13 +86,13 @@
                 return;
             }
             TargetState state = known.get();
-            RouteClock clock = RouteClock.read(time);
-            Attempt attempt = newAttempt(state, query, clock);
+            DecisionTime now = DecisionTime.now(time);
+            Attempt attempt = newAttempt(state, query, now);
             attempts.put(attemptId, attempt);
-            state.onSent(clock.wallMillis(), attempt.prefillTokens(), attempt.decodeTokens(), attempt.urgent());
+            state.onSent(now.wallMillis(), attempt.prefillTokens(), attempt.decodeTokens(), attempt.isUrgent());
             state.health().onSent();
             if (state.role().servesPrefill()) {
-                prefixes.store(attempt.chain(), target.name(), clock.monotonicMillis());
+                prefixIndex.addBlocks(attempt.blockHashes(), target.name(), now.monotonicMillis());
             }
         }
     }
@@ -100,10 +101,12 @@
     public void onFirstToken(String attemptId, long elapsedMillis) {
         synchronized (fleet) {
             Attempt attempt = attempts.get(attemptId);
-            if (attempt != null && !attempt.firstTokenSeen()) {
-                attempt.markFirstToken();
-                attempt.state().onPrefillDone(attempt.prefillTokens());
-                attempt.state().health().onFirstToken(elapsedMillis, attempt.expectedMillis(), time.monotonicMillis());
+            if (attempt != null && !attempt.firstTokenReceived()) {
+                attempt.markFirstTokenReceived();
+                attempt.targetState().onPrefillDone(attempt.prefillTokens());
+                attempt.targetState()
+                        .health()
+                        .onFirstToken(elapsedMillis, attempt.expectedFirstTokenMillis(), time.monotonicMillis());
             }
         }
     }
@@ -111,36 +114,37 @@
     @Override
     public void onCompleted(String attemptId, Usage usage) {
         synchronized (fleet) {
-            Attempt attempt = end(attemptId);
+            Attempt attempt = removeAttempt(attemptId);
             if (attempt == null) {
                 return;
             }
-            attempt.state().health().onNeutralEnd();
-            if (attempt.state().role().servesDecode()) {
+            attempt.targetState().health().onAttemptEnded();
+            if (attempt.targetState().role().servesDecode()) {
                 fleet.group(attempt.query().group())
-                        .ifPresent(group -> group.learnOutput(
+                        .ifPresent(group -> group.updateOutputFraction(
                                 usage.completionTokens(), attempt.query().maxTokens()));
             }
-            learnPrefix(attempt, usage);
+            recordCacheOutcome(attempt, usage);
         }
     }
 
     @Override
     public void onFailed(String attemptId, TargetFailure failure) {
         synchronized (fleet) {
-            Attempt attempt = end(attemptId);
+            Attempt attempt = removeAttempt(attemptId);
             if (attempt == null) {
                 return;
             }
             long nowMillis = time.monotonicMillis();
             if (failure instanceof TargetFailure.Refused refused && refused.leaving()) {
-                attempt.state().markLeavingUntil(nowMillis + LEAVING_MARK_MILLIS);
-                attempt.state().health().onNeutralEnd();
+                attempt.targetState().markDrainingUntil(nowMillis + DRAINING_MARK_MILLIS);
+                attempt.targetState().health().onAttemptEnded();
                 return;
             }
-            attempt.state().health().onFailure(nowMillis);
+            attempt.targetState().health().onFailure(nowMillis);
             if (!failure.provesNotRun()) {
-                prefixes.forget(attempt.chain(), 0, attempt.state().target().name());
+                prefixIndex.removeBlocks(
+                        attempt.blockHashes(), 0, attempt.targetState().target().name());
             }
         }
     }
@@ -148,9 +152,9 @@
     @Override
     public void onCancelled(String attemptId) {
         synchronized (fleet) {
-            Attempt attempt = end(attemptId);
+            Attempt attempt = removeAttempt(attemptId);
             if (attempt != null) {
-                attempt.state().health().onNeutralEnd();
+                attempt.targetState().health().onAttemptEnded();
             }
         }
     }
@@ -165,11 +169,11 @@
         synchronized (fleet) {
             long nowMillis = time.monotonicMillis();
             for (CacheEvent event : events) {
-                Long last = lastCacheEvents.put(targetName, event.sequence());
-                if (last != null && event.sequence() > last + 1) {
-                    prefixes.onOutcome(targetName, false);
+                Long lastSequence = lastEventSequences.put(targetName, event.sequence());
+                if (lastSequence != null && event.sequence() > lastSequence + 1) {
+                    prefixIndex.adjustRetention(targetName, false);
                 }
-                prefixes.onEvent(targetName, event.prefixHash(), event.stored(), nowMillis);
+                prefixIndex.onCacheEvent(targetName, event.prefixHash(), event.stored(), nowMillis);
             }
         }
     }
@@ -181,99 +185,110 @@
      */
     public void onCacheLost(String targetName) {
         synchronized (fleet) {
-            prefixes.forgetTarget(targetName);
-            lastCacheEvents.remove(targetName);
+            prefixIndex.removeTarget(targetName);
+            lastEventSequences.remove(targetName);
         }
     }
 
-    private boolean serving(TargetState state, RouteQuery query, RouteClock clock) {
-        return state.ready()
-                && !state.leaving(clock.monotonicMillis())
+    private boolean canServe(TargetState state, RouteQuery query, DecisionTime now) {
+        return state.isReady()
+                && !state.isDraining(now.monotonicMillis())
                 && !query.excludedTargets().contains(state.target().name())
-                && !(query.alone() && state.servesUrgentWork(clock.wallMillis()));
+                && !(query.alone() && state.hasUrgentRequests(now.wallMillis()));
     }
 
-    private RouteOption best(GroupState group, RouteQuery query, Predicate<TargetState> usable, RouteClock clock) {
-        long[] chain = chain(query);
-        double outputTokens = query.maxTokens() * group.outputShare();
+    private RouteOption bestOption(
+            GroupState group, RouteQuery query, Predicate<TargetState> filter, DecisionTime now) {
+        long[] blockHashes = blockHashes(query);
+        double outputTokens = query.maxTokens() * group.outputFraction();
         RouteOption best = null;
-        for (TargetState state : candidates(group.mixed(), EngineRole.MIXED, chain, usable)) {
-            best = RouteOption.better(best, scorer.whole(state, query, chain, outputTokens, clock));
+        for (TargetState state : candidates(group.mixed(), EngineRole.MIXED, blockHashes, filter)) {
+            best = RouteOption.better(best, scorer.scoreSingleTarget(state, query, blockHashes, outputTokens, now));
         }
         RouteOption prefill = null;
-        for (TargetState state : candidates(group.prefill(), EngineRole.PREFILL, chain, usable)) {
-            prefill = RouteOption.better(prefill, scorer.prefillLeg(state, query, chain, clock));
+        for (TargetState state : candidates(group.prefill(), EngineRole.PREFILL, blockHashes, filter)) {
+            prefill = RouteOption.better(prefill, scorer.scorePrefill(state, query, blockHashes, now));
         }
         if (prefill == null) {
             return best;
         }
-        for (TargetState state : sampler.sample(group.decode(), policy.sampledCandidates(), usable)) {
-            best = RouteOption.better(best, scorer.decodeLeg(state, prefill, query, outputTokens, clock));
+        for (TargetState state : sampler.sample(group.decode(), policy.sampledCandidates(), filter)) {
+            best = RouteOption.better(best, scorer.scoreDecode(state, prefill, query, outputTokens, now));
         }
         return best;
     }
 
     private List<TargetState> candidates(
-            List<TargetState> from, EngineRole role, long[] chain, Predicate<TargetState> usable) {
-        List<TargetState> sampled = sampler.sample(from, policy.sampledCandidates(), usable);
-        if (chain.length == 0 || from.size() <= policy.sampledCandidates()) {
+            List<TargetState> targets, EngineRole role, long[] blockHashes, Predicate<TargetState> filter) {
+        List<TargetState> sampled = sampler.sample(targets, policy.sampledCandidates(), filter);
+        if (blockHashes.length == 0 || targets.size() <= policy.sampledCandidates()) {
             return sampled;
         }
-        List<TargetState> all = new ArrayList<>(sampled);
-        for (String holder : prefixes.holdersOfLongest(chain)) {
+        List<TargetState> candidates = new ArrayList<>(sampled);
+        for (String holder : prefixIndex.holdersOfLongestPrefix(blockHashes)) {
             fleet.state(holder)
-                    .filter(state -> state.role() == role && !all.contains(state) && usable.test(state))
-                    .ifPresent(all::add);
+                    .filter(state -> state.role() == role && !candidates.contains(state) && filter.test(state))
+                    .ifPresent(candidates::add);
         }
-        return all;
+        return candidates;
     }
 
-    private long[] chain(RouteQuery query) {
-        return policy.usePrefixes() ? PromptBlocks.chain(query.prompt(), policy.prefixBlockChars()) : NO_CHAIN;
+    private long[] blockHashes(RouteQuery query) {
+        return policy.usePrefixes()
+                ? PromptBlocks.hashChain(query.prompt(), policy.prefixBlockChars())
+                : NO_BLOCK_HASHES;
     }
 
-    private static Route none(RouteQuery query) {
+    private static Route noRoute(RouteQuery query) {
         String detail = query.alone()
                 ? "no target of group " + query.group() + " is without urgent work"
                 : "no target of group " + query.group() + " takes new work";
         return new Route.None(detail, RETRY_AFTER_MILLIS);
     }
 
-    private Attempt newAttempt(TargetState state, RouteQuery query, RouteClock clock) {
-        long[] chain = chain(query);
-        double cached = scorer.cachedPart(state, query, chain, clock);
-        long prefill = state.role().servesPrefill() ? Math.round(query.promptTokens() * (1 - cached)) : 0;
-        double outputShare =
-                fleet.group(query.group()).map(GroupState::outputShare).orElse(1.0);
-        long decode = state.role().servesDecode() ? Math.round(query.maxTokens() * outputShare) : 0;
-        LoadEstimate load = LoadEstimate.of(state, policy, clock.wallMillis());
-        double expected = load.slotWaitMillis() + load.prefillWaitMillis() + prefill / load.prefillTokensPerMilli();
+    private Attempt newAttempt(TargetState state, RouteQuery query, DecisionTime now) {
+        long[] blockHashes = blockHashes(query);
+        double cachedFraction = scorer.cachedFraction(state, query, blockHashes, now);
+        long prefillTokens = state.role().servesPrefill() ? Math.round(query.promptTokens() * (1 - cachedFraction)) : 0;
+        double outputFraction =
+                fleet.group(query.group()).map(GroupState::outputFraction).orElse(1.0);
+        long decodeTokens = state.role().servesDecode() ? Math.round(query.maxTokens() * outputFraction) : 0;
+        LoadEstimate load = LoadEstimate.of(state, policy, now.wallMillis());
+        double expectedFirstTokenMillis =
+                load.batchWaitMillis() + load.prefillWaitMillis() + prefillTokens / load.prefillTokensPerMilli();
         if (state.role() == EngineRole.DECODE) {
-            expected += policy.kvMillisPerToken() * query.promptTokens();
+            expectedFirstTokenMillis += policy.kvTransferMillisPerToken() * query.promptTokens();
         }
-        return new Attempt(state, query, chain, cached, prefill, decode, Math.round(expected));
+        return new Attempt(
+                state,
+                query,
+                blockHashes,
+                cachedFraction,
+                prefillTokens,
+                decodeTokens,
+                Math.round(expectedFirstTokenMillis));
     }
 
-    private Attempt end(String attemptId) {
+    private Attempt removeAttempt(String attemptId) {
         Attempt attempt = attempts.remove(attemptId);
         if (attempt != null) {
-            long prefillLeft = attempt.firstTokenSeen() ? 0 : attempt.prefillTokens();
-            attempt.state().onEnded(prefillLeft, attempt.decodeTokens(), attempt.urgent());
+            long remainingPrefillTokens = attempt.firstTokenReceived() ? 0 : attempt.prefillTokens();
+            attempt.targetState().onEnded(remainingPrefillTokens, attempt.decodeTokens(), attempt.isUrgent());
         }
         return attempt;
     }
 
-    private void learnPrefix(Attempt attempt, Usage usage) {
-        TargetState state = attempt.state();
-        long[] chain = attempt.chain();
-        if (!state.role().servesPrefill() || chain.length == 0 || usage.promptTokens() <= 0) {
+    private void recordCacheOutcome(Attempt attempt, Usage usage) {
+        TargetState state = attempt.targetState();
+        long[] blockHashes = attempt.blockHashes();
+        if (!state.role().servesPrefill() || blockHashes.length == 0 || usage.promptTokens() <= 0) {
             return;
         }
         String name = state.target().name();
-        double cachedPart = usage.cachedPromptTokens() / (double) usage.promptTokens();
-        if (attempt.cachedPart() > 0) {
-            prefixes.onOutcome(name, cachedPart >= HIT_PART * attempt.cachedPart());
+        double cachedFraction = usage.cachedPromptTokens() / (double) usage.promptTokens();
+        if (attempt.cachedFraction() > 0) {
+            prefixIndex.adjustRetention(name, cachedFraction >= MIN_HIT_FRACTION * attempt.cachedFraction());
         }
-        prefixes.store(chain, name, time.monotonicMillis());
+        prefixIndex.addBlocks(blockHashes, name, time.monotonicMillis());
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/FleetCapacity.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetCapacity.java
@@ -12,14 +12,14 @@
 /** Estimates group capacities for admission from the router's view of the fleet. Thread-safe. */
 public final class FleetCapacity implements CapacityEstimator {
 
-    private static final int LARGE_GROUP = 16;
-    private static final double USUAL_TOKENS = 200;
-    private static final long LARGE_GROUP_KEEP_MILLIS = 10;
+    private static final int LARGE_GROUP_TARGETS = 16;
+    private static final double TYPICAL_OUTPUT_TOKENS = 200;
+    private static final long LARGE_GROUP_CACHE_MILLIS = 10;
 
     private final FleetView fleet;
     private final RoutingPolicy policy;
     private final TimeSource time;
-    private final Map<String, Kept> kept = new HashMap<>();
+    private final Map<String, CachedCapacity> cache = new HashMap<>();
 
     /**
      * Creates an estimator.
@@ -37,75 +37,78 @@
     @Override
     public Optional<GroupCapacity> capacityOf(String group) {
         synchronized (fleet) {
-            return fleet.group(group).flatMap(state -> keptOrNew(group, state));
+            return fleet.group(group).flatMap(state -> cachedOrNew(group, state));
         }
     }
 
     /** A large group is looked at only now and then: one request more or less does not change its best target. */
-    private Optional<GroupCapacity> keptOrNew(String group, GroupState state) {
+    private Optional<GroupCapacity> cachedOrNew(String group, GroupState state) {
         long nowMillis = time.monotonicMillis();
-        Kept known = kept.get(group);
-        if (known != null && known.size() > LARGE_GROUP && nowMillis < known.untilMillis()) {
-            return known.capacity();
+        CachedCapacity cached = cache.get(group);
+        if (cached != null && cached.size() > LARGE_GROUP_TARGETS && nowMillis < cached.expiresMillis()) {
+            return cached.capacity();
         }
-        Optional<GroupCapacity> capacity = estimate(state, RouteClock.read(time));
-        kept.put(group, new Kept(state.size(), nowMillis + LARGE_GROUP_KEEP_MILLIS, capacity));
+        Optional<GroupCapacity> capacity = estimate(state, DecisionTime.now(time));
+        cache.put(group, new CachedCapacity(state.size(), nowMillis + LARGE_GROUP_CACHE_MILLIS, capacity));
         return capacity;
     }
 
-    private Optional<GroupCapacity> estimate(GroupState group, RouteClock clock) {
-        Best mixed = best(group.mixed(), clock, true, true);
-        Best prefill = best(group.prefill(), clock, true, false);
-        Best decode = best(group.decode(), clock, false, true);
-        boolean split = prefill.count > 0 && decode.count > 0;
-        if (mixed.count == 0 && !split) {
+    private Optional<GroupCapacity> estimate(GroupState group, DecisionTime now) {
+        FastestTarget mixed = fastestOf(group.mixed(), now, true, true);
+        FastestTarget prefill = fastestOf(group.prefill(), now, true, false);
+        FastestTarget decode = fastestOf(group.decode(), now, false, true);
+        boolean hasSplitRoles = prefill.count > 0 && decode.count > 0;
+        if (mixed.count == 0 && !hasSplitRoles) {
             return Optional.empty();
         }
-        double splitWait = prefill.waitMillis + decode.waitMillis;
-        boolean whole = mixed.count > 0 && (!split || mixed.waitMillis <= splitWait);
-        LoadEstimate first = whole ? mixed.load : prefill.load;
-        LoadEstimate then = whole ? mixed.load : decode.load;
+        double splitWaitMillis = prefill.waitMillis + decode.waitMillis;
+        boolean useMixed = mixed.count > 0 && (!hasSplitRoles || mixed.waitMillis <= splitWaitMillis);
+        LoadEstimate prefillLoad = useMixed ? mixed.load : prefill.load;
+        LoadEstimate decodeLoad = useMixed ? mixed.load : decode.load;
         return Optional.of(new GroupCapacity(
-                mixed.count + (split ? prefill.count + decode.count : 0),
-                whole ? mixed.waitMillis : splitWait,
-                first.prefillTokensPerMilli(),
-                then.tokenMillis(policy.firstStepMillis()),
-                then.decodeTokensPerMilli(),
-                group.outputShare()));
+                mixed.count + (hasSplitRoles ? prefill.count + decode.count : 0),
+                useMixed ? mixed.waitMillis : splitWaitMillis,
+                prefillLoad.prefillTokensPerMilli(),
+                decodeLoad.interTokenMillis(policy.minInterTokenMillis()),
+                decodeLoad.decodeTokensPerMilli(),
+                group.outputFraction()));
     }
 
-    private Best best(List<TargetState> states, RouteClock clock, boolean prefill, boolean decode) {
-        Best best = new Best();
+    private FastestTarget fastestOf(List<TargetState> states, DecisionTime now, boolean prefill, boolean decode) {
+        FastestTarget fastest = new FastestTarget();
         for (TargetState state : states) {
-            if (!state.ready()
-                    || state.leaving(clock.monotonicMillis())
-                    || (policy.useHealth() && !state.health().usable(clock.monotonicMillis()))) {
+            if (!state.isReady()
+                    || state.isDraining(now.monotonicMillis())
+                    || (policy.useHealth() && !state.health().isUsable(now.monotonicMillis()))) {
                 continue;
             }
-            LoadEstimate load = LoadEstimate.of(state, policy, clock.wallMillis());
-            double wait = (prefill ? load.prefillWaitMillis() : 0) + (decode ? load.slotWaitMillis() : 0);
-            best.offer(wait, wait + USUAL_TOKENS * load.tokenMillis(policy.firstStepMillis()), load);
+            LoadEstimate load = LoadEstimate.of(state, policy, now.wallMillis());
+            double waitMillis = (prefill ? load.prefillWaitMillis() : 0) + (decode ? load.batchWaitMillis() : 0);
+            fastest.offer(
+                    waitMillis,
+                    waitMillis + TYPICAL_OUTPUT_TOKENS * load.interTokenMillis(policy.minInterTokenMillis()),
+                    load);
         }
-        return best;
+        return fastest;
     }
 
     /** The target that would answer soonest, and how many there are. */
-    private static final class Best {
+    private static final class FastestTarget {
 
         private int count;
         private double waitMillis = Double.MAX_VALUE;
         private double answerMillis = Double.MAX_VALUE;
         private LoadEstimate load;
 
-        void offer(double wait, double answer, LoadEstimate estimate) {
+        void offer(double newWaitMillis, double newAnswerMillis, LoadEstimate estimate) {
             count++;
-            if (answer < answerMillis) {
-                answerMillis = answer;
-                waitMillis = wait;
+            if (newAnswerMillis < answerMillis) {
+                answerMillis = newAnswerMillis;
+                waitMillis = newWaitMillis;
                 load = estimate;
             }
         }
     }
 
-    private record Kept(int size, long untilMillis, Optional<GroupCapacity> capacity) {}
+    private record CachedCapacity(int size, long expiresMillis, Optional<GroupCapacity> capacity) {}
 }
--- a/src/main/java/org/dogwoodwinch/routing/FleetView.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetView.java
@@ -25,7 +25,7 @@
 public final class FleetView {
 
     private final TimeSource time;
-    private final PeerHearing hearing = new PeerHearing();
+    private final PeerContact peerContact = new PeerContact();
     private final Map<String, TargetState> targets = new HashMap<>();
     private final Map<String, GroupState> groups = new TreeMap<>();
 
@@ -43,21 +43,21 @@
      *
      * <p>Call this only with an answer: a list that could not be read says nothing about the fleet.
      *
-     * @param listed the list, not null
+     * @param instances the list, not null
      */
-    public synchronized void onInstanceList(List<ListedInstance> listed) {
+    public synchronized void onInstanceList(List<ListedInstance> instances) {
         Set<String> names = new HashSet<>();
-        for (ListedInstance instance : listed) {
+        for (ListedInstance instance : instances) {
             if (instance.kind() != ListedInstance.Kind.ENTRY) {
                 names.add(instance.name());
-                takeListed(instance);
+                addOrUpdate(instance);
             }
         }
-        List<TargetState> gone = new ArrayList<>();
+        List<TargetState> removedStates = new ArrayList<>();
         targets.values().stream()
                 .filter(state -> !names.contains(state.target().name()))
-                .forEach(gone::add);
-        gone.forEach(this::remove);
+                .forEach(removedStates::add);
+        removedStates.forEach(this::remove);
         groups.values().forEach(GroupState::sort);
     }
 
@@ -65,12 +65,12 @@
      * Marks a target as leaving for a while, on a peer's word or its own refusal, ahead of the instance list.
      *
      * @param targetName the target, not null; an unknown one is passed over
-     * @param keepMillis how long the mark holds, in milliseconds; the list renews it or lets it lapse
+     * @param durationMillis how long the mark holds, in milliseconds; the list renews it or lets it lapse
      */
-    public synchronized void onLeaving(String targetName, long keepMillis) {
+    public synchronized void onLeaving(String targetName, long durationMillis) {
         TargetState state = targets.get(targetName);
         if (state != null) {
-            state.markLeavingUntil(time.monotonicMillis() + keepMillis);
+            state.markDrainingUntil(time.monotonicMillis() + durationMillis);
         }
     }
 
@@ -82,7 +82,7 @@
     public synchronized void onStaying(String targetName) {
         TargetState state = targets.get(targetName);
         if (state != null) {
-            state.clearLeavingMark();
+            state.clearDraining();
         }
     }
 
@@ -110,7 +110,7 @@
         Objects.requireNonNull(report, "report");
         TargetState state = targets.get(targetName);
         if (state != null) {
-            state.takeReport(report);
+            state.updateReport(report);
         }
     }
 
@@ -122,7 +122,7 @@
      */
     public synchronized boolean hasUrgentInFlight(String targetName) {
         return state(targetName)
-                .filter(known -> known.servesUrgentWork(time.wallMillis()))
+                .filter(state -> state.hasUrgentRequests(time.wallMillis()))
                 .isPresent();
     }
 
@@ -132,9 +132,9 @@
      * @return one summary each, by group and name
      */
     public synchronized List<TargetSummary> summaries() {
-        List<TargetSummary> all = new ArrayList<>();
-        groups.values().forEach(group -> group.all().forEach(state -> all.add(summaryOf(state))));
-        return all;
+        List<TargetSummary> summaries = new ArrayList<>();
+        groups.values().forEach(group -> group.all().forEach(state -> summaries.add(summaryOf(state))));
+        return summaries;
     }
 
     /**
@@ -150,8 +150,8 @@
                 : group.all().stream().map(this::summaryOf).toList();
     }
 
-    PeerHearing hearing() {
-        return hearing;
+    PeerContact peerContact() {
+        return peerContact;
     }
 
     Optional<GroupState> group(String name) {
@@ -169,32 +169,32 @@
     private TargetSummary summaryOf(TargetState state) {
         LoadEstimate estimate = LoadEstimate.of(state, RoutingPolicy.STANDARD, time.wallMillis());
         long nowMillis = time.monotonicMillis();
-        boolean leaving = state.leaving(nowMillis);
+        boolean leaving = state.isDraining(nowMillis);
         return new TargetSummary(
                 state.target(),
                 state.role(),
-                state.ready() && !leaving && state.health().usable(nowMillis),
+                state.isReady() && !leaving && state.health().isUsable(nowMillis),
                 leaving,
                 state.outstandingRequests(),
                 estimate.prefillTokens(),
                 estimate.decodeTokens(),
-                state.health().slowness());
+                state.health().slowdown());
     }
 
-    private void takeListed(ListedInstance instance) {
+    private void addOrUpdate(ListedInstance instance) {
         Target target =
                 new Target(instance.name(), instance.host(), instance.port(), instance.dataCentre(), instance.group());
-        TargetState known = targets.get(instance.name());
-        if (known != null && !known.target().equals(target)) {
-            remove(known);
-            known = null;
+        TargetState state = targets.get(instance.name());
+        if (state != null && !state.target().equals(target)) {
+            remove(state);
+            state = null;
         }
-        if (known == null) {
-            known = new TargetState(target, hearing);
-            targets.put(target.name(), known);
-            groups.computeIfAbsent(target.group(), _name -> new GroupState()).add(known);
+        if (state == null) {
+            state = new TargetState(target, peerContact);
+            targets.put(target.name(), state);
+            groups.computeIfAbsent(target.group(), _name -> new GroupState()).add(state);
         }
-        known.setListedLeaving(instance.leaving());
+        state.setListedLeaving(instance.leaving());
     }
 
     private void remove(TargetState state) {
--- a/src/main/java/org/dogwoodwinch/routing/GroupState.java
+++ b/src/main/java/org/dogwoodwinch/routing/GroupState.java
@@ -7,16 +7,16 @@
 /** The targets of one group by what they serve, in lists that a decision samples without a scan. */
 final class GroupState {
 
-    private static final int LANE_PLACES = 16;
-    private static final double OUTPUT_WEIGHT = 0.05;
+    private static final int PACKING_RANKS = 16;
+    private static final double OUTPUT_SMOOTHING_WEIGHT = 0.05;
 
     private final List<TargetState> mixed = new ArrayList<>();
     private final List<TargetState> prefill = new ArrayList<>();
     private final List<TargetState> decode = new ArrayList<>();
-    private double outputShare = 1;
+    private double outputFraction = 1;
 
     void add(TargetState state) {
-        listOf(state).add(state);
+        listFor(state).add(state);
     }
 
     void remove(TargetState state) {
@@ -33,7 +33,7 @@
         prefill.sort(byName);
         decode.sort(byName);
         for (int i = 0; i < mixed.size(); i++) {
-            mixed.get(i).setPlace(i % LANE_PLACES);
+            mixed.get(i).setPackingRank(i % PACKING_RANKS);
         }
     }
 
@@ -61,18 +61,18 @@
     }
 
     /** The part of the allowed output that answers really use, learned from usage. */
-    double outputShare() {
-        return outputShare;
+    double outputFraction() {
+        return outputFraction;
     }
 
-    void learnOutput(long completionTokens, int maxTokens) {
+    void updateOutputFraction(long completionTokens, int maxTokens) {
         if (maxTokens > 0) {
-            double share = Math.min(1, completionTokens / (double) maxTokens);
-            outputShare += OUTPUT_WEIGHT * (share - outputShare);
+            double observedFraction = Math.min(1, completionTokens / (double) maxTokens);
+            outputFraction += OUTPUT_SMOOTHING_WEIGHT * (observedFraction - outputFraction);
         }
     }
 
-    private List<TargetState> listOf(TargetState state) {
+    private List<TargetState> listFor(TargetState state) {
         return switch (state.role()) {
             case PREFILL -> prefill;
             case DECODE -> decode;
--- a/src/main/java/org/dogwoodwinch/routing/PeerLoadExchange.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerLoadExchange.java
@@ -17,10 +17,10 @@
  */
 public final class PeerLoadExchange {
 
-    private static final String KEY = "sent";
-    private static final int MOST_TARGETS = 32;
-    private static final long RECENT_MILLIS = 10_000;
-    private static final long KEEP_MILLIS = 15_000;
+    private static final String ITEM_KEY = "sent";
+    private static final int MAX_TARGETS = 32;
+    private static final long RECENT_SEND_MILLIS = 10_000;
+    private static final long ITEM_TTL_MILLIS = 15_000;
 
     private final FleetView fleet;
     private final PeerBoard board;
@@ -53,20 +53,20 @@
     }
 
     private void publishAndRepeat() {
-        board.publish(PeerTopic.LOAD, KEY, PeerLoadCodec.encode(ownLoad()), KEEP_MILLIS);
+        board.publish(PeerTopic.LOAD, ITEM_KEY, PeerLoadCodec.encode(localLoad()), ITEM_TTL_MILLIS);
         time.schedule(intervalMillis, this::publishAndRepeat);
     }
 
     /** The targets sent to of late, the latest first, so that the message stays small at any fleet's size. */
-    private PeerLoad ownLoad() {
+    private PeerLoad localLoad() {
         synchronized (fleet) {
-            long since = time.wallMillis() - RECENT_MILLIS;
+            long sinceMillis = time.wallMillis() - RECENT_SEND_MILLIS;
             List<SentTotals> totals = fleet.states().stream()
-                    .filter(state -> state.lastSentMillis() > since || state.outstandingRequests() > 0)
+                    .filter(state -> state.lastSentMillis() > sinceMillis || state.outstandingRequests() > 0)
                     .sorted(Comparator.comparingLong(TargetState::lastSentMillis)
                             .reversed()
                             .thenComparing(state -> state.target().name()))
-                    .limit(MOST_TARGETS)
+                    .limit(MAX_TARGETS)
                     .map(PeerLoadExchange::totalsOf)
                     .toList();
             return new PeerLoad(incarnation, totals);
@@ -79,53 +79,53 @@
                 state.sentPrefillTokens(),
                 state.sentDecodeTokens(),
                 state.sentRequests(),
-                state.outstandingUrgent(),
+                state.outstandingUrgentRequests(),
                 state.outstandingRequests(),
                 state.outstandingPrefillTokens(),
                 state.outstandingDecodeTokens());
     }
 
     private void onItem(PeerItem item) {
-        if (item.key().equals(KEY)) {
-            PeerLoadCodec.decode(item.payload()).ifPresent(load -> take(item, load));
+        if (item.key().equals(ITEM_KEY)) {
+            PeerLoadCodec.decode(item.payload()).ifPresent(load -> applyPeerLoad(item, load));
         }
     }
 
-    private void take(PeerItem item, PeerLoad load) {
+    private void applyPeerLoad(PeerItem item, PeerLoad load) {
         synchronized (fleet) {
-            fleet.hearing().heard(time.wallMillis());
-            PeerTotals known = peers.get(item.origin());
-            if (known == null || known.incarnation() != load.incarnation()) {
+            fleet.peerContact().recordMessage(time.wallMillis());
+            PeerTotals peerTotals = peers.get(item.origin());
+            if (peerTotals == null || peerTotals.incarnation() != load.incarnation()) {
                 // The first word of a peer brings its whole history, of which nothing is new.
-                known = new PeerTotals(load.incarnation());
-                known.replace(load.targets());
-                peers.put(item.origin(), known);
+                peerTotals = new PeerTotals(load.incarnation());
+                peerTotals.update(load.targets());
+                peers.put(item.origin(), peerTotals);
             }
             long sentMillis = time.wallMillis() - item.ageMillis() - intervalMillis / 2;
             for (SentTotals totals : load.targets()) {
-                addDifference(totals, known.last(totals.target()), sentMillis);
+                addSentSince(totals, peerTotals.lastTotals(totals.target()), sentMillis);
             }
-            known.busyTargets().forEach(target -> forgetFlight(item.origin(), target));
-            known.replace(load.targets());
-            load.targets().forEach(totals -> setFlight(item.origin(), totals));
+            peerTotals.targetsInFlight().forEach(target -> removeInFlight(item.origin(), target));
+            peerTotals.update(load.targets());
+            load.targets().forEach(totals -> setInFlight(item.origin(), totals));
         }
     }
 
-    private void addDifference(SentTotals totals, SentTotals before, long sentMillis) {
+    private void addSentSince(SentTotals totals, SentTotals previous, long sentMillis) {
         fleet.state(totals.target())
                 .ifPresent(state -> state.peerSends()
                         .add(
                                 sentMillis,
-                                totals.prefillTokens() - before.prefillTokens(),
-                                totals.decodeTokens() - before.decodeTokens(),
-                                (int) (totals.requests() - before.requests())));
+                                totals.prefillTokens() - previous.prefillTokens(),
+                                totals.decodeTokens() - previous.decodeTokens(),
+                                (int) (totals.requests() - previous.requests())));
     }
 
-    private void setFlight(String origin, SentTotals totals) {
-        fleet.state(totals.target()).ifPresent(state -> state.peerFlights().put(origin, totals, time.wallMillis()));
+    private void setInFlight(String origin, SentTotals totals) {
+        fleet.state(totals.target()).ifPresent(state -> state.peerInFlight().put(origin, totals, time.wallMillis()));
     }
 
-    private void forgetFlight(String origin, String target) {
-        fleet.state(target).ifPresent(state -> state.peerFlights().remove(origin));
+    private void removeInFlight(String origin, String target) {
+        fleet.state(target).ifPresent(state -> state.peerInFlight().remove(origin));
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/PeerTotals.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerTotals.java
@@ -7,7 +7,7 @@
 /** The running totals last heard from one peer; the targets heard of longest ago are forgotten. */
 final class PeerTotals {
 
-    private static final int MOST_TARGETS = 256;
+    private static final int MAX_TARGETS = 256;
 
     private final long incarnation;
     private final Map<String, SentTotals> byTarget = new LinkedHashMap<>();
@@ -21,31 +21,31 @@
     }
 
     /** What was last heard of a target; zeros where it was never heard of, as the peer then had not sent to it. */
-    SentTotals last(String target) {
-        SentTotals known = byTarget.get(target);
-        return known == null ? new SentTotals(target, 0, 0, 0, 0, 0, 0, 0) : known;
+    SentTotals lastTotals(String target) {
+        SentTotals lastTotals = byTarget.get(target);
+        return lastTotals == null ? new SentTotals(target, 0, 0, 0, 0, 0, 0, 0) : lastTotals;
     }
 
-    List<String> busyTargets() {
+    List<String> targetsInFlight() {
         return byTarget.values().stream()
                 .filter(totals -> totals.requestsInFlight() > 0)
                 .map(SentTotals::target)
                 .toList();
     }
 
-    void replace(List<SentTotals> totals) {
-        for (SentTotals each : totals) {
-            byTarget.remove(each.target());
-            byTarget.put(each.target(), each);
+    void update(List<SentTotals> received) {
+        for (SentTotals totals : received) {
+            byTarget.remove(totals.target());
+            byTarget.put(totals.target(), totals);
         }
         // A target that has left the peer's list has nothing of the peer's in flight any more.
-        byTarget.replaceAll((_target, known) -> totals.contains(known) ? known : withoutFlight(known));
-        while (byTarget.size() > MOST_TARGETS) {
+        byTarget.replaceAll((_target, known) -> received.contains(known) ? known : withoutInFlight(known));
+        while (byTarget.size() > MAX_TARGETS) {
             byTarget.remove(byTarget.keySet().iterator().next());
         }
     }
 
-    private static SentTotals withoutFlight(SentTotals totals) {
+    private static SentTotals withoutInFlight(SentTotals totals) {
         return new SentTotals(
                 totals.target(), totals.prefillTokens(), totals.decodeTokens(), totals.requests(), 0, 0, 0, 0);
     }
--- a/src/main/java/org/dogwoodwinch/routing/PrefixIndex.java
+++ b/src/main/java/org/dogwoodwinch/routing/PrefixIndex.java
@@ -14,39 +14,39 @@
  */
 final class PrefixIndex {
 
-    private static final int HOLDERS = 4;
-    private static final double FIRST_RETENTION_MILLIS = 120_000;
-    private static final double SHORTEST_RETENTION_MILLIS = 2_000;
-    private static final double LONGEST_RETENTION_MILLIS = 900_000;
-    private static final double HIT_FACTOR = 1.1;
-    private static final double MISS_FACTOR = 0.7;
-    private static final double SMALLEST_BELIEF = 0.1;
-
-    private final Map<Long, Holders> blocks;
+    private static final int MAX_HOLDERS = 4;
+    private static final double INITIAL_RETENTION_MILLIS = 120_000;
+    private static final double MIN_RETENTION_MILLIS = 2_000;
+    private static final double MAX_RETENTION_MILLIS = 900_000;
+    private static final double HIT_RETENTION_FACTOR = 1.1;
+    private static final double MISS_RETENTION_FACTOR = 0.7;
+    private static final double MIN_CONFIDENCE = 0.1;
+
+    private final Map<Long, BlockHolders> blocks;
     private final Map<String, Double> retentionMillis = new HashMap<>();
 
-    PrefixIndex(int mostBlocks) {
+    PrefixIndex(int maxBlocks) {
         this.blocks = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<Long, Holders> _eldest) {
-                return size() > mostBlocks;
+            protected boolean removeEldestEntry(Map.Entry<Long, BlockHolders> _eldest) {
+                return size() > maxBlocks;
             }
         };
     }
 
     /** Notes that a target computed, or is about to compute, a prompt. */
-    void store(long[] chain, String target, long nowMillis) {
-        for (long hash : chain) {
-            blocks.computeIfAbsent(hash, _key -> new Holders()).put(target, nowMillis);
+    void addBlocks(long[] blockHashes, String target, long nowMillis) {
+        for (long hash : blockHashes) {
+            blocks.computeIfAbsent(hash, _key -> new BlockHolders()).put(target, nowMillis);
         }
     }
 
     /** Forgets a target's blocks of a chain from a given one on. */
-    void forget(long[] chain, int fromBlock, String target) {
-        for (int i = fromBlock; i < chain.length; i++) {
-            Holders holders = blocks.get(chain[i]);
+    void removeBlocks(long[] blockHashes, int fromBlock, String target) {
+        for (int i = fromBlock; i < blockHashes.length; i++) {
+            BlockHolders holders = blocks.get(blockHashes[i]);
             if (holders != null) {
                 holders.remove(target);
             }
@@ -54,28 +54,28 @@
     }
 
     /** The part of the chain believed cached on a target, from zero to one, weighted by belief. */
-    double cachedPart(long[] chain, String target, long nowMillis) {
+    double cachedFraction(long[] blockHashes, String target, long nowMillis) {
         int matched = 0;
-        double belief = 1;
-        for (long hash : chain) {
-            Holders holders = blocks.get(hash);
+        double confidence = 1;
+        for (long hash : blockHashes) {
+            BlockHolders holders = blocks.get(hash);
             long storedMillis = holders == null ? Long.MIN_VALUE : holders.storedMillis(target);
             if (storedMillis == Long.MIN_VALUE) {
                 break;
             }
-            belief = Math.min(belief, belief(target, nowMillis - storedMillis));
-            if (belief < SMALLEST_BELIEF) {
+            confidence = Math.min(confidence, confidence(target, nowMillis - storedMillis));
+            if (confidence < MIN_CONFIDENCE) {
                 break;
             }
             matched++;
         }
-        return chain.length == 0 ? 0 : belief * matched / chain.length;
+        return blockHashes.length == 0 ? 0 : confidence * matched / blockHashes.length;
     }
 
     /** The targets that hold the longest known part of the chain; empty where none is known. */
-    String[] holdersOfLongest(long[] chain) {
-        for (int i = chain.length - 1; i >= 0; i--) {
-            Holders holders = blocks.get(chain[i]);
+    String[] holdersOfLongestPrefix(long[] blockHashes) {
+        for (int i = blockHashes.length - 1; i >= 0; i--) {
+            BlockHolders holders = blocks.get(blockHashes[i]);
             if (holders != null && holders.count() > 0) {
                 return holders.targets();
             }
@@ -84,26 +84,26 @@
     }
 
     /** Learns from an answer how long a target really keeps prefixes. */
-    void onOutcome(String target, boolean hit) {
-        double known = retentionMillis.getOrDefault(target, FIRST_RETENTION_MILLIS);
-        double next = known * (hit ? HIT_FACTOR : MISS_FACTOR);
-        retentionMillis.put(target, Math.max(SHORTEST_RETENTION_MILLIS, Math.min(LONGEST_RETENTION_MILLIS, next)));
+    void adjustRetention(String target, boolean hit) {
+        double current = retentionMillis.getOrDefault(target, INITIAL_RETENTION_MILLIS);
+        double adjusted = current * (hit ? HIT_RETENTION_FACTOR : MISS_RETENTION_FACTOR);
+        retentionMillis.put(target, Math.max(MIN_RETENTION_MILLIS, Math.min(MAX_RETENTION_MILLIS, adjusted)));
     }
 
     /** Applies one cache event. */
-    void onEvent(String target, long hash, boolean stored, long nowMillis) {
+    void onCacheEvent(String target, long hash, boolean stored, long nowMillis) {
         if (stored) {
-            blocks.computeIfAbsent(hash, _key -> new Holders()).put(target, nowMillis);
+            blocks.computeIfAbsent(hash, _key -> new BlockHolders()).put(target, nowMillis);
             return;
         }
-        Holders holders = blocks.get(hash);
+        BlockHolders holders = blocks.get(hash);
         if (holders != null) {
             holders.remove(target);
         }
     }
 
     /** A target restarted, changed its model, or its events had a gap: what it holds is unknown. */
-    void forgetTarget(String target) {
+    void removeTarget(String target) {
         blocks.values().forEach(holders -> holders.remove(target));
         retentionMillis.remove(target);
     }
@@ -112,20 +112,20 @@
         return blocks.size();
     }
 
-    private double belief(String target, long ageMillis) {
-        return Math.exp(-ageMillis / retentionMillis.getOrDefault(target, FIRST_RETENTION_MILLIS));
+    private double confidence(String target, long ageMillis) {
+        return Math.exp(-ageMillis / retentionMillis.getOrDefault(target, INITIAL_RETENTION_MILLIS));
     }
 
     /** At most a few targets of one block, the newest first. */
-    private static final class Holders {
+    private static final class BlockHolders {
 
-        private final String[] names = new String[HOLDERS];
-        private final long[] storedMillis = new long[HOLDERS];
+        private final String[] names = new String[MAX_HOLDERS];
+        private final long[] storedMillis = new long[MAX_HOLDERS];
         private int count;
 
         void put(String target, long nowMillis) {
             remove(target);
-            if (count == HOLDERS) {
+            if (count == MAX_HOLDERS) {
                 count--;
             }
             System.arraycopy(names, 0, names, 1, count);
--- a/src/main/java/org/dogwoodwinch/routing/PromptBlocks.java
+++ b/src/main/java/org/dogwoodwinch/routing/PromptBlocks.java
@@ -11,7 +11,7 @@
 public final class PromptBlocks {
 
     /** The most blocks that are hashed of one prompt, so that a long prompt costs no more than this. */
-    public static final int MOST_BLOCKS = 64;
+    public static final int MAX_BLOCKS = 64;
 
     private static final HashFunction HASH = Hashing.murmur3_128();
 
@@ -22,13 +22,13 @@
      *
      * @param prompt the prompt, not null
      * @param blockChars characters of one block, one or more
-     * @return the chain's hashes, first block first, {@link #MOST_BLOCKS} at most
+     * @return the chain's hashes, first block first, {@link #MAX_BLOCKS} at most
      */
-    public static long[] chain(String prompt, int blockChars) {
-        int blocks = Math.min(MOST_BLOCKS, prompt.length() / blockChars);
-        long[] hashes = new long[blocks];
+    public static long[] hashChain(String prompt, int blockChars) {
+        int blockCount = Math.min(MAX_BLOCKS, prompt.length() / blockChars);
+        long[] hashes = new long[blockCount];
         long previous = 0;
-        for (int i = 0; i < blocks; i++) {
+        for (int i = 0; i < blockCount; i++) {
             previous = HASH.newHasher()
                     .putLong(previous)
                     .putString(prompt.substring(i * blockChars, (i + 1) * blockChars), StandardCharsets.UTF_8)
--- a/src/main/java/org/dogwoodwinch/routing/RouteOption.java
+++ b/src/main/java/org/dogwoodwinch/routing/RouteOption.java
@@ -6,11 +6,12 @@
  * One way to serve an attempt, with its score; a lower one is better.
  *
  * @param target generates the answer
- * @param prefill computes the prompt first; empty where the target does both
- * @param firstTokenMillis when the first token is expected
+ * @param prefillTarget computes the prompt first; empty where the target does both
+ * @param expectedFirstTokenMillis when the first token is expected
  * @param score what the way is expected to cost
  */
-record RouteOption(TargetState target, Optional<TargetState> prefill, double firstTokenMillis, double score) {
+record RouteOption(
+        TargetState target, Optional<TargetState> prefillTarget, double expectedFirstTokenMillis, double score) {
 
     static RouteOption better(RouteOption one, RouteOption other) {
         if (one == null) {
@@ -21,6 +22,8 @@
 
     Route toRoute() {
         return new Route.Chosen(
-                target.target(), prefill.map(TargetState::target), Math.max(0, Math.round(firstTokenMillis)));
+                target.target(),
+                prefillTarget.map(TargetState::target),
+                Math.max(0, Math.round(expectedFirstTokenMillis)));
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/RoutingPolicy.java
+++ b/src/main/java/org/dogwoodwinch/routing/RoutingPolicy.java
@@ -10,11 +10,11 @@
  * @param usePrefixes whether believed prefix-cache content lowers the score
  * @param useHealth whether failures and slow first tokens raise the score or hold a target back
  * @param prefixBlockChars characters of one prompt block of the prefix index
- * @param firstStepMillis the shortest expected time between tokens, in milliseconds
- * @param kvMillisPerToken how long moving the KV cache of one prompt token takes, in milliseconds
- * @param disturbance how much of the delay that a prompt causes to the answers beside it counts in the score
- * @param crowding how much of the delay that an answer's tokens cause to the answers beside it counts in the score
- * @param laneStepMillis how much longer a patient request waits on one target before it takes the next, in
+ * @param minInterTokenMillis the shortest expected time between tokens, in milliseconds
+ * @param kvTransferMillisPerToken how long moving the KV cache of one prompt token takes, in milliseconds
+ * @param prefillInterferenceWeight how much of the delay that a prompt causes to the answers beside it counts in the score
+ * @param batchContentionWeight how much of the delay that an answer's tokens cause to the answers beside it counts in the score
+ * @param packingStepMillis how much longer a patient request waits on one target before it takes the next, in
  *     milliseconds; zero spreads patient requests evenly
  */
 public record RoutingPolicy(
@@ -25,11 +25,11 @@
         boolean usePrefixes,
         boolean useHealth,
         int prefixBlockChars,
-        double firstStepMillis,
-        double kvMillisPerToken,
-        double disturbance,
-        double crowding,
-        double laneStepMillis) {
+        double minInterTokenMillis,
+        double kvTransferMillisPerToken,
+        double prefillInterferenceWeight,
+        double batchContentionWeight,
+        double packingStepMillis) {
 
     /** The policy that daemons use. */
     public static final RoutingPolicy STANDARD =
@@ -52,7 +52,7 @@
         if (sampledCandidates < 1 || prefixBlockChars < 1) {
             throw new IllegalArgumentException("sampledCandidates and prefixBlockChars must be one or more");
         }
-        if (jitter < 0 || firstStepMillis < 0 || kvMillisPerToken < 0 || disturbance < 0) {
+        if (jitter < 0 || minInterTokenMillis < 0 || kvTransferMillisPerToken < 0 || prefillInterferenceWeight < 0) {
             throw new IllegalArgumentException("jitter, times and disturbance must not be negative");
         }
     }
@@ -72,10 +72,10 @@
                 usePrefixes,
                 useHealth,
                 blockChars,
-                firstStepMillis,
-                kvMillisPerToken,
-                disturbance,
-                crowding,
-                laneStepMillis);
+                minInterTokenMillis,
+                kvTransferMillisPerToken,
+                prefillInterferenceWeight,
+                batchContentionWeight,
+                packingStepMillis);
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/TargetHealth.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetHealth.java
@@ -9,51 +9,51 @@
  */
 final class TargetHealth {
 
-    private static final long FIRST_HOLD_MILLIS = 500;
-    private static final long LONGEST_HOLD_MILLIS = 30_000;
-    private static final long FORGIVE_MILLIS = 20_000;
-    private static final double SLOWNESS_WEIGHT = 0.2;
-    private static final double GREATEST_SLOWNESS = 8;
-    private static final long SMALLEST_EXPECTATION_MILLIS = 50;
-
-    private int strikes;
-    private long heldUntilMillis;
+    private static final long INITIAL_BACKOFF_MILLIS = 500;
+    private static final long MAX_BACKOFF_MILLIS = 30_000;
+    private static final long FAILURE_DECAY_MILLIS = 20_000;
+    private static final double SLOWDOWN_SMOOTHING_WEIGHT = 0.2;
+    private static final double MAX_SLOWDOWN = 8;
+    private static final long MIN_EXPECTED_MILLIS = 50;
+
+    private int failureCount;
+    private long backoffUntilMillis;
     private long lastFailureMillis;
     private boolean probing;
-    private double slowness = 1;
+    private double slowdown = 1;
 
-    boolean usable(long nowMillis) {
-        return nowMillis >= heldUntilMillis && !probing;
+    boolean isUsable(long nowMillis) {
+        return nowMillis >= backoffUntilMillis && !probing;
     }
 
     /** The score's factor: how much longer first tokens took than was expected, averaged. */
-    double slowness() {
-        return slowness;
+    double slowdown() {
+        return slowdown;
     }
 
     void onSent() {
-        probing = strikes > 0;
+        probing = failureCount > 0;
     }
 
     void onFirstToken(long elapsedMillis, long expectedMillis, long nowMillis) {
         probing = false;
-        double ratio = elapsedMillis / (double) Math.max(SMALLEST_EXPECTATION_MILLIS, expectedMillis);
-        double bounded = Math.max(1, Math.min(GREATEST_SLOWNESS, ratio));
-        slowness += SLOWNESS_WEIGHT * (bounded - slowness);
-        if (strikes > 0 && nowMillis - lastFailureMillis > FORGIVE_MILLIS) {
-            strikes--;
+        double ratio = elapsedMillis / (double) Math.max(MIN_EXPECTED_MILLIS, expectedMillis);
+        double boundedRatio = Math.max(1, Math.min(MAX_SLOWDOWN, ratio));
+        slowdown += SLOWDOWN_SMOOTHING_WEIGHT * (boundedRatio - slowdown);
+        if (failureCount > 0 && nowMillis - lastFailureMillis > FAILURE_DECAY_MILLIS) {
+            failureCount--;
         }
     }
 
     void onFailure(long nowMillis) {
         probing = false;
-        strikes = Math.min(strikes + 1, Long.SIZE - 1);
+        failureCount = Math.min(failureCount + 1, Long.SIZE - 1);
         lastFailureMillis = nowMillis;
-        long hold = FIRST_HOLD_MILLIS << Math.min(strikes - 1, 10);
-        heldUntilMillis = nowMillis + Math.min(LONGEST_HOLD_MILLIS, hold);
+        long backoffMillis = INITIAL_BACKOFF_MILLIS << Math.min(failureCount - 1, 10);
+        backoffUntilMillis = nowMillis + Math.min(MAX_BACKOFF_MILLIS, backoffMillis);
     }
 
-    void onNeutralEnd() {
+    void onAttemptEnded() {
         probing = false;
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/TargetState.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetState.java
@@ -8,29 +8,29 @@
 final class TargetState {
 
     private final Target target;
-    private final PeerHearing hearing;
+    private final PeerContact peerContact;
     private final TargetHealth health = new TargetHealth();
-    private final TokenRing ownSends = new TokenRing();
-    private final TokenRing peerSends = new TokenRing();
-    private final PeerFlights peerFlights = new PeerFlights();
+    private final SendWindow ownSends = new SendWindow();
+    private final SendWindow peerSends = new SendWindow();
+    private final PeerInFlightLoad peerInFlight = new PeerInFlightLoad();
     private EngineRole role = EngineRole.MIXED;
-    private int place;
-    private boolean ready = true;
+    private int packingRank;
+    private boolean isReady = true;
     private boolean listedLeaving;
-    private long markedLeavingUntilMillis;
+    private long drainingUntilMillis;
     private LoadReport report;
     private long outstandingPrefillTokens;
     private long outstandingDecodeTokens;
     private int outstandingRequests;
-    private int outstandingUrgent;
+    private int outstandingUrgentRequests;
     private long sentPrefillTokens;
     private long sentDecodeTokens;
     private long sentRequests;
     private long lastSentMillis;
 
-    TargetState(Target target, PeerHearing hearing) {
+    TargetState(Target target, PeerContact peerContact) {
         this.target = target;
-        this.hearing = hearing;
+        this.peerContact = peerContact;
     }
 
     Target target() {
@@ -41,11 +41,11 @@
         return health;
     }
 
-    TokenRing ownSends() {
+    SendWindow ownSends() {
         return ownSends;
     }
 
-    TokenRing peerSends() {
+    SendWindow peerSends() {
         return peerSends;
     }
 
@@ -58,36 +58,36 @@
     }
 
     /** Its place in the order in which lanes fill; the same on every instance. */
-    int place() {
-        return place;
+    int packingRank() {
+        return packingRank;
     }
 
-    void setPlace(int newPlace) {
-        place = newPlace;
+    void setPackingRank(int newRank) {
+        packingRank = newRank;
     }
 
-    boolean ready() {
-        return ready;
+    boolean isReady() {
+        return isReady;
     }
 
-    void setReady(boolean isReady) {
-        ready = isReady;
+    void setReady(boolean newReady) {
+        isReady = newReady;
     }
 
-    boolean leaving(long nowMillis) {
-        return listedLeaving || nowMillis < markedLeavingUntilMillis;
+    boolean isDraining(long nowMillis) {
+        return listedLeaving || nowMillis < drainingUntilMillis;
     }
 
     void setListedLeaving(boolean leaving) {
         listedLeaving = leaving;
     }
 
-    void markLeavingUntil(long untilMillis) {
-        markedLeavingUntilMillis = Math.max(markedLeavingUntilMillis, untilMillis);
+    void markDrainingUntil(long untilMillis) {
+        drainingUntilMillis = Math.max(drainingUntilMillis, untilMillis);
     }
 
-    void clearLeavingMark() {
-        markedLeavingUntilMillis = 0;
+    void clearDraining() {
+        drainingUntilMillis = 0;
     }
 
     /** The newest report, or null before the first. */
@@ -96,7 +96,7 @@
     }
 
     /** Reports may arrive out of order; an older one would undo what a newer one said. */
-    void takeReport(LoadReport newReport) {
+    void updateReport(LoadReport newReport) {
         if (report == null || newReport.reportedAtMillis() >= report.reportedAtMillis()) {
             report = newReport;
         }
@@ -107,7 +107,7 @@
         outstandingPrefillTokens += prefillTokens;
         outstandingDecodeTokens += decodeTokens;
         outstandingRequests++;
-        outstandingUrgent += urgent ? 1 : 0;
+        outstandingUrgentRequests += urgent ? 1 : 0;
         sentPrefillTokens += prefillTokens;
         sentDecodeTokens += decodeTokens;
         sentRequests++;
@@ -118,11 +118,11 @@
         outstandingPrefillTokens -= prefillTokens;
     }
 
-    void onEnded(long prefillTokensLeft, long decodeTokens, boolean urgent) {
-        outstandingPrefillTokens -= prefillTokensLeft;
+    void onEnded(long remainingPrefillTokens, long decodeTokens, boolean urgent) {
+        outstandingPrefillTokens -= remainingPrefillTokens;
         outstandingDecodeTokens -= decodeTokens;
         outstandingRequests--;
-        outstandingUrgent -= urgent ? 1 : 0;
+        outstandingUrgentRequests -= urgent ? 1 : 0;
     }
 
     long outstandingPrefillTokens() {
@@ -137,20 +137,20 @@
         return outstandingRequests;
     }
 
-    int outstandingUrgent() {
-        return outstandingUrgent;
+    int outstandingUrgentRequests() {
+        return outstandingUrgentRequests;
     }
 
-    boolean hearsPeers(long wallMillis) {
-        return hearing.isRecent(wallMillis);
+    boolean hasRecentPeerContact(long wallMillis) {
+        return peerContact.isRecent(wallMillis);
     }
 
-    PeerFlights peerFlights() {
-        return peerFlights;
+    PeerInFlightLoad peerInFlight() {
+        return peerInFlight;
     }
 
-    boolean servesUrgentWork(long wallMillis) {
-        return outstandingUrgent > 0 || peerFlights.anyUrgent(wallMillis);
+    boolean hasUrgentRequests(long wallMillis) {
+        return outstandingUrgentRequests > 0 || peerInFlight.hasUrgent(wallMillis);
     }
 
     long sentPrefillTokens() {
--- a/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
@@ -13,64 +13,64 @@
 class RolePlannerTest {
 
     private static final String GROUP = "reading";
-    private static final List<ClassDemand> ANSWERS_BESIDE_LONG_PROMPTS = List.of(
+    private static final List<ClassDemand> URGENT_AND_LONG_PROMPT_DEMAND = List.of(
             new ClassDemand(WorkClass.URGENT, 3, 300, 500, 9_000),
             new ClassDemand(WorkClass.LONG_READ, 1.5, 9_000, 20, 600_000));
-    private static final List<ClassDemand> ANSWERS_ALONE =
+    private static final List<ClassDemand> URGENT_DEMAND_ONLY =
             List.of(new ClassDemand(WorkClass.URGENT, 8, 300, 500, 20_000));
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final List<RoleChange> changes = new ArrayList<>();
-    private List<ClassDemand> recent = ANSWERS_BESIDE_LONG_PROMPTS;
-    private List<ClassDemand> lasting = ANSWERS_BESIDE_LONG_PROMPTS;
-    private boolean logOut;
+    private List<ClassDemand> shortTermDemand = URGENT_AND_LONG_PROMPT_DEMAND;
+    private List<ClassDemand> longTermDemand = URGENT_AND_LONG_PROMPT_DEMAND;
+    private boolean controlLogUnavailable;
 
     @Test
-    void aChangeIsProposedWhereTheGainExceedsThePrice() {
-        planner(0).plan(GROUP, engines(4, 0));
+    void changeIsProposedIfGainExceedsPrice() {
+        newPlanner(0).plan(GROUP, newEngines(4, 0));
         assertEquals(1, changes.size());
         assertTrue(changes.get(0).gain() > 0);
     }
 
     @Test
-    void thePriceAloneDecidesBetweenTheUsers() {
-        planner(10_000).plan(GROUP, engines(4, 0));
+    void highPricePreventsTheSameChange() {
+        newPlanner(10_000).plan(GROUP, newEngines(4, 0));
         assertEquals(List.of(), changes);
     }
 
     @Test
-    void aBurstThatLastingDemandDoesNotShowChangesNothing() {
-        lasting = ANSWERS_ALONE;
-        planner(0).plan(GROUP, engines(4, 0));
+    void shortBurstDoesNotTriggerAChange() {
+        longTermDemand = URGENT_DEMAND_ONLY;
+        newPlanner(0).plan(GROUP, newEngines(4, 0));
         assertEquals(List.of(), changes);
     }
 
     @Test
-    void oneChangeAtATimeWithADwellBetween() {
-        RolePlanner planner = planner(0);
-        planner.plan(GROUP, engines(4, 0));
-        planner.plan(GROUP, engines(4, 0));
+    void changesOfAGroupAreSerializedAndSeparatedByTheDwellTime() {
+        RolePlanner planner = newPlanner(0);
+        planner.plan(GROUP, newEngines(4, 0));
+        planner.plan(GROUP, newEngines(4, 0));
         assertEquals(1, changes.size());
         time.advanceMillis(60_000);
-        planner.plan(GROUP, engines(4, 1));
+        planner.plan(GROUP, newEngines(4, 1));
         assertEquals(1, changes.size(), "an engine is still changing");
-        planner.plan(GROUP, engines(4, 0));
+        planner.plan(GROUP, newEngines(4, 0));
         assertEquals(2, changes.size());
     }
 
     /** The log is out, so no order can be given: the planner asks in vain, and must neither wait nor count a change. */
     @Test
-    void withoutTheLogNothingChangesAndTheNextTryIsNotHeldBack() {
-        logOut = true;
-        RolePlanner planner = planner(0);
-        planner.plan(GROUP, engines(4, 0));
-        logOut = false;
-        planner.plan(GROUP, engines(4, 0));
+    void refusedChangeDoesNotStartTheDwellTime() {
+        controlLogUnavailable = true;
+        RolePlanner planner = newPlanner(0);
+        planner.plan(GROUP, newEngines(4, 0));
+        controlLogUnavailable = false;
+        planner.plan(GROUP, newEngines(4, 0));
         assertEquals(1, changes.size());
     }
 
     @Test
-    void theMeterAveragesOverItsHorizon() {
+    void demandMeterAveragesOverTheHorizon() {
         DemandMeter meter = new DemandMeter(time);
         time.advanceMillis(100_000);
         meter.onArrivals(GROUP, WorkClass.URGENT, 20, 2_000, 400, 40_000);
@@ -82,16 +82,16 @@
     }
 
     /** Engines that change quickly, and a long horizon: with the standard ones these small gains would not pay. */
-    private RolePlanner planner(double price) {
-        EngineSpeed quick = new EngineSpeed(8, 12, 0.4, 48, 0.022, 500);
+    private RolePlanner newPlanner(double price) {
+        EngineSpeed fastChange = new EngineSpeed(8, 12, 0.4, 48, 0.022, 500);
         return new RolePlanner(
-                new RolePlanSettings(price, 600_000, 10_000, 45_000, 8_000, 30_000, 0, quick),
-                (_group, horizonMillis) -> horizonMillis > 20_000 ? lasting : recent,
-                change -> !logOut && changes.add(change),
+                new RolePlanSettings(price, 600_000, 10_000, 45_000, 8_000, 30_000, 0, fastChange),
+                (_group, horizonMillis) -> horizonMillis > 20_000 ? longTermDemand : shortTermDemand,
+                change -> !controlLogUnavailable && changes.add(change),
                 time);
     }
 
-    private static List<EngineView> engines(int mixed, int changing) {
+    private static List<EngineView> newEngines(int mixed, int changing) {
         List<EngineView> engines = new ArrayList<>();
         for (int i = 0; i < mixed; i++) {
             engines.add(new EngineView("e" + i, EngineRole.MIXED, i >= changing, i));
--- a/src/test/java/org/dogwoodwinch/routing/EstimatingRouterTest.java
+++ b/src/test/java/org/dogwoodwinch/routing/EstimatingRouterTest.java
@@ -32,44 +32,44 @@
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     private final FleetView fleet = new FleetView(time);
     private final EstimatingRouter router = newRouter(fleet, 1);
-    private int attempts;
+    private int attemptCount;
 
     @Test
-    void aTargetWithAShorterBacklogIsChosen() {
-        list("e1", "e2");
-        report("e1", 100_000, 0);
-        report("e2", 0, 0);
-        assertEquals("e2", chosen(query("p")).target().name());
+    void targetWithShorterBacklogIsChosen() {
+        setInstanceList("e1", "e2");
+        setLoadReport("e1", 100_000, 0);
+        setLoadReport("e2", 0, 0);
+        assertEquals("e2", chooseRoute(newQuery("p")).target().name());
     }
 
     @Test
-    void whatWasSentSinceTheReportCountsUntilANewerReport() {
-        list("e1", "e2");
-        report("e1", 0, 0);
-        report("e2", 3_000, 0);
+    void tokensSentSinceTheReportAddToTheBacklog() {
+        setInstanceList("e1", "e2");
+        setLoadReport("e1", 0, 0);
+        setLoadReport("e2", 3_000, 0);
         send("e1", 10_000);
-        assertEquals("e2", chosen(query("p")).target().name());
+        assertEquals("e2", chooseRoute(newQuery("p")).target().name());
     }
 
     @Test
-    void promptsGoToAPrefillTargetAndAnswersToADecodeTargetWhereRolesAreSplit() {
-        list("e1", "e2");
-        role("e1", EngineRole.PREFILL);
-        role("e2", EngineRole.DECODE);
-        Route.Chosen route = chosen(query("p"));
+    void splitRolesRoutePromptToPrefillAndAnswerToDecodeTarget() {
+        setInstanceList("e1", "e2");
+        setRole("e1", EngineRole.PREFILL);
+        setRole("e2", EngineRole.DECODE);
+        Route.Chosen route = chooseRoute(newQuery("p"));
         assertEquals("e2", route.target().name());
         assertEquals(Optional.of("e1"), route.prefillTarget().map(Target::name));
     }
 
     @Test
-    void aPrefixGoesWhereItIsBelievedCachedUntilTheAnswerSaysOtherwise() {
-        list("e1", "e2", "e3");
+    void cachedPrefixAttractsRequestsUntilItsEntryDecays() {
+        setInstanceList("e1", "e2", "e3");
         String attempt = send("e2", SHARED_PREFIX, 600);
         router.onFirstToken(attempt, 80);
         router.onCompleted(attempt, new Usage(600, 0, 10));
-        assertEquals("e2", chosen(query(SHARED_PREFIX)).target().name());
+        assertEquals("e2", chooseRoute(newQuery(SHARED_PREFIX)).target().name());
         time.advanceMillis(1_800_000);
-        Map<String, Integer> choices = choices(query(SHARED_PREFIX), 60);
+        Map<String, Integer> choices = countChoices(newQuery(SHARED_PREFIX), 60);
         assertTrue(choices.size() > 1, "an old belief draws everything: " + choices);
     }
 
@@ -79,15 +79,16 @@
      * its own sample and jitters the scores.
      */
     @Test
-    void instancesWithOneStaleViewDoNotHerd() {
+    void instancesWithTheSameStaleViewChooseDifferentTargets() {
         Map<String, Integer> choices = new HashMap<>();
         for (int instance = 0; instance < 60; instance++) {
             FleetView view = new FleetView(time);
-            view.onInstanceList(listed("e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"));
-            choices.merge(name(newRouter(view, instance + 100L).route(query("p"))), 1, Integer::sum);
+            view.onInstanceList(newInstanceList("e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"));
+            choices.merge(chosenName(newRouter(view, instance + 100L).route(newQuery("p"))), 1, Integer::sum);
         }
-        int most = choices.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        assertTrue(most <= 20, "herding: " + choices);
+        int maxChoices =
+                choices.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+        assertTrue(maxChoices <= 20, "herding: " + choices);
     }
 
     /**
@@ -96,14 +97,14 @@
      * each hold, so only a few of the attempts of a minute reach it.
      */
     @Test
-    void aFlappingTargetGetsOnlyProbes() {
-        list("good", "flapping");
-        report("good", 4_000, 0);
+    void repeatedlyFailingTargetReceivesOnlyProbes() {
+        setInstanceList("good", "flapping");
+        setLoadReport("good", 4_000, 0);
         int failed = 0;
         for (int i = 0; i < 600; i++) {
-            Route.Chosen route = chosen(query("p"));
-            String attempt = "a" + attempts++;
-            router.onSent(attempt, route.target(), query("p"));
+            Route.Chosen route = chooseRoute(newQuery("p"));
+            String attempt = "a" + attemptCount++;
+            router.onSent(attempt, route.target(), newQuery("p"));
             if (route.target().name().equals("flapping")) {
                 failed++;
                 router.onFailed(attempt, new TargetFailure.Broken("reset"));
@@ -117,44 +118,44 @@
     }
 
     @Test
-    void aSlowTargetIsAvoidedThoughItsReportsAreGood() {
-        list("fast", "slow");
+    void slowTargetIsAvoidedEvenIfItReportsNoLoad() {
+        setInstanceList("fast", "slow");
         for (int i = 0; i < 20; i++) {
             router.onFirstToken(send("slow", 100), 3_000);
             router.onFirstToken(send("fast", 100), 60);
         }
         time.advanceMillis(20_000);
-        assertTrue(choices(query("p"), 50).getOrDefault("fast", 0) >= 45);
+        assertTrue(countChoices(newQuery("p"), 50).getOrDefault("fast", 0) >= 45);
     }
 
     /** The instance list lags: a target's own refusal, or a peer's word, must keep new work away seconds earlier. */
     @Test
-    void aLeavingTargetGetsNothingNewFromTheFirstSignOn() {
-        list("e1", "e2");
+    void drainingTargetReceivesNoNewRequests() {
+        setInstanceList("e1", "e2");
         router.onFailed(send("e1", 10), new TargetFailure.Refused("leaving", false, true, 0));
         fleet.onLeaving("e2", 5_000);
-        assertInstanceOf(Route.None.class, router.route(query("p")));
+        assertInstanceOf(Route.None.class, router.route(newQuery("p")));
         time.advanceMillis(5_000);
-        assertEquals("e2", chosen(query("p")).target().name());
+        assertEquals("e2", chooseRoute(newQuery("p")).target().name());
     }
 
     @Test
-    void aSuspectGoesOnlyWhereNoUrgentWorkRuns() {
-        list("e1", "e2");
-        RouteQuery urgent = query("p");
-        router.onSent("u", target("e1"), urgent);
-        RouteQuery suspect = new RouteQuery(GROUP, WorkClass.STANDARD, "p", 10, 10, 9_000, Set.of(), true);
-        assertEquals(Set.of("e2"), choices(suspect, 20).keySet());
-        router.onSent("v", target("e2"), urgent);
-        assertInstanceOf(Route.None.class, router.route(suspect));
+    void suspectedRequestIsKeptAwayFromUrgentRequests() {
+        setInstanceList("e1", "e2");
+        RouteQuery urgentQuery = newQuery("p");
+        router.onSent("u", newTarget("e1"), urgentQuery);
+        RouteQuery suspectedQuery = new RouteQuery(GROUP, WorkClass.STANDARD, "p", 10, 10, 9_000, Set.of(), true);
+        assertEquals(Set.of("e2"), countChoices(suspectedQuery, 20).keySet());
+        router.onSent("v", newTarget("e2"), urgentQuery);
+        assertInstanceOf(Route.None.class, router.route(suspectedQuery));
     }
 
     @Test
-    void excludedAndUnreadyTargetsAreLeftOut() {
-        list("e1", "e2", "e3");
-        fleet.onEngineState("e2", state(EngineRole.MIXED, false));
+    void excludedAndUnreadyTargetsAreNotChosen() {
+        setInstanceList("e1", "e2", "e3");
+        fleet.onEngineState("e2", newEngineState(EngineRole.MIXED, false));
         RouteQuery query = new RouteQuery(GROUP, WorkClass.URGENT, "p", 10, 10, 9_000, Set.of("e1"), false);
-        assertEquals(Set.of("e3"), choices(query, 20).keySet());
+        assertEquals(Set.of("e3"), countChoices(query, 20).keySet());
     }
 
     private static EstimatingRouter newRouter(FleetView fleet, long seed, VirtualTimeSource time) {
@@ -166,49 +167,49 @@
         return newRouter(view, seed, time);
     }
 
-    private Map<String, Integer> choices(RouteQuery query, int count) {
+    private Map<String, Integer> countChoices(RouteQuery query, int count) {
         Map<String, Integer> choices = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            choices.merge(name(router.route(query)), 1, Integer::sum);
+            choices.merge(chosenName(router.route(query)), 1, Integer::sum);
         }
         return choices;
     }
 
-    private static String name(Route route) {
+    private static String chosenName(Route route) {
         return ((Route.Chosen) route).target().name();
     }
 
-    private Route.Chosen chosen(RouteQuery query) {
+    private Route.Chosen chooseRoute(RouteQuery query) {
         return assertInstanceOf(Route.Chosen.class, router.route(query));
     }
 
-    private void list(String... names) {
-        fleet.onInstanceList(listed(names));
+    private void setInstanceList(String... names) {
+        fleet.onInstanceList(newInstanceList(names));
     }
 
-    private static List<ListedInstance> listed(String... names) {
-        List<ListedInstance> listed = new ArrayList<>();
+    private static List<ListedInstance> newInstanceList(String... names) {
+        List<ListedInstance> instances = new ArrayList<>();
         for (String name : names) {
-            listed.add(
+            instances.add(
                     new ListedInstance(name, ListedInstance.Kind.ENGINE, "10.0.0.1", 80, 0, "kochi-1", false, GROUP));
         }
-        return listed;
+        return instances;
     }
 
-    private static Target target(String name) {
+    private static Target newTarget(String name) {
         return new Target(name, "10.0.0.1", 80, "kochi-1", GROUP);
     }
 
-    private void report(String name, long prefillTokens, long decodeTokens) {
+    private void setLoadReport(String name, long prefillTokens, long decodeTokens) {
         fleet.onLoadReport(
                 name, new LoadReport(time.wallMillis(), prefillTokens, decodeTokens, 0, 0, 0, 1_000_000, 8_000, 1_500));
     }
 
-    private void role(String name, EngineRole role) {
-        fleet.onEngineState(name, state(role, true));
+    private void setRole(String name, EngineRole role) {
+        fleet.onEngineState(name, newEngineState(role, true));
     }
 
-    private static EngineState state(EngineRole role, boolean ready) {
+    private static EngineState newEngineState(EngineRole role, boolean ready) {
         return new EngineState(new EngineConfiguration(role, "m", "1", new TreeSet<>()), "", -1, ready, 1);
     }
 
@@ -217,15 +218,15 @@
     }
 
     private String send(String name, String prompt, long promptTokens) {
-        String attempt = "a" + attempts++;
+        String attempt = "a" + attemptCount++;
         router.onSent(
                 attempt,
-                target(name),
+                newTarget(name),
                 new RouteQuery(GROUP, WorkClass.URGENT, prompt, promptTokens, 10, 9_000, Set.of(), false));
         return attempt;
     }
 
-    private static RouteQuery query(String prompt) {
+    private static RouteQuery newQuery(String prompt) {
         return new RouteQuery(GROUP, WorkClass.URGENT, prompt, 600, 10, 9_000, Set.of(), false);
     }
 }
