--- a/src/main/java/org/dogwoodwinch/roles/ClassDemand.java
+++ b/src/main/java/org/dogwoodwinch/roles/ClassDemand.java
@@ -4,13 +4,13 @@
 import org.dogwoodwinch.catalogue.WorkClass;
 
 /**
- * What callers ask of one group in one class of work, averaged over a horizon.
+ * The demand for one group in one class of work, averaged over a horizon.
  *
  * @param workClass the class, not null
- * @param requestsPerSecond arrivals a second
- * @param promptTokens prompt tokens of one request, on average
- * @param outputTokens tokens of one answer, on average
- * @param deadlineMillis the deadline, on average, in milliseconds
+ * @param requestsPerSecond arrivals per second
+ * @param promptTokens the mean number of prompt tokens per request
+ * @param outputTokens the mean number of tokens per answer
+ * @param deadlineMillis the mean deadline, in milliseconds
  */
 public record ClassDemand(
         WorkClass workClass,
@@ -19,7 +19,7 @@
         double outputTokens,
         double deadlineMillis) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public ClassDemand {
         Objects.requireNonNull(workClass, "workClass");
     }
--- a/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
+++ b/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
@@ -11,7 +11,7 @@
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.time.TimeSource;
 
-/** Measures the demand of groups by class over the last minutes, in seconds' buckets. Thread-safe. */
+/** Measures the demand for groups by class of work over the last minutes, in buckets of one second. Thread-safe. */
 public final class DemandMeter implements DemandSource {
 
     private static final long BUCKET_MILLIS = 1_000;
@@ -30,14 +30,14 @@
     }
 
     /**
-     * Counts requests that arrived just now.
+     * Adds requests that arrived at this moment.
      *
-     * @param group their group, not null
-     * @param workClass their class, not null
-     * @param requests how many
-     * @param promptTokens their prompt tokens together
-     * @param outputTokens their expected output tokens together
-     * @param deadlineMillis their deadlines together, in milliseconds
+     * @param group the group of the requests, not null
+     * @param workClass the class of the requests, not null
+     * @param requests the number of requests
+     * @param promptTokens the sum of their prompt tokens
+     * @param outputTokens the sum of their expected output tokens
+     * @param deadlineMillis the sum of their deadlines, in milliseconds
      */
     public synchronized void onArrivals(
             String group,
@@ -83,7 +83,7 @@
         return demand;
     }
 
-    /** One second's sums for each class: requests, prompt tokens, output tokens, deadlines. */
+    /** The sums of one second for each class: requests, prompt tokens, output tokens and deadlines, in this order. */
     private static final class Bucket {
 
         private static final int SUMS_PER_CLASS = 4;
--- a/src/main/java/org/dogwoodwinch/roles/DemandSource.java
+++ b/src/main/java/org/dogwoodwinch/roles/DemandSource.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Gives the demand of a group over a horizon that ends now. */
+/** Provides the demand for a group over a horizon that ends now. */
 @FunctionalInterface
 public interface DemandSource {
 
@@ -11,7 +11,7 @@
      *
      * @param group the group's name, not null
      * @param horizonMillis the horizon, in milliseconds
-     * @return the demand by class; empty where there was none
+     * @return the demand by class; empty if there was none
      */
     List<ClassDemand> demand(String group, long horizonMillis);
 }
--- a/src/main/java/org/dogwoodwinch/roles/EngineView.java
+++ b/src/main/java/org/dogwoodwinch/roles/EngineView.java
@@ -4,16 +4,16 @@
 import org.dogwoodwinch.target.EngineRole;
 
 /**
- * An engine as the planner sees it.
+ * An engine's state as input to the planner.
  *
- * @param name its name, not null
- * @param role its role, not null
- * @param steady whether it serves and is neither leaving nor changing
- * @param backlogTokens tokens that wait on it; the emptiest engine is drained soonest
+ * @param name the engine's name, not null
+ * @param role the engine's role, not null
+ * @param steady whether the engine serves requests and is neither draining nor changing its role
+ * @param backlogTokens tokens that wait on the engine; the engine with the fewest is drained soonest
  */
 public record EngineView(String name, EngineRole role, boolean steady, long backlogTokens) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public EngineView {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(role, "role");
--- a/src/main/java/org/dogwoodwinch/roles/GoodputModel.java
+++ b/src/main/java/org/dogwoodwinch/roles/GoodputModel.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.dogwoodwinch.catalogue.WorkClass;
 
-/** Predicts how many requests a second a split of roles serves in time. */
+/** Predicts how many requests per second a split of roles answers within their deadlines. */
 public final class GoodputModel {
 
     private static final double[] MIXED_FRACTIONS = {0, 0.25, 0.5, 0.75, 1};
@@ -22,12 +22,12 @@
     }
 
     /**
-     * Predicts the goodput of a split under a demand, with requests divided between the mixed engines and the others as
-     * well as routing could.
+     * Predicts the goodput of a split under a demand, assuming that routing divides the requests between the mixed
+     * engines and the prefill and decode engines in the best way.
      *
-     * @param split the roles, not null
+     * @param split the number of engines per role, not null
      * @param demand the demand by class, not null
-     * @return requests a second that are answered in time
+     * @return requests per second that are answered within their deadlines
      */
     public double predict(RoleSplit split, List<ClassDemand> demand) {
         List<ClassDemand> byUrgency = demand.stream()
@@ -74,7 +74,10 @@
         return demand.workClass() == WorkClass.LONG_READ ? longReadFraction : interactiveFraction;
     }
 
-    /** The part of a class's answers that come in time; a little below and above the deadline it is not all or none. */
+    /**
+     * Returns the fraction of a class's answers that meet the deadline. It changes gradually around the deadline, as
+     * response times vary.
+     */
     private static double onTimeFraction(ClassDemand demand, PoolLoad pool) {
         if (demand.workClass() == WorkClass.LONG_READ) {
             return 1;
--- a/src/main/java/org/dogwoodwinch/roles/PoolLoad.java
+++ b/src/main/java/org/dogwoodwinch/roles/PoolLoad.java
@@ -1,15 +1,19 @@
 package org.dogwoodwinch.roles;
 
 /**
- * The load of a pool of like engines, filled class by class in order of urgency.
+ * The load of a pool of equal engines, to which classes of work are added in order of urgency.
  *
- * <p>A class gets what the ones before it leave; the pool is never filled beyond what queues bear.
+ * <p>Each class gets the capacity that the classes before it leave. The utilization stays below a limit beyond which
+ * queues would grow without bound.
  */
 final class PoolLoad {
 
     private static final double MAX_UTILIZATION = 0.85;
 
-    /** The part of the prompts' time that answers on mixed engines feel: routing keeps long prompts on few of them. */
+    /**
+     * The fraction of the prefill time that delays answers on mixed engines: routing packs long prompts onto few of
+     * them.
+     */
     private static final double PACKED_PREFILL_FRACTION = 0.5;
 
     private final EngineSpeed speed;
@@ -35,7 +39,7 @@
         return new PoolLoad(speed, prefillEngines, decodeEngines, false);
     }
 
-    /** Adds a part of a class's demand; returns the part of it that fits, from zero to one. */
+    /** Adds a fraction of a class's demand and returns the part of it that fits, from zero to one. */
     double add(ClassDemand demand, double fraction) {
         if (fraction <= 0) {
             return 1;
@@ -54,7 +58,7 @@
         return admitted;
     }
 
-    /** Expected time of a request from start to last token, in milliseconds. */
+    /** Returns the expected time from the start of a request to its last token, in milliseconds. */
     double responseMillis(ClassDemand demand) {
         double meanPromptTokens = prefillUtilization > 0 ? prefillWeightedTokens / prefillUtilization : 0;
         double queueMillis =
@@ -85,7 +89,10 @@
         return requested <= 0 ? 1 : Math.max(0, available) / requested;
     }
 
-    /** A step takes longer with more sequences, and prompts in the same steps stretch it further. */
+    /**
+     * Returns the duration of a decode step, which grows with the number of sequences and with prompts computed in the
+     * same steps.
+     */
     private double stepMillis() {
         double available = colocated ? 1 - PACKED_PREFILL_FRACTION * prefillUtilization : 1;
         double denominator = available - decodeTokensPerMilli * speed.stepPerSequenceMillis();
--- a/src/main/java/org/dogwoodwinch/roles/RoleChange.java
+++ b/src/main/java/org/dogwoodwinch/roles/RoleChange.java
@@ -8,12 +8,13 @@
  *
  * @param group the engine's group, not null
  * @param engine the engine's name, not null
- * @param role the role wanted, not null
- * @param gain answers in time that the whole plan is predicted to bring over the planning horizon
+ * @param role the new role, not null
+ * @param gain the predicted number of additional answers within their deadlines, for the whole plan over the planning
+ *     horizon
  */
 public record RoleChange(String group, String engine, EngineRole role, double gain) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RoleChange {
         Objects.requireNonNull(group, "group");
         Objects.requireNonNull(engine, "engine");
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanSettings.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlanSettings.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * The constants of {@link RolePlanner}; users differ in the price alone.
+ * The parameters of {@link RolePlanner}. Deployments differ in the price only.
  *
- * @param pricePerSecondAway how many answers in time a second of one engine away must at least bring
- * @param planningHorizonMillis over which time a change must pay, in milliseconds
- * @param shortHorizonMillis over which time recent demand is averaged, in milliseconds
- * @param longHorizonMillis over which time lasting demand is averaged, in milliseconds
- * @param groupDwellMillis the least time between two changes in one group, in milliseconds
- * @param engineDwellMillis the least time that an engine keeps a role, in milliseconds
- * @param drainMillis how long an engine takes to finish what it has before a change, in milliseconds
+ * @param pricePerSecondAway the minimum number of additional answers within their deadlines for each second that one
+ *     engine is unavailable, on top of the answers lost meanwhile
+ * @param planningHorizonMillis the time within which a change must pay off, in milliseconds
+ * @param shortHorizonMillis the time over which short-term demand is averaged, in milliseconds
+ * @param longHorizonMillis the time over which long-term demand is averaged, in milliseconds
+ * @param groupDwellMillis the minimum time between two changes in one group, in milliseconds
+ * @param engineDwellMillis the minimum time that an engine keeps a role, in milliseconds
+ * @param drainMillis the time that an engine takes to finish its requests before a change, in milliseconds
  * @param speed the engines' speed, not null
  */
 public record RolePlanSettings(
@@ -24,21 +25,22 @@
         long drainMillis,
         EngineSpeed speed) {
 
-    /** The price at which goodput goes first, as Malabar wants it. */
+    /** The price that favours goodput over stable roles, used by the Malabar deployment. */
     public static final double GOODPUT_FIRST_PRICE = 1;
 
-    /** The price at which engines stay where they are unless much is won, as Albuquerque wants it. */
+    /** The price that changes roles only for a large gain, used by the Albuquerque deployment. */
     public static final double STEADY_PRICE = 12;
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public RolePlanSettings {
         Objects.requireNonNull(speed, "speed");
     }
 
     /**
-     * Returns the usual settings at a price.
+     * Returns the default settings with the given price.
      *
-     * @param pricePerSecondAway the price
+     * @param pricePerSecondAway the minimum number of additional answers within their deadlines for each second that
+     *     one engine is unavailable, on top of the answers lost meanwhile
      * @return the settings
      */
     public static RolePlanSettings atPrice(double pricePerSecondAway) {
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanner.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlanner.java
@@ -10,11 +10,12 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Proposes a role change where the predicted gain over the planning horizon exceeds the price of the seconds away.
+ * Proposes a role change if its predicted gain over the planning horizon exceeds the cost of the engine's
+ * unavailability.
  *
- * <p>The best split is sought among all, not among the neighbours of the present one: the first prefill engine beside
- * mixed ones brings nothing until there is a decode engine too. A plan is then carried out one engine at a time, and is
- * made anew before each. Not thread-safe.
+ * <p>The best split is searched among all splits, not only among those one change away from the current one: the first
+ * prefill engine in a group of mixed engines brings no gain until there is a decode engine as well. A plan is carried
+ * out one engine at a time and recomputed before each change. Not thread-safe.
  */
 public final class RolePlanner implements RolePlanning {
 
@@ -29,9 +30,9 @@
     /**
      * Creates a planner.
      *
-     * @param settings the constants, not null
-     * @param demand what callers ask for, not null
-     * @param requester takes the proposals, not null
+     * @param settings the parameters, not null
+     * @param demand the demand for the groups, not null
+     * @param requester receives the proposals, not null
      * @param time the clock, not null
      */
     public RolePlanner(RolePlanSettings settings, DemandSource demand, RoleChangeRequester requester, TimeSource time) {
@@ -68,13 +69,19 @@
         }
     }
 
-    /** A gain counts only where both recent and lasting demand show it, so that a burst alone changes nothing. */
+    /**
+     * Returns the predicted gain over the planning horizon. The planner uses the smaller of the short-term and the
+     * long-term gain, so that a burst alone changes nothing.
+     */
     private double gain(RoleSplit current, RoleSplit candidate, List<ClassDemand> classes) {
         double gainPerSecond = model.predict(candidate, classes) - model.predict(current, classes);
         return gainPerSecond * settings.planningHorizonMillis() / 1_000;
     }
 
-    /** What the engines miss while they drain and change, and the settings' price on top of it. */
+    /**
+     * Returns the goodput lost while engines drain and change their roles, plus the configured price of their
+     * unavailability.
+     */
     private double cost(RoleSplit current, RoleSplit candidate, List<ClassDemand> shortTermDemand, int engines) {
         double millisUnavailable = settings.speed().roleChangeMillis() + settings.drainMillis();
         double secondsUnavailable = current.changesTo(candidate) * millisUnavailable / 1_000;
@@ -106,7 +113,10 @@
         return changedMillis != null && time.monotonicMillis() - changedMillis < dwellMillis;
     }
 
-    /** The role that has most too few, or most too many, engines; decode first, as a prefill engine needs it. */
+    /**
+     * Returns the role that lacks the most engines, or has the largest surplus. Decode comes first in a tie, as a
+     * prefill engine depends on a decode engine.
+     */
     private static Optional<EngineRole> roleWithLargestDifference(RoleSplit current, RoleSplit best, boolean deficit) {
         int sign = deficit ? 1 : -1;
         return List.of(EngineRole.DECODE, EngineRole.PREFILL, EngineRole.MIXED).stream()
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanning.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlanning.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** Decides now and then whether an engine of a group changes its role. */
+/** Decides whether an engine of a group should change its role. */
 @FunctionalInterface
 public interface RolePlanning {
 
     /**
-     * Looks at one group and requests at most one change.
+     * Evaluates one group and requests at most one change.
      *
      * @param group the group's name, not null
-     * @param engines its engines, not null
+     * @param engines the engines of the group, not null
      */
     void plan(String group, List<EngineView> engines);
 }
--- a/src/main/java/org/dogwoodwinch/roles/RoleSplit.java
+++ b/src/main/java/org/dogwoodwinch/roles/RoleSplit.java
@@ -5,10 +5,10 @@
 import org.dogwoodwinch.target.EngineRole;
 
 /**
- * How many engines of a group have each role.
+ * The number of engines of a group in each role.
  *
  * @param prefill engines that compute prompts
- * @param decode engines that generate
+ * @param decode engines that generate answers
  * @param mixed engines that do both
  */
 public record RoleSplit(int prefill, int decode, int mixed) {
@@ -16,8 +16,8 @@
     /**
      * Lists every split that can serve requests.
      *
-     * @param engines how many engines there are
-     * @return the splits; those with engines of one half only are left out
+     * @param engines the number of engines
+     * @return the splits; those with prefill engines but no decode engines, or the reverse, are left out
      */
     public static List<RoleSplit> all(int engines) {
         List<RoleSplit> splits = new ArrayList<>();
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Counts engines of a role.
+     * Returns the number of engines in a role.
      *
      * @param role the role, not null
-     * @return the count
+     * @return the number of engines
      */
     public int of(EngineRole role) {
         return switch (role) {
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Counts the role changes to another split of as many engines.
+     * Returns the number of role changes between this split and another one of equally many engines.
      *
      * @param other the other split, not null
-     * @return how many engines must change
+     * @return the number of engines that must change
      */
     public int changesTo(RoleSplit other) {
         int difference = Math.abs(prefill - other.prefill) + Math.abs(decode - other.decode);
--- a/src/main/java/org/dogwoodwinch/roles/package-info.java
+++ b/src/main/java/org/dogwoodwinch/roles/package-info.java
@@ -1,2 +1,2 @@
-/** Planning of engine roles: how many engines of a group prefill, decode or do both. */
+/** Planning of engine roles: how many engines of a group do prefill, decode or both. */
 package org.dogwoodwinch.roles;
--- a/src/main/java/org/dogwoodwinch/routing/Attempt.java
+++ b/src/main/java/org/dogwoodwinch/routing/Attempt.java
@@ -2,7 +2,7 @@
 
 import org.dogwoodwinch.catalogue.WorkClass;
 
-/** What the router remembers of one attempt until it ends. */
+/** An attempt that was sent and has not ended, with what the router estimated when it was sent. */
 final class Attempt {
 
     private final TargetState targetState;
--- a/src/main/java/org/dogwoodwinch/routing/CandidateSampler.java
+++ b/src/main/java/org/dogwoodwinch/routing/CandidateSampler.java
@@ -6,10 +6,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Picks the few targets that one decision looks at.
+ * Selects the few targets that one routing decision scores.
  *
- * <p>A few random candidates cost the same at 11 and at 4,400 targets, and keep instances with one stale view from all
- * finding the same idle target.
+ * <p>The cost of a small random sample does not grow with the fleet (11 or 4,400 targets), and sampling keeps instances
+ * that share a stale view from all choosing the same idle target.
  */
 final class CandidateSampler {
 
--- a/src/main/java/org/dogwoodwinch/routing/EstimatingRouter.java
+++ b/src/main/java/org/dogwoodwinch/routing/EstimatingRouter.java
@@ -16,9 +16,9 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Chooses targets by estimated backlog, expected times and believed prefix cache.
+ * Chooses targets by estimated load, expected latency and the prompt prefixes that are probably in their caches.
  *
- * <p>Thread-safe: a decision holds the {@link FleetView}'s monitor for its few microseconds.
+ * <p>Thread-safe: a decision holds the monitor of the {@link FleetView} for its few microseconds.
  */
 public final class EstimatingRouter implements Router {
 
@@ -40,10 +40,10 @@
     /**
      * Creates a router.
      *
-     * @param fleet what is believed of the targets, not null
-     * @param policy the constants, not null
+     * @param fleet the known state of all targets, not null
+     * @param policy the routing parameters, not null
      * @param time the clock, not null
-     * @param random the source of chance, not null
+     * @param random the source of random numbers for sampling and jitter, not null
      * @param ownDataCentre the data centre of this instance, not null
      */
     public EstimatingRouter(
@@ -65,14 +65,15 @@
         synchronized (fleet) {
             Optional<GroupState> group = fleet.group(query.group());
             if (group.isEmpty()) {
-                return new Route.None("no target of group " + query.group() + " is listed", RETRY_AFTER_MILLIS);
+                return new Route.None("the instance list has no target of group " + query.group(), RETRY_AFTER_MILLIS);
             }
             DecisionTime now = DecisionTime.now(time);
             Predicate<TargetState> eligible = state -> canServe(state, query, now);
             Predicate<TargetState> healthy =
                     eligible.and(state -> !policy.useHealth() || state.health().isUsable(now.monotonicMillis()));
             RouteOption best = bestOption(group.get(), query, healthy, now);
-            // Where outcomes speak against every target, a held-back one still beats a certain refusal.
+            // If every target is in back-off after failures, using one of them is still better than refusing the
+            // request.
             best = best == null ? bestOption(group.get(), query, eligible, now) : best;
             return best == null ? noRoute(query) : best.toRoute();
         }
@@ -160,10 +161,11 @@
     }
 
     /**
-     * Takes a target's cache events; a gap in their numbers makes what is believed of the target doubtful.
+     * Applies prefix-cache events of a target. A gap in their sequence numbers counts as a cache miss, as an eviction
+     * may have been among the missing events.
      *
      * @param targetName the target, not null
-     * @param events later events, in order, not null
+     * @param events the events since the last call, in order, not null
      */
     public void onCacheEvents(String targetName, List<CacheEvent> events) {
         synchronized (fleet) {
@@ -179,7 +181,7 @@
     }
 
     /**
-     * Forgets a target's cache, after a crash or a change of its model.
+     * Discards the recorded cache content of a target, after a crash or a change of its model.
      *
      * @param targetName the target, not null
      */
@@ -241,8 +243,8 @@
 
     private static Route noRoute(RouteQuery query) {
         String detail = query.alone()
-                ? "no target of group " + query.group() + " is without urgent work"
-                : "no target of group " + query.group() + " takes new work";
+                ? "no target of group " + query.group() + " without urgent requests accepts new requests"
+                : "no target of group " + query.group() + " accepts new requests";
         return new Route.None(detail, RETRY_AFTER_MILLIS);
     }
 
--- a/src/main/java/org/dogwoodwinch/routing/FleetCapacity.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetCapacity.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.admission.GroupCapacity;
 import org.dogwoodwinch.time.TimeSource;
 
-/** Estimates group capacities for admission from the router's view of the fleet. Thread-safe. */
+/** Estimates the capacity of target groups for admission from the router's view of the fleet. Thread-safe. */
 public final class FleetCapacity implements CapacityEstimator {
 
     private static final int LARGE_GROUP_TARGETS = 16;
@@ -24,8 +24,8 @@
     /**
      * Creates an estimator.
      *
-     * @param fleet what is believed of the targets, not null
-     * @param policy the router's constants, not null
+     * @param fleet the known state of all targets, not null
+     * @param policy the routing parameters, not null
      * @param time the clock, not null
      */
     public FleetCapacity(FleetView fleet, RoutingPolicy policy, TimeSource time) {
@@ -41,7 +41,10 @@
         }
     }
 
-    /** A large group is looked at only now and then: one request more or less does not change its best target. */
+    /**
+     * Returns the cached capacity of a large group for a few milliseconds: one request more or less does not change its
+     * fastest target.
+     */
     private Optional<GroupCapacity> cachedOrNew(String group, GroupState state) {
         long nowMillis = time.monotonicMillis();
         CachedCapacity cached = cache.get(group);
@@ -92,7 +95,7 @@
         return fastest;
     }
 
-    /** The target that would answer soonest, and how many there are. */
+    /** The target with the shortest expected response time, and the number of usable targets. */
     private static final class FastestTarget {
 
         private int count;
--- a/src/main/java/org/dogwoodwinch/routing/FleetView.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetView.java
@@ -18,9 +18,11 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * What this instance believes of all targets, fed by the instance list, engines' states and reports, and peers.
+ * The state of all targets as known to this instance, from the instance list, engine states, load reports and messages
+ * of peers.
  *
- * <p>Thread-safe: every method holds this object's monitor, and {@link EstimatingRouter} holds it through a decision.
+ * <p>Thread-safe: every public method holds this object's monitor, and {@link EstimatingRouter} holds it during a
+ * decision.
  */
 public final class FleetView {
 
@@ -39,9 +41,10 @@
     }
 
     /**
-     * Takes a whole reading of the platform's instance list; instances of our own are passed over.
+     * Applies a complete copy of the platform's instance list: adds, updates and removes targets. Entries of kind
+     * {@link ListedInstance.Kind#ENTRY}, the daemons of this system, are ignored.
      *
-     * <p>Call this only with an answer: a list that could not be read says nothing about the fleet.
+     * <p>Must not be called when the list could not be read, as an empty list removes all targets.
      *
      * @param instances the list, not null
      */
@@ -62,10 +65,11 @@
     }
 
     /**
-     * Marks a target as leaving for a while, on a peer's word or its own refusal, ahead of the instance list.
+     * Marks a target as draining for a limited time, after a message from a peer or a refusal by the target, before the
+     * instance list shows it.
      *
-     * @param targetName the target, not null; an unknown one is passed over
-     * @param durationMillis how long the mark holds, in milliseconds; the list renews it or lets it lapse
+     * @param targetName the target, not null; an unknown one is ignored
+     * @param durationMillis how long the mark lasts, in milliseconds; the instance list decides afterwards
      */
     public synchronized void onLeaving(String targetName, long durationMillis) {
         TargetState state = targets.get(targetName);
@@ -75,9 +79,10 @@
     }
 
     /**
-     * Takes back a leaving mark, for a drain that was cancelled; what the instance list says stays.
+     * Removes a draining mark after a drain was cancelled. A target that the instance list shows as leaving stays
+     * excluded.
      *
-     * @param targetName the target, not null; an unknown one is passed over
+     * @param targetName the target, not null; an unknown one is ignored
      */
     public synchronized void onStaying(String targetName) {
         TargetState state = targets.get(targetName);
@@ -87,10 +92,10 @@
     }
 
     /**
-     * Takes an engine's state: its role, and whether it serves.
+     * Applies an engine's state: its role and whether it is ready.
      *
-     * @param targetName the engine, not null; an unknown one is passed over
-     * @param engineState what it said, not null
+     * @param targetName the engine, not null; an unknown one is ignored
+     * @param engineState the state that the engine reported, not null
      */
     public synchronized void onEngineState(String targetName, EngineState engineState) {
         TargetState state = targets.get(targetName);
@@ -101,9 +106,9 @@
     }
 
     /**
-     * Takes a load report.
+     * Applies a load report.
      *
-     * @param targetName the engine, not null; an unknown one is passed over
+     * @param targetName the engine, not null; an unknown one is ignored
      * @param report the report, not null
      */
     public synchronized void onLoadReport(String targetName, LoadReport report) {
@@ -115,10 +120,11 @@
     }
 
     /**
-     * Says whether urgent work is in flight on a target, by way of this instance or, as far as they told, of others.
+     * Returns whether urgent requests are in flight on a target, sent by this instance or, according to their last
+     * messages, by its peers.
      *
      * @param targetName the target, not null
-     * @return true where there is some
+     * @return true if there are some
      */
     public synchronized boolean hasUrgentInFlight(String targetName) {
         return state(targetName)
@@ -127,9 +133,9 @@
     }
 
     /**
-     * Returns the targets that this instance knows, for status pages and the role planner.
+     * Returns all known targets, for status pages and the role planner.
      *
-     * @return one summary each, by group and name
+     * @return one summary each, ordered by group, role and name
      */
     public synchronized List<TargetSummary> summaries() {
         List<TargetSummary> summaries = new ArrayList<>();
@@ -138,10 +144,10 @@
     }
 
     /**
-     * Returns the targets of one group that may take new work or will be able to.
+     * Returns all known targets of one group.
      *
      * @param groupName the group, not null
-     * @return one summary each
+     * @return one summary each; empty for an unknown group
      */
     public synchronized List<TargetSummary> summaries(String groupName) {
         GroupState group = groups.get(groupName);
--- a/src/main/java/org/dogwoodwinch/routing/GroupState.java
+++ b/src/main/java/org/dogwoodwinch/routing/GroupState.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The targets of one group by what they serve, in lists that a decision samples without a scan. */
+/** The targets of one group in one list per role, so that a decision can sample a role without a scan. */
 final class GroupState {
 
     private static final int PACKING_RANKS = 16;
@@ -25,7 +25,10 @@
         decode.remove(state);
     }
 
-    /** Instances hear of targets in different orders; a common order makes runs with one seed repeat. */
+    /**
+     * Sorts the targets by name. Instances learn of targets in different orders; a common order gives all of them the
+     * same packing ranks and makes seeded runs repeatable.
+     */
     void sort() {
         Comparator<TargetState> byName =
                 Comparator.comparing(state -> state.target().name());
@@ -60,7 +63,9 @@
         return all;
     }
 
-    /** The part of the allowed output that answers really use, learned from usage. */
+    /**
+     * Returns the mean ratio of generated tokens to the request's limit, as a moving average over completed answers.
+     */
     double outputFraction() {
         return outputFraction;
     }
--- a/src/main/java/org/dogwoodwinch/routing/LoadEstimate.java
+++ b/src/main/java/org/dogwoodwinch/routing/LoadEstimate.java
@@ -3,18 +3,19 @@
 import org.dogwoodwinch.target.LoadReport;
 
 /**
- * A target's load now, estimated from its lagged report and from what was sent since the report's own time.
+ * The present load of a target, estimated from its last report and from the requests sent since the report was made.
  *
- * <p>The report's time is the engine's time of day. A clock that is off by some time looks like that much more or less
- * lag, so the age is bounded: the estimate gets rougher, and what this instance itself has outstanding stays exact.
+ * <p>The report carries the engine's time of day. A clock offset looks like more or less lag, so the age of a report is
+ * bounded: the estimate becomes less precise, but the requests that this instance has outstanding itself are always
+ * counted exactly.
  *
- * @param prefillTokens prompt tokens that wait
+ * @param prefillTokens prompt tokens that wait to be computed
  * @param decodeTokens tokens still to be generated
- * @param requests requests in the batch or before it
- * @param batchCapacity requests that fit the batch, as far as seen; {@link Integer#MAX_VALUE} while none waits
- * @param prefillTokensPerMilli prompt tokens computed a millisecond
- * @param decodeTokensPerMilli tokens generated a millisecond over the batch
- * @param prefillTimeFraction the part of its time that goes to prompts, from zero to one
+ * @param requests requests running or waiting
+ * @param batchCapacity requests that fit into the batch, as far as observed; {@link Integer#MAX_VALUE} without a report
+ * @param prefillTokensPerMilli prompt tokens computed per millisecond
+ * @param decodeTokensPerMilli tokens generated per millisecond over the whole batch
+ * @param prefillTimeFraction the fraction of the target's time that is spent on prompts, from zero to one
  */
 record LoadEstimate(
         long prefillTokens,
@@ -29,8 +30,8 @@
     private static final double DEFAULT_PREFILL_TOKENS_PER_MILLI = 8;
     private static final double DEFAULT_DECODE_TOKENS_PER_MILLI = 1;
     /**
-     * What fits a batch until a report shows requests that wait. A report that lags would else let a whole burst onto
-     * engines that are full already.
+     * Assumed batch capacity while no report shows waiting requests. Without it, a whole burst would be sent to engines
+     * that are already full but whose reports lag.
      */
     private static final int ASSUMED_BATCH_CAPACITY = 48;
 
@@ -71,17 +72,17 @@
             requests = Math.max(state.outstandingRequests(), requests);
         }
         if (policy.countPeerSends() && ageMillis > FRESH_REPORT_MILLIS && state.hasRecentPeerContact(wallMillis)) {
-            // What all instances have in flight is younger than a lagged report; cut off from the peers, the report
-            // stays.
+            // The requests that all instances have in flight are more recent than a lagged report. Without recent
+            // messages from peers, only the report is used.
             PeerInFlightLoad.InFlightSum peers = state.peerInFlight().sum(wallMillis);
             prefillTokens = Math.min(prefillTokens, state.outstandingPrefillTokens() + peers.prefillTokens());
             decodeTokens = (state.outstandingDecodeTokens() + peers.decodeTokens()) / 2;
             requests = state.outstandingRequests() + peers.requests();
         }
         if (policy.countPeerSends()) {
-            // What peers sent since their last word is not known yet; they are taken to do as this instance does.
-            // Without
-            // it, in a burst each instance fills the same gap, and the engines get as many times what fits.
+            // Requests that peers sent since their last message are unknown; each peer is assumed to have sent as much
+            // as this instance. Otherwise, in a burst, every instance fills the same free capacity and the engines
+            // receive several times what fits.
             long unpublishedSince = wallMillis - UNPUBLISHED_WINDOW_MILLIS;
             long peers = state.peerInFlight().peerCount();
             prefillTokens += peers * state.ownSends().prefillSince(unpublishedSince);
@@ -101,12 +102,12 @@
                 prefillTimeFraction(state, policy, prefillRate, wallMillis));
     }
 
-    /** The wait for the prompts ahead, in milliseconds. */
+    /** Returns the time until the waiting prompts are computed, in milliseconds. */
     double prefillWaitMillis() {
         return prefillTokens / prefillTokensPerMilli;
     }
 
-    /** The wait for a place in the batch, in milliseconds. */
+    /** Returns the time until a new request enters the batch, in milliseconds. */
     double batchWaitMillis() {
         if (requests < batchCapacity) {
             return 0;
@@ -115,7 +116,10 @@
         return (requests - batchCapacity + 1) * tokensPerRequest / decodeTokensPerMilli;
     }
 
-    /** The time between tokens with one request more, prompts beside it included, in milliseconds. */
+    /**
+     * Returns the expected time between tokens with one more request in the batch, including the time spent on prompts,
+     * in milliseconds.
+     */
     double interTokenMillis(double minInterTokenMillis) {
         double batchedRequests = Math.min(requests + 1.0, batchCapacity);
         double stepMillis = Math.max(
--- a/src/main/java/org/dogwoodwinch/routing/PeerContact.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerContact.java
@@ -1,6 +1,6 @@
 package org.dogwoodwinch.routing;
 
-/** When this instance last heard any peer; guarded by the {@link FleetView}. */
+/** The time of the last message from any peer. Guarded by the {@link FleetView}. */
 final class PeerContact {
 
     private static final long RECENT_MILLIS = 3_000;
--- a/src/main/java/org/dogwoodwinch/routing/PeerInFlightLoad.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerInFlightLoad.java
@@ -4,9 +4,11 @@
 import java.util.Map;
 
 /**
- * What peers say they have in flight on one target; younger than the target's own report where that lags.
+ * The load that each peer reports to have in flight on one target. It is more recent than the target's own report if
+ * that lags.
  *
- * <p>What a peer said is forgotten when it has been silent for a while, or one that died would hold a target busy.
+ * <p>Entries expire after {@link #ENTRY_TTL_MILLIS}; otherwise a peer that crashed would make the target look busy
+ * forever.
  */
 final class PeerInFlightLoad {
 
@@ -51,11 +53,11 @@
     private record Entry(SentTotals totals, long receivedMillis) {}
 
     /**
-     * What all peers have in flight.
+     * The sum over all peers.
      *
-     * @param prefillTokens prompt tokens
-     * @param decodeTokens tokens expected
-     * @param requests attempts
+     * @param prefillTokens prompt tokens still to be computed
+     * @param decodeTokens tokens expected to be generated
+     * @param requests attempts in flight
      */
     record InFlightSum(long prefillTokens, long decodeTokens, long requests) {}
 }
--- a/src/main/java/org/dogwoodwinch/routing/PeerLoad.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerLoad.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * The payload of {@link org.dogwoodwinch.peer.PeerTopic#LOAD}: what one instance sent of late.
+ * The payload of {@link org.dogwoodwinch.peer.PeerTopic#LOAD}: what one instance recently sent to targets.
  *
- * @param incarnation differs after a restart of the instance, whose totals then begin anew
- * @param targets the targets it sent to of late, not null
+ * @param incarnation differs after a restart of the instance, whose totals then start from zero
+ * @param targets the targets that the instance recently sent requests to, not null
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonPropertyOrder({"incarnation", "targets"})
--- a/src/main/java/org/dogwoodwinch/routing/PeerLoadCodec.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerLoadCodec.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Writes and reads {@link PeerLoad} in MessagePack. */
+/** Encodes and decodes {@link PeerLoad} as MessagePack. */
 public final class PeerLoadCodec {
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
@@ -16,24 +16,24 @@
     private PeerLoadCodec() {}
 
     /**
-     * Writes a value.
+     * Encodes a load message.
      *
-     * @param load the value, not null
-     * @return its bytes
+     * @param load the message, not null
+     * @return the encoded bytes
      */
     public static Bytes encode(PeerLoad load) {
         try {
             return Bytes.of(MAPPER.writeValueAsBytes(load));
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("a plain record could not be written", e);
+            throw new UncheckedIOException("could not encode a peer load message", e);
         }
     }
 
     /**
-     * Reads a value.
+     * Decodes a load message.
      *
-     * @param payload the bytes, not null
-     * @return the value, or empty where the bytes are not one: a newer or broken peer must not stop this instance
+     * @param payload the encoded bytes, not null
+     * @return the message, or empty if the bytes are malformed: a newer or faulty peer must not stop this instance
      */
     public static Optional<PeerLoad> decode(Bytes payload) {
         try {
--- a/src/main/java/org/dogwoodwinch/routing/PeerLoadExchange.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerLoadExchange.java
@@ -11,9 +11,9 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Tells the peers what this instance sent to targets, and counts what they say they sent.
+ * Publishes the load that this instance sent to targets, and applies the load that its peers publish.
  *
- * <p>Without it, six instances with one stale report each see the same idle target and send to it together.
+ * <p>Without it, six instances that share a stale report all see the same idle target and send to it at once.
  */
 public final class PeerLoadExchange {
 
@@ -30,10 +30,10 @@
     private final Map<String, PeerTotals> peers = new HashMap<>();
 
     /**
-     * Creates an exchange; {@link #start()} sets it going.
+     * Creates an exchange, which does nothing until {@link #start()}.
      *
-     * @param fleet what is believed of the targets, not null
-     * @param board the notice board, not null
+     * @param fleet the known state of all targets, not null
+     * @param board the board for publication to peers, not null
      * @param time the clock, not null
      * @param incarnation a number that differs after a restart of this instance
      * @param intervalMillis the time between publications, in milliseconds, more than zero
@@ -46,7 +46,7 @@
         this.intervalMillis = intervalMillis;
     }
 
-    /** Subscribes, and publishes from now on. */
+    /** Subscribes to the load messages of peers and starts periodic publication. */
     public void start() {
         board.subscribe(PeerTopic.LOAD, this::onItem);
         time.schedule(intervalMillis, this::publishAndRepeat);
@@ -57,7 +57,10 @@
         time.schedule(intervalMillis, this::publishAndRepeat);
     }
 
-    /** The targets sent to of late, the latest first, so that the message stays small at any fleet's size. */
+    /**
+     * Returns the most recently used targets, the latest first; their number is limited so that the message stays small
+     * regardless of the fleet's size.
+     */
     private PeerLoad localLoad() {
         synchronized (fleet) {
             long sinceMillis = time.wallMillis() - RECENT_SEND_MILLIS;
@@ -96,7 +99,8 @@
             fleet.peerContact().recordMessage(time.wallMillis());
             PeerTotals peerTotals = peers.get(item.origin());
             if (peerTotals == null || peerTotals.incarnation() != load.incarnation()) {
-                // The first word of a peer brings its whole history, of which nothing is new.
+                // The first message of a peer, or of its new incarnation, carries totals of its whole lifetime; none of
+                // it is counted as new.
                 peerTotals = new PeerTotals(load.incarnation());
                 peerTotals.update(load.targets());
                 peers.put(item.origin(), peerTotals);
--- a/src/main/java/org/dogwoodwinch/routing/PeerTotals.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerTotals.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The running totals last heard from one peer; the targets heard of longest ago are forgotten. */
+/**
+ * The running totals last received from one peer. Above {@link #MAX_TARGETS}, the targets updated least recently are
+ * dropped.
+ */
 final class PeerTotals {
 
     private static final int MAX_TARGETS = 256;
@@ -20,7 +23,10 @@
         return incarnation;
     }
 
-    /** What was last heard of a target; zeros where it was never heard of, as the peer then had not sent to it. */
+    /**
+     * Returns the totals last received for a target; zeros for an unknown target, as the peer had not sent to it
+     * before.
+     */
     SentTotals lastTotals(String target) {
         SentTotals lastTotals = byTarget.get(target);
         return lastTotals == null ? new SentTotals(target, 0, 0, 0, 0, 0, 0, 0) : lastTotals;
@@ -38,7 +44,7 @@
             byTarget.remove(totals.target());
             byTarget.put(totals.target(), totals);
         }
-        // A target that has left the peer's list has nothing of the peer's in flight any more.
+        // A target that is missing from the peer's message has none of the peer's requests in flight any more.
         byTarget.replaceAll((_target, known) -> received.contains(known) ? known : withoutInFlight(known));
         while (byTarget.size() > MAX_TARGETS) {
             byTarget.remove(byTarget.keySet().iterator().next());
--- a/src/main/java/org/dogwoodwinch/routing/PrefixIndex.java
+++ b/src/main/java/org/dogwoodwinch/routing/PrefixIndex.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 
 /**
- * Which prompt prefixes are believed cached on which targets; bounded, least recently used blocks go first.
+ * Records which prompt prefixes are probably cached on which targets. Bounded; the least recently used blocks are
+ * dropped first.
  *
- * <p>Belief decays with a time constant for each target, which a hit lengthens and a miss shortens: cache events come
- * late and with gaps, so an eviction may never be heard of, and without decay a target would be preferred for a cache
- * that it lost long ago. Not thread-safe; guarded by the {@link FleetView}.
+ * <p>The confidence in an entry decays exponentially with a time constant per target, which a cache hit lengthens and a
+ * miss shortens. Cache events arrive late and with gaps, so an eviction may go unnoticed; without decay, a target would
+ * be preferred for content that it evicted long ago. Not thread-safe; guarded by the {@link FleetView}.
  */
 final class PrefixIndex {
 
@@ -36,14 +37,14 @@
         };
     }
 
-    /** Notes that a target computed, or is about to compute, a prompt. */
+    /** Records that a target has computed, or is about to compute, a prompt. */
     void addBlocks(long[] blockHashes, String target, long nowMillis) {
         for (long hash : blockHashes) {
             blocks.computeIfAbsent(hash, _key -> new BlockHolders()).put(target, nowMillis);
         }
     }
 
-    /** Forgets a target's blocks of a chain from a given one on. */
+    /** Removes a target from the blocks of a chain, starting at the given block. */
     void removeBlocks(long[] blockHashes, int fromBlock, String target) {
         for (int i = fromBlock; i < blockHashes.length; i++) {
             BlockHolders holders = blocks.get(blockHashes[i]);
@@ -53,7 +54,9 @@
         }
     }
 
-    /** The part of the chain believed cached on a target, from zero to one, weighted by belief. */
+    /**
+     * Returns the fraction of the chain that is probably cached on a target, from zero to one, weighted by confidence.
+     */
     double cachedFraction(long[] blockHashes, String target, long nowMillis) {
         int matched = 0;
         double confidence = 1;
@@ -72,7 +75,7 @@
         return blockHashes.length == 0 ? 0 : confidence * matched / blockHashes.length;
     }
 
-    /** The targets that hold the longest known part of the chain; empty where none is known. */
+    /** Returns the targets that hold the longest known prefix of the chain; empty if none is known. */
     String[] holdersOfLongestPrefix(long[] blockHashes) {
         for (int i = blockHashes.length - 1; i >= 0; i--) {
             BlockHolders holders = blocks.get(blockHashes[i]);
@@ -83,7 +86,7 @@
         return new String[0];
     }
 
-    /** Learns from an answer how long a target really keeps prefixes. */
+    /** Adjusts how long a target is assumed to retain prefixes, after a cache hit or miss. */
     void adjustRetention(String target, boolean hit) {
         double current = retentionMillis.getOrDefault(target, INITIAL_RETENTION_MILLIS);
         double adjusted = current * (hit ? HIT_RETENTION_FACTOR : MISS_RETENTION_FACTOR);
@@ -102,7 +105,7 @@
         }
     }
 
-    /** A target restarted, changed its model, or its events had a gap: what it holds is unknown. */
+    /** Removes a target whose cache content is unknown after a restart or a change of its model. */
     void removeTarget(String target) {
         blocks.values().forEach(holders -> holders.remove(target));
         retentionMillis.remove(target);
@@ -116,7 +119,7 @@
         return Math.exp(-ageMillis / retentionMillis.getOrDefault(target, INITIAL_RETENTION_MILLIS));
     }
 
-    /** At most a few targets of one block, the newest first. */
+    /** The targets that hold one block, the most recent first; at most {@link #MAX_HOLDERS}. */
     private static final class BlockHolders {
 
         private final String[] names = new String[MAX_HOLDERS];
--- a/src/main/java/org/dogwoodwinch/routing/PromptBlocks.java
+++ b/src/main/java/org/dogwoodwinch/routing/PromptBlocks.java
@@ -5,12 +5,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The hashes of a prompt's block chain: each block's hash covers all blocks before it, so equal hashes mean equal
- * prefixes. A partial last block is left out, as engines cache whole blocks only.
+ * Computes the hashes of a prompt's blocks. Each hash covers its block and all blocks before it, so equal hashes mean
+ * equal prefixes. A partial last block is left out, as engines cache whole blocks only.
  */
 public final class PromptBlocks {
 
-    /** The most blocks that are hashed of one prompt, so that a long prompt costs no more than this. */
+    /** The maximum number of blocks hashed per prompt, which bounds the cost of a long prompt. */
     public static final int MAX_BLOCKS = 64;
 
     private static final HashFunction HASH = Hashing.murmur3_128();
@@ -18,11 +18,11 @@
     private PromptBlocks() {}
 
     /**
-     * Hashes a prompt as the engines' cache events do.
+     * Computes the same hashes of a prompt as the engines' cache events carry.
      *
      * @param prompt the prompt, not null
-     * @param blockChars characters of one block, one or more
-     * @return the chain's hashes, first block first, {@link #MAX_BLOCKS} at most
+     * @param blockChars the characters per block, one or more
+     * @return the hashes, first block first, {@link #MAX_BLOCKS} at most
      */
     public static long[] hashChain(String prompt, int blockChars) {
         int blockCount = Math.min(MAX_BLOCKS, prompt.length() / blockChars);
--- a/src/main/java/org/dogwoodwinch/routing/Route.java
+++ b/src/main/java/org/dogwoodwinch/routing/Route.java
@@ -4,33 +4,34 @@
 import java.util.function.Function;
 import org.dogwoodwinch.target.Target;
 
-/** Where an attempt goes. */
+/** The result of a routing decision. */
 public sealed interface Route {
 
     /**
-     * The attempt goes to a target, its prompt possibly computed on another one first.
+     * The attempt is sent to a target; its prompt may be computed on another target first.
      *
-     * @param target generates the answer, or is the plain service's target
-     * @param prefillTarget computes the prompt and exports its KV cache; empty where the target does both
-     * @param expectedFirstTokenMillis when the first token is expected, in milliseconds from now
+     * @param target the target that generates the answer, or the target of a plain service
+     * @param prefillTarget the target that computes the prompt and exports its KV cache; empty if {@code target} does
+     *     both
+     * @param expectedFirstTokenMillis the expected time to the first token, in milliseconds
      */
     record Chosen(Target target, Optional<Target> prefillTarget, long expectedFirstTokenMillis) implements Route {}
 
     /**
-     * No target can take it.
+     * No target can accept the attempt.
      *
-     * @param detail why
-     * @param retryAfterMillis when to come back, in milliseconds
+     * @param detail the reason
+     * @param retryAfterMillis the time after which the caller may retry, in milliseconds
      */
     record None(String detail, long retryAfterMillis) implements Route {}
 
     /**
-     * Calls the function of this route's kind.
+     * Calls the function for the kind of this route.
      *
-     * @param chosen for {@link Chosen}
-     * @param none for {@link None}
-     * @param <T> what the functions return
-     * @return what the function returned
+     * @param chosen the function for {@link Chosen}
+     * @param none the function for {@link None}
+     * @param <T> the result type of the functions
+     * @return the result of the function
      */
     default <T> T match(Function<Chosen, T> chosen, Function<None, T> none) {
         if (this instanceof Chosen value) {
--- a/src/main/java/org/dogwoodwinch/routing/RouteOption.java
+++ b/src/main/java/org/dogwoodwinch/routing/RouteOption.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * One way to serve an attempt, with its score; a lower one is better.
+ * One possible way to serve an attempt, with its score; a lower score is better.
  *
- * @param target generates the answer
- * @param prefillTarget computes the prompt first; empty where the target does both
- * @param expectedFirstTokenMillis when the first token is expected
- * @param score what the way is expected to cost
+ * @param target the target that generates the answer
+ * @param prefillTarget the target that computes the prompt first; empty if {@code target} does both
+ * @param expectedFirstTokenMillis the expected time to the first token, in milliseconds
+ * @param score the expected cost
  */
 record RouteOption(
         TargetState target, Optional<TargetState> prefillTarget, double expectedFirstTokenMillis, double score) {
--- a/src/main/java/org/dogwoodwinch/routing/RouteQuery.java
+++ b/src/main/java/org/dogwoodwinch/routing/RouteQuery.java
@@ -5,16 +5,17 @@
 import org.dogwoodwinch.catalogue.WorkClass;
 
 /**
- * What is known of an attempt when its target is chosen.
+ * The properties of an attempt that determine its target.
  *
  * @param group the target group, not null
  * @param workClass the class of work, not null
  * @param prompt the prompt, for prefix affinity; empty for a plain service, not null
- * @param promptTokens the prompt's length in tokens, estimated
- * @param maxTokens the most tokens to generate
- * @param remainingMillis what is left of the deadline, in milliseconds
+ * @param promptTokens the estimated length of the prompt in tokens
+ * @param maxTokens the maximum number of tokens to generate
+ * @param remainingMillis the time left until the deadline, in milliseconds
  * @param excludedTargets names of targets that must not be chosen, such as those that just failed, not null
- * @param alone whether the request is suspected of crashing targets: then only a target with no urgent work will do
+ * @param alone whether the request is suspected of crashing targets; it is then placed only on a target without urgent
+ *     requests
  */
 public record RouteQuery(
         String group,
@@ -26,7 +27,7 @@
         Set<String> excludedTargets,
         boolean alone) {
 
-    /** Checks and copies the parts. */
+    /** Checks and copies the components. */
     public RouteQuery {
         Objects.requireNonNull(group, "group");
         Objects.requireNonNull(workClass, "workClass");
--- a/src/main/java/org/dogwoodwinch/routing/RouteScorer.java
+++ b/src/main/java/org/dogwoodwinch/routing/RouteScorer.java
@@ -4,7 +4,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.dogwoodwinch.catalogue.WorkClass;
 
-/** Scores the ways to serve one attempt by expected time to first token and between tokens. */
+/** Scores the possible routes of an attempt by expected time to first token and time between tokens. */
 final class RouteScorer {
 
     private static final double COST_PER_REQUEST_MILLIS = 1;
@@ -24,7 +24,7 @@
         this.ownDataCentre = ownDataCentre;
     }
 
-    /** The cost of the whole request on one target. */
+    /** Returns the cost of serving the whole request on one target. */
     RouteOption scoreSingleTarget(
             TargetState state, RouteQuery query, long[] blockHashes, double outputTokens, DecisionTime now) {
         LoadEstimate load = LoadEstimate.of(state, policy, now.wallMillis());
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Whether a request has time enough to stand in a lane: patient requests fill the first targets before the next
-     * ones, so that their long prompts slow the answers of few targets down. Spread evenly, a little of every prompt
-     * would stretch every answer, and answers with a tight deadline would all be a little late. Urgent requests never
-     * stand in lanes: instances with one stale view would herd on the first target.
+     * Returns whether a request has enough time to be packed: latency-tolerant requests fill the targets in the order
+     * of their packing rank, so that their long prompts slow down the answers of few targets only. Spread evenly, the
+     * prompts would slow down every answer a little, and all answers with a tight deadline would be slightly late.
+     * Urgent requests are never packed: instances that share a stale view would all choose the first target.
      */
     private boolean isLatencyTolerant(RouteQuery query, double expectedMillis) {
         if (policy.packingStepMillis() <= 0 || query.workClass() == WorkClass.URGENT) {
@@ -56,7 +56,7 @@
                 || expectedMillis < TOLERANT_DEADLINE_FRACTION * query.remainingMillis();
     }
 
-    /** The cost of computing the prompt on one target of the prefill role. */
+    /** Returns the cost of computing the prompt on one target of the prefill role. */
     RouteOption scorePrefill(TargetState state, RouteQuery query, long[] blockHashes, DecisionTime now) {
         LoadEstimate load = LoadEstimate.of(state, policy, now.wallMillis());
         double firstTokenMillis = load.prefillWaitMillis()
@@ -65,7 +65,7 @@
         return newOption(state, Optional.empty(), firstTokenMillis, firstTokenMillis, load);
     }
 
-    /** The cost of generating on one target of the decode role after a prefill leg. */
+    /** Returns the cost of generating the answer on one target of the decode role after a prefill on another target. */
     RouteOption scoreDecode(
             TargetState state, RouteOption prefillOption, RouteQuery query, double outputTokens, DecisionTime now) {
         LoadEstimate load = LoadEstimate.of(state, policy, now.wallMillis());
@@ -79,7 +79,9 @@
         return newOption(state, Optional.of(source), firstTokenMillis, totalMillis, load);
     }
 
-    /** The part of the prompt believed cached; blocks beyond the hashed ones count as not cached. */
+    /**
+     * Returns the fraction of the prompt that is probably cached; blocks beyond the hashed ones count as not cached.
+     */
     double cachedFraction(TargetState state, RouteQuery query, long[] blockHashes, DecisionTime now) {
         if (!policy.usePrefixes() || blockHashes.length == 0) {
             return 0;
@@ -97,13 +99,19 @@
         return query.promptTokens() * uncachedFraction / load.prefillTokensPerMilli();
     }
 
-    /** A prompt computed beside answers delays every one of them; without this, long prompts pile onto busy engines. */
+    /**
+     * Returns the delay that the prompt causes to the answers in the same batch. Without this term, long prompts
+     * accumulate on busy engines.
+     */
     private double prefillInterferenceMillis(LoadEstimate load, double requestPrefillMillis) {
         double batchedRequests = Math.min(load.requests(), load.batchCapacity());
         return policy.prefillInterferenceWeight() * requestPrefillMillis * batchedRequests;
     }
 
-    /** Each sequence more stretches the steps of all beside it; without this, counts drift apart on stale estimates. */
+    /**
+     * Returns the delay that an additional sequence causes to the steps of all others in the batch. Without this term,
+     * request counts diverge between engines while estimates are stale.
+     */
     private double batchContentionMillis(LoadEstimate load, double outputTokens) {
         double batchedRequests = Math.min(load.requests(), load.batchCapacity());
         return policy.batchContentionWeight() * outputTokens * batchedRequests / load.decodeTokensPerMilli() / 2;
--- a/src/main/java/org/dogwoodwinch/routing/Router.java
+++ b/src/main/java/org/dogwoodwinch/routing/Router.java
@@ -4,54 +4,54 @@
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.Usage;
 
-/** Chooses targets and learns from what becomes of the attempts. */
+/** Chooses targets for attempts and adapts to their outcomes. */
 public interface Router {
 
     /**
      * Chooses the target or targets of one attempt.
      *
      * @param query the attempt, not null
-     * @return the choice
+     * @return the decision
      */
     Route route(RouteQuery query);
 
     /**
-     * Hears that an attempt was sent.
+     * Records that an attempt was sent.
      *
-     * @param attemptId names the attempt, not null
-     * @param target where to, not null
-     * @param query what was routed, not null
+     * @param attemptId identifies the attempt, not null
+     * @param target the target that it was sent to, not null
+     * @param query the query that was routed, not null
      */
     void onSent(String attemptId, Target target, RouteQuery query);
 
     /**
-     * Hears that an attempt's first token came.
+     * Records that the first token of an attempt arrived.
      *
-     * @param attemptId names the attempt, not null
-     * @param elapsedMillis how long after it was sent, in milliseconds
+     * @param attemptId identifies the attempt, not null
+     * @param elapsedMillis the time since the attempt was sent, in milliseconds
      */
     void onFirstToken(String attemptId, long elapsedMillis);
 
     /**
-     * Hears that an attempt ended with the whole answer.
+     * Records that an attempt ended with a complete answer.
      *
-     * @param attemptId names the attempt, not null
-     * @param usage what it cost, not null
+     * @param attemptId identifies the attempt, not null
+     * @param usage the tokens that it used, not null
      */
     void onCompleted(String attemptId, Usage usage);
 
     /**
-     * Hears that an attempt failed.
+     * Records that an attempt failed.
      *
-     * @param attemptId names the attempt, not null
-     * @param failure why, not null
+     * @param attemptId identifies the attempt, not null
+     * @param failure the reason, not null
      */
     void onFailed(String attemptId, TargetFailure failure);
 
     /**
-     * Hears that an attempt was given up by its caller.
+     * Records that an attempt was cancelled by its caller.
      *
-     * @param attemptId names the attempt, not null
+     * @param attemptId identifies the attempt, not null
      */
     void onCancelled(String attemptId);
 }
--- a/src/main/java/org/dogwoodwinch/routing/RoutingPolicy.java
+++ b/src/main/java/org/dogwoodwinch/routing/RoutingPolicy.java
@@ -1,21 +1,24 @@
 package org.dogwoodwinch.routing;
 
 /**
- * The constants of {@link EstimatingRouter}; earlier versions of the policy are kept as values of this record.
+ * The parameters of {@link EstimatingRouter}. Values with fewer corrections are kept for comparison in replays.
  *
- * @param sampledCandidates how many targets of each role are looked at in one decision, one or more
- * @param jitter the random part of a score, as a fraction; it keeps instances with equal views from choosing alike
- * @param countOwnSends whether the tokens this instance sent since a report's own time are added to the report
- * @param countPeerSends whether the tokens that peers say they sent are added too
- * @param usePrefixes whether believed prefix-cache content lowers the score
- * @param useHealth whether failures and slow first tokens raise the score or hold a target back
- * @param prefixBlockChars characters of one prompt block of the prefix index
- * @param minInterTokenMillis the shortest expected time between tokens, in milliseconds
- * @param kvTransferMillisPerToken how long moving the KV cache of one prompt token takes, in milliseconds
- * @param prefillInterferenceWeight how much of the delay that a prompt causes to the answers beside it counts in the score
- * @param batchContentionWeight how much of the delay that an answer's tokens cause to the answers beside it counts in the score
- * @param packingStepMillis how much longer a patient request waits on one target before it takes the next, in
- *     milliseconds; zero spreads patient requests evenly
+ * @param sampledCandidates the number of targets of each role that one decision scores, one or more
+ * @param jitter the maximum random increase of a score, as a fraction; it keeps instances with equal views from making
+ *     equal choices
+ * @param countOwnSends whether tokens that this instance sent since a report was made are added to the report
+ * @param countPeerSends whether tokens that peers sent according to their messages are added too
+ * @param usePrefixes whether prefixes that are probably cached on a target lower its score
+ * @param useHealth whether failures and slow first tokens raise the score of a target or exclude it for a time
+ * @param prefixBlockChars the characters per prompt block of the prefix index
+ * @param minInterTokenMillis the minimum expected time between tokens, in milliseconds
+ * @param kvTransferMillisPerToken the time to transfer the KV cache of one prompt token, in milliseconds
+ * @param prefillInterferenceWeight the weight in the score of the delay that a prompt causes to other answers in the
+ *     batch
+ * @param batchContentionWeight the weight in the score of the delay that an answer's tokens cause to other answers in
+ *     the batch
+ * @param packingStepMillis how much longer a latency-tolerant request waits on one target before the next one is used,
+ *     in milliseconds; zero spreads these requests evenly
  */
 public record RoutingPolicy(
         int sampledCandidates,
@@ -35,11 +38,11 @@
     public static final RoutingPolicy STANDARD =
             new RoutingPolicy(8, 0.05, true, true, true, true, 256, 14, 0.022, 0.2, 1, 1_500);
 
-    /** The first version: lagged reports alone, every target looked at, no chance. */
+    /** Lagged reports alone: every target is scored, without randomness. */
     public static final RoutingPolicy REPORTS_ONLY =
             new RoutingPolicy(Integer.MAX_VALUE, 0, false, false, false, false, 256, 14, 0.022, 0, 0, 0);
 
-    /** The second version: reports corrected by this instance's own sends. */
+    /** Reports corrected by the requests that this instance sent. */
     public static final RoutingPolicy OWN_SENDS =
             new RoutingPolicy(4, 0.1, true, false, false, true, 256, 14, 0.022, 0.2, 0, 0);
 
@@ -53,14 +56,14 @@
             throw new IllegalArgumentException("sampledCandidates and prefixBlockChars must be one or more");
         }
         if (jitter < 0 || minInterTokenMillis < 0 || kvTransferMillisPerToken < 0 || prefillInterferenceWeight < 0) {
-            throw new IllegalArgumentException("jitter, times and disturbance must not be negative");
+            throw new IllegalArgumentException("jitter, times and prefillInterferenceWeight must not be negative");
         }
     }
 
     /**
-     * Returns this policy with another block length.
+     * Returns a copy of this policy with another block length.
      *
-     * @param blockChars characters of one prompt block, one or more
+     * @param blockChars the characters per prompt block, one or more
      * @return the copy
      */
     public RoutingPolicy withPrefixBlockChars(int blockChars) {
--- a/src/main/java/org/dogwoodwinch/routing/SendWindow.java
+++ b/src/main/java/org/dogwoodwinch/routing/SendWindow.java
@@ -1,6 +1,9 @@
 package org.dogwoodwinch.routing;
 
-/** Tokens and requests by the time at which they were sent, in a ring of short buckets; old ones are forgotten. */
+/**
+ * Tokens and requests by the time at which they were sent, in a ring of short buckets; the oldest buckets are
+ * overwritten.
+ */
 final class SendWindow {
 
     static final long BUCKET_MILLIS = 250;
--- a/src/main/java/org/dogwoodwinch/routing/SentTotals.java
+++ b/src/main/java/org/dogwoodwinch/routing/SentTotals.java
@@ -5,16 +5,17 @@
 import java.util.Objects;
 
 /**
- * What one instance sent to one target since it started; running totals, so that a lost message loses nothing.
+ * The load that one instance sent to one target since the instance started. The totals are cumulative, so that a later
+ * message makes up for a lost one.
  *
  * @param target the target's name, not null
  * @param prefillTokens prompt tokens to compute
- * @param decodeTokens tokens to generate, expected
+ * @param decodeTokens tokens expected to be generated
  * @param requests attempts
- * @param urgentInFlight urgent attempts in flight at the moment
- * @param requestsInFlight attempts in flight at the moment
- * @param prefillTokensInFlight prompt tokens of those that have no first token yet
- * @param decodeTokensInFlight tokens expected of those in flight
+ * @param urgentInFlight urgent attempts in flight at present
+ * @param requestsInFlight attempts in flight at present
+ * @param prefillTokensInFlight prompt tokens of the attempts in flight without a first token yet
+ * @param decodeTokensInFlight tokens expected of the attempts in flight
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonPropertyOrder({
@@ -37,7 +38,7 @@
         long prefillTokensInFlight,
         long decodeTokensInFlight) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public SentTotals {
         Objects.requireNonNull(target, "target");
     }
--- a/src/main/java/org/dogwoodwinch/routing/TargetHealth.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetHealth.java
@@ -1,11 +1,12 @@
 package org.dogwoodwinch.routing;
 
 /**
- * What outcomes say of one target, whatever its own reports say.
+ * The health of one target as derived from the outcomes of attempts, independent of the target's own reports.
  *
- * <p>A target that fails is held back for a time that doubles with each failure in a row, so that one that flaps costs
- * few requests; after the hold a single attempt probes it. A hold ends the punishment, not the memory: the next hold is
- * shorter only after a spell without failures, or a target that alternates would be trusted anew each time.
+ * <p>A target that fails is in back-off for a time that doubles with each failure, so that a flapping target costs few
+ * requests; after the back-off, a single attempt probes it. The failure count outlasts the back-off: it decreases only
+ * on a first token that arrives more than {@link #FAILURE_DECAY_MILLIS} after the last failure. Otherwise a target that
+ * alternates between failure and success would start again at the shortest back-off each time.
  */
 final class TargetHealth {
 
@@ -26,7 +27,9 @@
         return nowMillis >= backoffUntilMillis && !probing;
     }
 
-    /** The score's factor: how much longer first tokens took than was expected, averaged. */
+    /**
+     * Returns the factor applied to the score: the moving average of the actual over the expected time to first token.
+     */
     double slowdown() {
         return slowdown;
     }
--- a/src/main/java/org/dogwoodwinch/routing/TargetState.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetState.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.target.LoadReport;
 import org.dogwoodwinch.target.Target;
 
-/** What this instance knows of one target; guarded by its {@link FleetView}. */
+/** The state of one target as known to this instance. Guarded by its {@link FleetView}. */
 final class TargetState {
 
     private final Target target;
@@ -57,7 +57,10 @@
         role = newRole;
     }
 
-    /** Its place in the order in which lanes fill; the same on every instance. */
+    /**
+     * Returns the position of the target in the order in which latency-tolerant requests fill targets; equal on all
+     * instances.
+     */
     int packingRank() {
         return packingRank;
     }
@@ -90,12 +93,12 @@
         drainingUntilMillis = 0;
     }
 
-    /** The newest report, or null before the first. */
+    /** Returns the latest report, or null before the first one. */
     LoadReport report() {
         return report;
     }
 
-    /** Reports may arrive out of order; an older one would undo what a newer one said. */
+    /** Stores a report unless it is older than the stored one, as reports may arrive out of order. */
     void updateReport(LoadReport newReport) {
         if (report == null || newReport.reportedAtMillis() >= report.reportedAtMillis()) {
             report = newReport;
--- a/src/main/java/org/dogwoodwinch/routing/TargetSummary.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetSummary.java
@@ -5,16 +5,17 @@
 import org.dogwoodwinch.target.Target;
 
 /**
- * One target as this instance sees it, for people and for the role planner.
+ * A target's state as known to this instance, for status pages and the role planner.
  *
  * @param target the target, not null
- * @param role the phases it serves, not null
- * @param usable whether new work may go to it now
- * @param leaving whether it is leaving
- * @param outstandingRequests what this instance has in flight on it
- * @param prefillBacklogTokens prompt tokens believed to wait on it
- * @param decodeBacklogTokens tokens believed still to be generated on it
- * @param slowness how much longer its first tokens took than expected, averaged; one is as expected
+ * @param role the phases that the target serves, not null
+ * @param usable whether the target accepts new requests at present
+ * @param leaving whether the target is draining: the platform is about to remove it, or a peer or the target itself
+ *     reported a drain
+ * @param outstandingRequests requests that this instance has in flight on the target
+ * @param prefillBacklogTokens estimated prompt tokens that wait on the target
+ * @param decodeBacklogTokens estimated tokens still to be generated on the target
+ * @param slowdown the moving average of the actual over the expected time to first token; 1 is as expected
  */
 public record TargetSummary(
         Target target,
@@ -24,9 +25,9 @@
         int outstandingRequests,
         long prefillBacklogTokens,
         long decodeBacklogTokens,
-        double slowness) {
+        double slowdown) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public TargetSummary {
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(role, "role");
--- a/src/main/java/org/dogwoodwinch/routing/package-info.java
+++ b/src/main/java/org/dogwoodwinch/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of targets from lagged reports. */
+/** Selection of the target for a request, from load reports that lag behind. */
 package org.dogwoodwinch.routing;
--- a/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
@@ -58,7 +58,9 @@
         assertEquals(2, changes.size());
     }
 
-    /** The log is out, so no order can be given: the planner asks in vain, and must neither wait nor count a change. */
+    /**
+     * A change refused because the control log is unavailable must neither block the planner nor start the dwell time.
+     */
     @Test
     void refusedChangeDoesNotStartTheDwellTime() {
         controlLogUnavailable = true;
@@ -81,7 +83,7 @@
         assertEquals(List.of(), meter.demand(GROUP, 10_000));
     }
 
-    /** Engines that change quickly, and a long horizon: with the standard ones these small gains would not pay. */
+    /** Fast role changes and a long horizon make small gains pay off, which the default settings would reject. */
     private RolePlanner newPlanner(double price) {
         EngineSpeed fastChange = new EngineSpeed(8, 12, 0.4, 48, 0.022, 500);
         return new RolePlanner(
--- a/src/test/java/org/dogwoodwinch/routing/EstimatingRouterTest.java
+++ b/src/test/java/org/dogwoodwinch/routing/EstimatingRouterTest.java
@@ -70,14 +70,10 @@
         assertEquals("e2", chooseRoute(newQuery(SHARED_PREFIX)).target().name());
         time.advanceMillis(1_800_000);
         Map<String, Integer> choices = countChoices(newQuery(SHARED_PREFIX), 60);
-        assertTrue(choices.size() > 1, "an old belief draws everything: " + choices);
+        assertTrue(choices.size() > 1, "requests still prefer the expired cache entry: " + choices);
     }
 
-    /**
-     * Six callers at six instances hit an idle fleet whose last report is five seconds old, and each instance sees the
-     * same report. Sent by score alone, all six would choose the same target; chance spreads them, since each looks at
-     * its own sample and jitters the scores.
-     */
+    /** Six instances with the same five-second-old report would all choose the same idle target. */
     @Test
     void instancesWithTheSameStaleViewChooseDifferentTargets() {
         Map<String, Integer> choices = new HashMap<>();
@@ -88,14 +84,10 @@
         }
         int maxChoices =
                 choices.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        assertTrue(maxChoices <= 20, "herding: " + choices);
+        assertTrue(maxChoices <= 20, "one target is chosen too often: " + choices);
     }
 
-    /**
-     * A target fails every attempt at once and reports no load, so by its reports it is the best of all. Callers would
-     * see failure after failure. Its failures hold it back for longer each time, and one probe is let through after
-     * each hold, so only a few of the attempts of a minute reach it.
-     */
+    /** A target that fails at once reports no load, so its report alone would make it the best choice. */
     @Test
     void repeatedlyFailingTargetReceivesOnlyProbes() {
         setInstanceList("good", "flapping");
@@ -114,11 +106,11 @@
             }
             time.advanceMillis(100);
         }
-        assertTrue(failed <= 8, "attempts on the flapping target: " + failed);
+        assertTrue(failed <= 8, "attempts on the failing target: " + failed);
     }
 
     @Test
-    void slowTargetIsAvoidedEvenIfItReportsNoLoad() {
+    void slowTargetIsRarelyChosen() {
         setInstanceList("fast", "slow");
         for (int i = 0; i < 20; i++) {
             router.onFirstToken(send("slow", 100), 3_000);
@@ -128,7 +120,7 @@
         assertTrue(countChoices(newQuery("p"), 50).getOrDefault("fast", 0) >= 45);
     }
 
-    /** The instance list lags: a target's own refusal, or a peer's word, must keep new work away seconds earlier. */
+    /** The instance list lags by seconds; a refusal by the target or a message from a peer must take effect at once. */
     @Test
     void drainingTargetReceivesNoNewRequests() {
         setInstanceList("e1", "e2");
