--- a/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
+++ b/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
@@ -46,10 +46,10 @@
             double promptTokens,
             double outputTokens,
             double deadlineMillis) {
-        long number = time.monotonicMillis() / BUCKET_MILLIS;
+        long bucketNumber = time.monotonicMillis() / BUCKET_MILLIS;
         Deque<Bucket> buckets = groups.computeIfAbsent(group, _group -> new ArrayDeque<>());
-        if (buckets.isEmpty() || buckets.getLast().number != number) {
-            buckets.addLast(new Bucket(number));
+        if (buckets.isEmpty() || buckets.getLast().number != bucketNumber) {
+            buckets.addLast(new Bucket(bucketNumber));
         }
         if (buckets.size() > MAX_BUCKETS) {
             buckets.removeFirst();
--- a/src/main/java/org/dogwoodwinch/roles/GoodputModel.java
+++ b/src/main/java/org/dogwoodwinch/roles/GoodputModel.java
@@ -52,20 +52,20 @@
             RoleSplit split, List<ClassDemand> byUrgency, double interactiveFraction, double longReadFraction) {
         PoolLoad mixed = PoolLoad.mixed(speed, split.mixed());
         PoolLoad disaggregated = PoolLoad.disaggregated(speed, split.prefill(), split.decode());
-        double[] mixedServed = new double[byUrgency.size()];
-        double[] disaggregatedServed = new double[byUrgency.size()];
-        for (int i = 0; i < mixedServed.length; i++) {
+        double[] mixedServedFractions = new double[byUrgency.size()];
+        double[] disaggregatedServedFractions = new double[byUrgency.size()];
+        for (int i = 0; i < mixedServedFractions.length; i++) {
             double mixedFraction = mixedFraction(byUrgency.get(i), interactiveFraction, longReadFraction);
-            mixedServed[i] = mixed.add(byUrgency.get(i), mixedFraction);
-            disaggregatedServed[i] = disaggregated.add(byUrgency.get(i), 1 - mixedFraction);
+            mixedServedFractions[i] = mixed.add(byUrgency.get(i), mixedFraction);
+            disaggregatedServedFractions[i] = disaggregated.add(byUrgency.get(i), 1 - mixedFraction);
         }
         double goodput = 0;
-        for (int i = 0; i < mixedServed.length; i++) {
+        for (int i = 0; i < mixedServedFractions.length; i++) {
             ClassDemand demand = byUrgency.get(i);
             double mixedFraction = mixedFraction(demand, interactiveFraction, longReadFraction);
-            double servedOnTime = mixedFraction * mixedServed[i] * onTimeFraction(demand, mixed)
-                    + (1 - mixedFraction) * disaggregatedServed[i] * onTimeFraction(demand, disaggregated);
-            goodput += demand.requestsPerSecond() * servedOnTime;
+            double servedOnTimeFraction = mixedFraction * mixedServedFractions[i] * onTimeFraction(demand, mixed)
+                    + (1 - mixedFraction) * disaggregatedServedFractions[i] * onTimeFraction(demand, disaggregated);
+            goodput += demand.requestsPerSecond() * servedOnTimeFraction;
         }
         return goodput;
     }
--- a/src/main/java/org/dogwoodwinch/roles/PoolLoad.java
+++ b/src/main/java/org/dogwoodwinch/roles/PoolLoad.java
@@ -3,8 +3,8 @@
 /**
  * The load of a pool of equal engines, to which classes of work are added in order of urgency.
  *
- * <p>Each class gets the capacity that the classes before it leave. The utilization stays below a limit beyond which
- * queues would grow without bound.
+ * <p>Each class gets the capacity that the classes before it leave. The utilization is limited, as queueing times
+ * become excessive near full load.
  */
 final class PoolLoad {
 
--- a/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
@@ -58,9 +58,7 @@
         assertEquals(2, changes.size());
     }
 
-    /**
-     * A change refused because the control log is unavailable must neither block the planner nor start the dwell time.
-     */
+    /** A change refused without the control log must neither block the planner nor start the dwell time. */
     @Test
     void refusedChangeDoesNotStartTheDwellTime() {
         controlLogUnavailable = true;
