--- a/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
+++ b/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
@@ -11,11 +11,11 @@
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.time.TimeSource;
 
-/** Measures the demand of groups by class over the last minutes, in seconds' buckets. Thread-safe. */
+/** Measures the demand for groups by class of work over the last minutes, in buckets of one second. Thread-safe. */
 public final class DemandMeter implements DemandSource {
 
     private static final long BUCKET_MILLIS = 1_000;
-    private static final int MOST_BUCKETS = 300;
+    private static final int MAX_BUCKETS = 300;
 
     private final TimeSource time;
     private final Map<String, Deque<Bucket>> groups = new HashMap<>();
@@ -30,14 +30,14 @@
     }
 
     /**
-     * Counts requests that arrived just now.
+     * Adds requests that arrived at this moment.
      *
-     * @param group their group, not null
-     * @param workClass their class, not null
-     * @param requests how many
-     * @param promptTokens their prompt tokens together
-     * @param outputTokens their expected output tokens together
-     * @param deadlineMillis their deadlines together, in milliseconds
+     * @param group the group of the requests, not null
+     * @param workClass the class of the requests, not null
+     * @param requests the number of requests
+     * @param promptTokens the sum of their prompt tokens
+     * @param outputTokens the sum of their expected output tokens
+     * @param deadlineMillis the sum of their deadlines, in milliseconds
      */
     public synchronized void onArrivals(
             String group,
@@ -46,12 +46,12 @@
             double promptTokens,
             double outputTokens,
             double deadlineMillis) {
-        long number = time.monotonicMillis() / BUCKET_MILLIS;
+        long bucketNumber = time.monotonicMillis() / BUCKET_MILLIS;
         Deque<Bucket> buckets = groups.computeIfAbsent(group, _group -> new ArrayDeque<>());
-        if (buckets.isEmpty() || buckets.getLast().number != number) {
-            buckets.addLast(new Bucket(number));
+        if (buckets.isEmpty() || buckets.getLast().number != bucketNumber) {
+            buckets.addLast(new Bucket(bucketNumber));
         }
-        if (buckets.size() > MOST_BUCKETS) {
+        if (buckets.size() > MAX_BUCKETS) {
             buckets.removeFirst();
         }
         double[] sums = buckets.getLast().sums(workClass);
@@ -65,10 +65,10 @@
     public synchronized List<ClassDemand> demand(String group, long horizonMillis) {
         long nowMillis = time.monotonicMillis();
         double seconds = Math.max(1, Math.min(horizonMillis, nowMillis) / 1_000.0);
-        long first = (nowMillis - horizonMillis) / BUCKET_MILLIS;
-        Bucket total = new Bucket(first);
+        long firstBucket = (nowMillis - horizonMillis) / BUCKET_MILLIS;
+        Bucket total = new Bucket(firstBucket);
         for (Bucket bucket : groups.getOrDefault(group, new ArrayDeque<>())) {
-            if (bucket.number > first) {
+            if (bucket.number > firstBucket) {
                 total.add(bucket);
             }
         }
@@ -83,10 +83,10 @@
         return demand;
     }
 
-    /** One second's sums for each class: requests, prompt tokens, output tokens, deadlines. */
+    /** The sums of one second for each class: requests, prompt tokens, output tokens and deadlines, in this order. */
     private static final class Bucket {
 
-        private static final int FIGURES = 4;
+        private static final int SUMS_PER_CLASS = 4;
 
         private final long number;
         private final Map<WorkClass, double[]> sums = new EnumMap<>(WorkClass.class);
@@ -96,14 +96,14 @@
         }
 
         double[] sums(WorkClass workClass) {
-            return sums.computeIfAbsent(workClass, _class -> new double[FIGURES]);
+            return sums.computeIfAbsent(workClass, _class -> new double[SUMS_PER_CLASS]);
         }
 
         void add(Bucket other) {
-            other.sums.forEach((workClass, more) -> {
-                double[] mine = sums(workClass);
-                for (int i = 0; i < FIGURES; i++) {
-                    mine[i] += more[i];
+            other.sums.forEach((workClass, otherSums) -> {
+                double[] ownSums = sums(workClass);
+                for (int i = 0; i < SUMS_PER_CLASS; i++) {
+                    ownSums[i] += otherSums[i];
                 }
             });
         }
--- a/src/main/java/org/dogwoodwinch/routing/CandidateSampler.java
+++ b/src/main/java/org/dogwoodwinch/routing/CandidateSampler.java
@@ -6,14 +6,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Picks the few targets that one decision looks at.
+ * Selects the few targets that one routing decision scores.
  *
- * <p>A few random candidates cost the same at 11 and at 4,400 targets, and keep instances with one stale view from all
- * finding the same idle target.
+ * <p>The cost of a small random sample does not grow with the fleet (11 or 4,400 targets), and sampling keeps instances
+ * that share a stale view from all choosing the same idle target.
  */
 final class CandidateSampler {
 
-    private static final int TRIES_PER_CANDIDATE = 3;
+    private static final int DRAWS_PER_CANDIDATE = 3;
 
     private final UniformRandomProvider random;
 
@@ -21,18 +21,20 @@
         this.random = random;
     }
 
-    List<TargetState> sample(List<TargetState> from, int wanted, Predicate<TargetState> usable) {
-        if (from.size() <= wanted) {
-            return from.stream().filter(usable).toList();
+    List<TargetState> sample(List<TargetState> targets, int sampleSize, Predicate<TargetState> filter) {
+        if (targets.size() <= sampleSize) {
+            return targets.stream().filter(filter).toList();
         }
-        List<TargetState> sample = new ArrayList<>(wanted);
-        int tries = wanted * TRIES_PER_CANDIDATE;
-        for (int i = 0; i < tries && sample.size() < wanted; i++) {
-            TargetState candidate = from.get(random.nextInt(from.size()));
-            if (usable.test(candidate) && !sample.contains(candidate)) {
+        List<TargetState> sample = new ArrayList<>(sampleSize);
+        int draws = sampleSize * DRAWS_PER_CANDIDATE;
+        for (int i = 0; i < draws && sample.size() < sampleSize; i++) {
+            TargetState candidate = targets.get(random.nextInt(targets.size()));
+            if (filter.test(candidate) && !sample.contains(candidate)) {
                 sample.add(candidate);
             }
         }
-        return sample.isEmpty() ? from.stream().filter(usable).limit(wanted).toList() : sample;
+        return sample.isEmpty()
+                ? targets.stream().filter(filter).limit(sampleSize).toList()
+                : sample;
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/FleetView.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetView.java
@@ -18,14 +18,16 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * What this instance believes of all targets, fed by the instance list, engines' states and reports, and peers.
+ * The state of all targets as known to this instance, from the instance list, engine states, load reports and messages
+ * of peers.
  *
- * <p>Thread-safe: every method holds this object's monitor, and {@link EstimatingRouter} holds it through a decision.
+ * <p>Thread-safe: every public method holds this object's monitor, and {@link EstimatingRouter} holds it during a
+ * decision.
  */
 public final class FleetView {
 
     private final TimeSource time;
-    private final PeerHearing hearing = new PeerHearing();
+    private final PeerContact peerContact = new PeerContact();
     private final Map<String, TargetState> targets = new HashMap<>();
     private final Map<String, GroupState> groups = new TreeMap<>();
 
@@ -39,58 +41,61 @@
     }
 
     /**
-     * Takes a whole reading of the platform's instance list; instances of our own are passed over.
+     * Applies a complete copy of the platform's instance list: adds, updates and removes targets. Entries of kind
+     * {@link ListedInstance.Kind#ENTRY}, the daemons of this system, are ignored.
      *
-     * <p>Call this only with an answer: a list that could not be read says nothing about the fleet.
+     * <p>Must not be called when the list could not be read, as an empty list removes all targets.
      *
-     * @param listed the list, not null
+     * @param instances the list, not null
      */
-    public synchronized void onInstanceList(List<ListedInstance> listed) {
+    public synchronized void onInstanceList(List<ListedInstance> instances) {
         Set<String> names = new HashSet<>();
-        for (ListedInstance instance : listed) {
+        for (ListedInstance instance : instances) {
             if (instance.kind() != ListedInstance.Kind.ENTRY) {
                 names.add(instance.name());
-                takeListed(instance);
+                addOrUpdate(instance);
             }
         }
-        List<TargetState> gone = new ArrayList<>();
+        List<TargetState> removedStates = new ArrayList<>();
         targets.values().stream()
                 .filter(state -> !names.contains(state.target().name()))
-                .forEach(gone::add);
-        gone.forEach(this::remove);
+                .forEach(removedStates::add);
+        removedStates.forEach(this::remove);
         groups.values().forEach(GroupState::sort);
     }
 
     /**
-     * Marks a target as leaving for a while, on a peer's word or its own refusal, ahead of the instance list.
+     * Marks a target as draining for a limited time, after a message from a peer or a refusal by the target, before the
+     * instance list shows it.
      *
-     * @param targetName the target, not null; an unknown one is passed over
-     * @param keepMillis how long the mark holds, in milliseconds; the list renews it or lets it lapse
+     * @param targetName the target, not null; an unknown one is ignored
+     * @param durationMillis how long the mark lasts, in milliseconds; the instance list decides afterwards
      */
-    public synchronized void onLeaving(String targetName, long keepMillis) {
+    public synchronized void onLeaving(String targetName, long durationMillis) {
         TargetState state = targets.get(targetName);
         if (state != null) {
-            state.markLeavingUntil(time.monotonicMillis() + keepMillis);
+            state.markDrainingUntil(time.monotonicMillis() + durationMillis);
         }
     }
 
     /**
-     * Takes back a leaving mark, for a drain that was cancelled; what the instance list says stays.
+     * Removes a draining mark after a drain was cancelled. A target that the instance list shows as leaving stays
+     * excluded.
      *
-     * @param targetName the target, not null; an unknown one is passed over
+     * @param targetName the target, not null; an unknown one is ignored
      */
     public synchronized void onStaying(String targetName) {
         TargetState state = targets.get(targetName);
         if (state != null) {
-            state.clearLeavingMark();
+            state.clearDraining();
         }
     }
 
     /**
-     * Takes an engine's state: its role, and whether it serves.
+     * Applies an engine's state: its role and whether it is ready.
      *
-     * @param targetName the engine, not null; an unknown one is passed over
-     * @param engineState what it said, not null
+     * @param targetName the engine, not null; an unknown one is ignored
+     * @param engineState the state that the engine reported, not null
      */
     public synchronized void onEngineState(String targetName, EngineState engineState) {
         TargetState state = targets.get(targetName);
@@ -101,47 +106,48 @@
     }
 
     /**
-     * Takes a load report.
+     * Applies a load report.
      *
-     * @param targetName the engine, not null; an unknown one is passed over
+     * @param targetName the engine, not null; an unknown one is ignored
      * @param report the report, not null
      */
     public synchronized void onLoadReport(String targetName, LoadReport report) {
         Objects.requireNonNull(report, "report");
         TargetState state = targets.get(targetName);
         if (state != null) {
-            state.takeReport(report);
+            state.updateReport(report);
         }
     }
 
     /**
-     * Says whether urgent work is in flight on a target, by way of this instance or, as far as they told, of others.
+     * Returns whether urgent requests are in flight on a target, sent by this instance or, according to their last
+     * messages, by its peers.
      *
      * @param targetName the target, not null
-     * @return true where there is some
+     * @return true if there are some
      */
     public synchronized boolean hasUrgentInFlight(String targetName) {
         return state(targetName)
-                .filter(known -> known.servesUrgentWork(time.wallMillis()))
+                .filter(state -> state.hasUrgentRequests(time.wallMillis()))
                 .isPresent();
     }
 
     /**
-     * Returns the targets that this instance knows, for status pages and the role planner.
+     * Returns all known targets, for status pages and the role planner.
      *
-     * @return one summary each, by group and name
+     * @return one summary each, ordered by group, role and name
      */
     public synchronized List<TargetSummary> summaries() {
-        List<TargetSummary> all = new ArrayList<>();
-        groups.values().forEach(group -> group.all().forEach(state -> all.add(summaryOf(state))));
-        return all;
+        List<TargetSummary> summaries = new ArrayList<>();
+        groups.values().forEach(group -> group.all().forEach(state -> summaries.add(summaryOf(state))));
+        return summaries;
     }
 
     /**
-     * Returns the targets of one group that may take new work or will be able to.
+     * Returns all known targets of one group.
      *
      * @param groupName the group, not null
-     * @return one summary each
+     * @return one summary each; empty for an unknown group
      */
     public synchronized List<TargetSummary> summaries(String groupName) {
         GroupState group = groups.get(groupName);
@@ -150,8 +156,8 @@
                 : group.all().stream().map(this::summaryOf).toList();
     }
 
-    PeerHearing hearing() {
-        return hearing;
+    PeerContact peerContact() {
+        return peerContact;
     }
 
     Optional<GroupState> group(String name) {
@@ -169,32 +175,32 @@
     private TargetSummary summaryOf(TargetState state) {
         LoadEstimate estimate = LoadEstimate.of(state, RoutingPolicy.STANDARD, time.wallMillis());
         long nowMillis = time.monotonicMillis();
-        boolean leaving = state.leaving(nowMillis);
+        boolean leaving = state.isDraining(nowMillis);
         return new TargetSummary(
                 state.target(),
                 state.role(),
-                state.ready() && !leaving && state.health().usable(nowMillis),
+                state.isReady() && !leaving && state.health().isUsable(nowMillis),
                 leaving,
                 state.outstandingRequests(),
                 estimate.prefillTokens(),
                 estimate.decodeTokens(),
-                state.health().slowness());
+                state.health().slowdown());
     }
 
-    private void takeListed(ListedInstance instance) {
+    private void addOrUpdate(ListedInstance instance) {
         Target target =
                 new Target(instance.name(), instance.host(), instance.port(), instance.dataCentre(), instance.group());
-        TargetState known = targets.get(instance.name());
-        if (known != null && !known.target().equals(target)) {
-            remove(known);
-            known = null;
+        TargetState state = targets.get(instance.name());
+        if (state != null && !state.target().equals(target)) {
+            remove(state);
+            state = null;
         }
-        if (known == null) {
-            known = new TargetState(target, hearing);
-            targets.put(target.name(), known);
-            groups.computeIfAbsent(target.group(), _name -> new GroupState()).add(known);
+        if (state == null) {
+            state = new TargetState(target, peerContact);
+            targets.put(target.name(), state);
+            groups.computeIfAbsent(target.group(), _name -> new GroupState()).add(state);
         }
-        known.setListedLeaving(instance.leaving());
+        state.setListedLeaving(instance.leaving());
     }
 
     private void remove(TargetState state) {
--- a/src/main/java/org/dogwoodwinch/routing/GroupState.java
+++ b/src/main/java/org/dogwoodwinch/routing/GroupState.java
@@ -4,19 +4,19 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The targets of one group by what they serve, in lists that a decision samples without a scan. */
+/** The targets of one group in one list per role, so that a decision can sample a role without a scan. */
 final class GroupState {
 
-    private static final int LANE_PLACES = 16;
-    private static final double OUTPUT_WEIGHT = 0.05;
+    private static final int PACKING_RANKS = 16;
+    private static final double OUTPUT_SMOOTHING_WEIGHT = 0.05;
 
     private final List<TargetState> mixed = new ArrayList<>();
     private final List<TargetState> prefill = new ArrayList<>();
     private final List<TargetState> decode = new ArrayList<>();
-    private double outputShare = 1;
+    private double outputFraction = 1;
 
     void add(TargetState state) {
-        listOf(state).add(state);
+        listFor(state).add(state);
     }
 
     void remove(TargetState state) {
@@ -25,7 +25,10 @@
         decode.remove(state);
     }
 
-    /** Instances hear of targets in different orders; a common order makes runs with one seed repeat. */
+    /**
+     * Sorts the targets by name. Instances learn of targets in different orders; a common order gives all of them the
+     * same packing ranks and makes seeded runs repeatable.
+     */
     void sort() {
         Comparator<TargetState> byName =
                 Comparator.comparing(state -> state.target().name());
@@ -33,7 +36,7 @@
         prefill.sort(byName);
         decode.sort(byName);
         for (int i = 0; i < mixed.size(); i++) {
-            mixed.get(i).setPlace(i % LANE_PLACES);
+            mixed.get(i).setPackingRank(i % PACKING_RANKS);
         }
     }
 
@@ -60,19 +63,21 @@
         return all;
     }
 
-    /** The part of the allowed output that answers really use, learned from usage. */
-    double outputShare() {
-        return outputShare;
+    /**
+     * Returns the mean ratio of generated tokens to the request's limit, as a moving average over completed answers.
+     */
+    double outputFraction() {
+        return outputFraction;
     }
 
-    void learnOutput(long completionTokens, int maxTokens) {
+    void updateOutputFraction(long completionTokens, int maxTokens) {
         if (maxTokens > 0) {
-            double share = Math.min(1, completionTokens / (double) maxTokens);
-            outputShare += OUTPUT_WEIGHT * (share - outputShare);
+            double observedFraction = Math.min(1, completionTokens / (double) maxTokens);
+            outputFraction += OUTPUT_SMOOTHING_WEIGHT * (observedFraction - outputFraction);
         }
     }
 
-    private List<TargetState> listOf(TargetState state) {
+    private List<TargetState> listFor(TargetState state) {
         return switch (state.role()) {
             case PREFILL -> prefill;
             case DECODE -> decode;
--- a/src/main/java/org/dogwoodwinch/routing/TargetHealth.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetHealth.java
@@ -1,59 +1,62 @@
 package org.dogwoodwinch.routing;
 
 /**
- * What outcomes say of one target, whatever its own reports say.
+ * The health of one target as derived from the outcomes of attempts, independent of the target's own reports.
  *
- * <p>A target that fails is held back for a time that doubles with each failure in a row, so that one that flaps costs
- * few requests; after the hold a single attempt probes it. A hold ends the punishment, not the memory: the next hold is
- * shorter only after a spell without failures, or a target that alternates would be trusted anew each time.
+ * <p>A target that fails is in back-off for a time that doubles with each failure, so that a flapping target costs few
+ * requests; after the back-off, a single attempt probes it. The failure count outlasts the back-off: it decreases only
+ * on a first token that arrives more than {@link #FAILURE_DECAY_MILLIS} after the last failure. Otherwise a target that
+ * alternates between failure and success would start again at the shortest back-off each time.
  */
 final class TargetHealth {
 
-    private static final long FIRST_HOLD_MILLIS = 500;
-    private static final long LONGEST_HOLD_MILLIS = 30_000;
-    private static final long FORGIVE_MILLIS = 20_000;
-    private static final double SLOWNESS_WEIGHT = 0.2;
-    private static final double GREATEST_SLOWNESS = 8;
-    private static final long SMALLEST_EXPECTATION_MILLIS = 50;
+    private static final long INITIAL_BACKOFF_MILLIS = 500;
+    private static final long MAX_BACKOFF_MILLIS = 30_000;
+    private static final long FAILURE_DECAY_MILLIS = 20_000;
+    private static final double SLOWDOWN_SMOOTHING_WEIGHT = 0.2;
+    private static final double MAX_SLOWDOWN = 8;
+    private static final long MIN_EXPECTED_MILLIS = 50;
 
-    private int strikes;
-    private long heldUntilMillis;
+    private int failureCount;
+    private long backoffUntilMillis;
     private long lastFailureMillis;
     private boolean probing;
-    private double slowness = 1;
+    private double slowdown = 1;
 
-    boolean usable(long nowMillis) {
-        return nowMillis >= heldUntilMillis && !probing;
+    boolean isUsable(long nowMillis) {
+        return nowMillis >= backoffUntilMillis && !probing;
     }
 
-    /** The score's factor: how much longer first tokens took than was expected, averaged. */
-    double slowness() {
-        return slowness;
+    /**
+     * Returns the factor applied to the score: the moving average of the actual over the expected time to first token.
+     */
+    double slowdown() {
+        return slowdown;
     }
 
     void onSent() {
-        probing = strikes > 0;
+        probing = failureCount > 0;
     }
 
     void onFirstToken(long elapsedMillis, long expectedMillis, long nowMillis) {
         probing = false;
-        double ratio = elapsedMillis / (double) Math.max(SMALLEST_EXPECTATION_MILLIS, expectedMillis);
-        double bounded = Math.max(1, Math.min(GREATEST_SLOWNESS, ratio));
-        slowness += SLOWNESS_WEIGHT * (bounded - slowness);
-        if (strikes > 0 && nowMillis - lastFailureMillis > FORGIVE_MILLIS) {
-            strikes--;
+        double ratio = elapsedMillis / (double) Math.max(MIN_EXPECTED_MILLIS, expectedMillis);
+        double boundedRatio = Math.max(1, Math.min(MAX_SLOWDOWN, ratio));
+        slowdown += SLOWDOWN_SMOOTHING_WEIGHT * (boundedRatio - slowdown);
+        if (failureCount > 0 && nowMillis - lastFailureMillis > FAILURE_DECAY_MILLIS) {
+            failureCount--;
         }
     }
 
     void onFailure(long nowMillis) {
         probing = false;
-        strikes = Math.min(strikes + 1, Long.SIZE - 1);
+        failureCount = Math.min(failureCount + 1, Long.SIZE - 1);
         lastFailureMillis = nowMillis;
-        long hold = FIRST_HOLD_MILLIS << Math.min(strikes - 1, 10);
-        heldUntilMillis = nowMillis + Math.min(LONGEST_HOLD_MILLIS, hold);
+        long backoffMillis = INITIAL_BACKOFF_MILLIS << Math.min(failureCount - 1, 10);
+        backoffUntilMillis = nowMillis + Math.min(MAX_BACKOFF_MILLIS, backoffMillis);
     }
 
-    void onNeutralEnd() {
+    void onAttemptEnded() {
         probing = false;
     }
 }
