--- a/src/main/java/org/dogwoodwinch/control/SentWork.java
+++ b/src/main/java/org/dogwoodwinch/control/SentWork.java
@@ -65,7 +65,7 @@
                 query.maxTokens(),
                 query.remainingMillis(),
                 excluded,
-                query.alone()));
+                query.crashSuspect()));
     }
 
     @Override
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -29,9 +29,9 @@
 import org.dogwoodwinch.request.RequestCoordinator;
 import org.dogwoodwinch.request.RequestHandler;
 import org.dogwoodwinch.request.RequestPolicies;
-import org.dogwoodwinch.routing.EstimatingRouter;
-import org.dogwoodwinch.routing.FleetCapacity;
+import org.dogwoodwinch.routing.FleetCapacityEstimator;
 import org.dogwoodwinch.routing.FleetView;
+import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.routing.PeerLoadExchange;
 import org.dogwoodwinch.routing.RoutingPolicy;
 import org.dogwoodwinch.settings.PlatformSettings;
@@ -104,7 +104,7 @@
         long incarnation = context.time().wallMillis();
         this.fleet = new FleetView(context.time());
         directory.onRead(fleet::onInstanceList);
-        EstimatingRouter router = new EstimatingRouter(
+        LoadAwareRouter router = new LoadAwareRouter(
                 fleet,
                 RoutingPolicy.STANDARD,
                 context.time(),
@@ -138,7 +138,7 @@
                         PartSettings.admission(settings.admission()),
                         catalogue,
                         shares,
-                        new FleetCapacity(fleet, RoutingPolicy.STANDARD, context.time()),
+                        new FleetCapacityEstimator(fleet, RoutingPolicy.STANDARD, context.time()),
                         directory::liveEntries,
                         context.time()),
                 sent,
--- a/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
 import org.dogwoodwinch.external.ListedInstance;
-import org.dogwoodwinch.routing.EstimatingRouter;
 import org.dogwoodwinch.routing.FleetView;
+import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.target.CacheEvent;
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.EngineState;
@@ -33,7 +33,7 @@
     private final Supplier<? extends Iterable<String>> outOfService;
     private final TargetClients clients;
     private final FleetView fleet;
-    private final EstimatingRouter router;
+    private final LoadAwareRouter router;
     private final TimeSource time;
     private final long pollMillis;
     private final Map<String, Long> lastCacheEvents = new ConcurrentHashMap<>();
@@ -60,7 +60,7 @@
             Supplier<? extends Iterable<String>> outOfService,
             TargetClients clients,
             FleetView fleet,
-            EstimatingRouter router,
+            LoadAwareRouter router,
             TimeSource time,
             long pollMillis) {
         this.listed = Objects.requireNonNull(listed, "listed");
@@ -78,7 +78,7 @@
             return;
         }
         for (String target : outOfService.get()) {
-            fleet.onLeaving(target, pollMillis * LEAVING_MARKS_KEPT);
+            fleet.markDraining(target, pollMillis * LEAVING_MARKS_KEPT);
         }
         boolean withState = rounds++ % STATE_EVERY == 0;
         for (ListedInstance line : listed.get()) {
--- a/src/main/java/org/dogwoodwinch/daemon/FleetActivity.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetActivity.java
@@ -48,7 +48,7 @@
             return UNKNOWN;
         }
         int all = report.get().runningRequests() + report.get().waitingRequests();
-        int urgent = fleet.hasUrgentInFlight(target) ? 1 : 0;
+        int urgent = fleet.hasUrgentRequests(target) ? 1 : 0;
         return new InFlight(true, urgent, Math.max(urgent, all));
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
+++ b/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
@@ -131,7 +131,7 @@
     private InstanceStatus status() {
         ControlStatus stream = parts.control().status();
         List<TargetStatus> targets =
-                parts.fleet().summaries().stream().map(this::targetStatus).toList();
+                parts.fleet().targetSummaries().stream().map(this::targetStatus).toList();
         List<PeerStatus> peers = parts.directory().latest().stream()
                 .filter(line -> line.kind() == ListedInstance.Kind.ENTRY)
                 .filter(line -> !line.name().equals(instance.name()))
@@ -154,7 +154,7 @@
 
     private TargetStatus targetStatus(TargetSummary summary) {
         Target target = summary.target();
-        String state = summary.leaving() ? "leaving" : summary.usable() ? "serving" : "failing";
+        String state = summary.draining() ? "leaving" : summary.usable() ? "serving" : "failing";
         return new TargetStatus(
                 target.name(),
                 target.group(),
--- a/src/main/java/org/dogwoodwinch/measure/RoutingBenchmark.java
+++ b/src/main/java/org/dogwoodwinch/measure/RoutingBenchmark.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.external.ListedInstance;
-import org.dogwoodwinch.routing.EstimatingRouter;
 import org.dogwoodwinch.routing.FleetView;
+import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.routing.Route;
 import org.dogwoodwinch.routing.RouteQuery;
 import org.dogwoodwinch.routing.RoutingPolicy;
@@ -37,7 +37,7 @@
     @Param({"11", "440", "4400"})
     public int targets;
 
-    private EstimatingRouter router;
+    private LoadAwareRouter router;
     private RouteQuery query;
 
     /** Fills the fleet's view. */
@@ -56,7 +56,7 @@
                     "engine-" + i,
                     new LoadReport(time.wallMillis(), i * 37L % 4_000, i * 53L % 9_000, 8, 0, 0, 1, 8_000, 1_500));
         }
-        router = new EstimatingRouter(
+        router = new LoadAwareRouter(
                 fleet, RoutingPolicy.STANDARD, time, RandomSource.XO_RO_SHI_RO_128_PP.create(1), "dc-1");
         query = new RouteQuery(
                 GROUP, WorkClass.URGENT, "x".repeat(PROMPT_CHARS), PROMPT_TOKENS, 40, 2_500, Set.of(), false);
--- a/src/main/java/org/dogwoodwinch/measure/capacity/InFlightProbe.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/InFlightProbe.java
@@ -11,8 +11,8 @@
 import org.dogwoodwinch.measure.MeasurementTable;
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.request.Work;
-import org.dogwoodwinch.routing.EstimatingRouter;
 import org.dogwoodwinch.routing.FleetView;
+import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.routing.RouteQuery;
 import org.dogwoodwinch.routing.RoutingPolicy;
 import org.dogwoodwinch.target.Target;
@@ -52,13 +52,13 @@
                     "engine-" + i, ListedInstance.Kind.ENGINE, "10.0.0.1", 80, 0, "dc-1", false, GROUP));
         }
         fleet.onInstanceList(listed);
-        EstimatingRouter router = new EstimatingRouter(
+        LoadAwareRouter router = new LoadAwareRouter(
                 fleet, RoutingPolicy.STANDARD, time, RandomSource.XO_RO_SHI_RO_128_PP.create(1), "dc-1");
         double memoryBytes = HeapProbe.retainedBytes(() -> send(router, inFlight));
         return new Point(inFlight, memoryBytes);
     }
 
-    private static List<Object> send(EstimatingRouter router, int inFlight) {
+    private static List<Object> send(LoadAwareRouter router, int inFlight) {
         List<Object> kept = new ArrayList<>();
         kept.add(router);
         for (int i = 0; i < inFlight; i++) {
--- a/src/main/java/org/dogwoodwinch/measure/capacity/TargetProbe.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/TargetProbe.java
@@ -8,8 +8,8 @@
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.external.ListedInstance;
 import org.dogwoodwinch.measure.MeasurementTable;
-import org.dogwoodwinch.routing.EstimatingRouter;
 import org.dogwoodwinch.routing.FleetView;
+import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.routing.RouteQuery;
 import org.dogwoodwinch.routing.RoutingPolicy;
 import org.dogwoodwinch.target.LoadReport;
@@ -46,7 +46,7 @@
             fleet[0] = fleet(targets, time);
             return fleet[0];
         });
-        EstimatingRouter router = new EstimatingRouter(
+        LoadAwareRouter router = new LoadAwareRouter(
                 fleet[0], RoutingPolicy.STANDARD, time, RandomSource.XO_RO_SHI_RO_128_PP.create(1), "dc-1");
         RouteQuery query = new RouteQuery(
                 GROUP, WorkClass.URGENT, "x".repeat(PROMPT_CHARACTERS), PROMPT_TOKENS, 40, 2_500, Set.of(), false);
--- a/src/main/java/org/dogwoodwinch/measure/requests/TrialFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/TrialFleet.java
@@ -69,7 +69,7 @@
                 .filter(target -> !query.excludedTargets().contains(target.name()))
                 .toList();
         return allowed.isEmpty()
-                ? new Route.None("no target is left", 500)
+                ? new Route.NoTarget("no target is left", 500)
                 : new Route.Chosen(allowed.get(random.nextInt(allowed.size())), Optional.empty(), 0);
     }
 
--- a/src/main/java/org/dogwoodwinch/replay/BaselineRouter.java
+++ b/src/main/java/org/dogwoodwinch/replay/BaselineRouter.java
@@ -33,13 +33,13 @@
 
     @Override
     public Route route(RouteQuery query) {
-        List<Target> usable = fleet.summaries(query.group()).stream()
+        List<Target> usable = fleet.targetSummaries(query.group()).stream()
                 .filter(TargetSummary::usable)
                 .map(TargetSummary::target)
                 .filter(target -> !query.excludedTargets().contains(target.name()))
                 .toList();
         if (usable.isEmpty()) {
-            return new Route.None("no target", 1_000);
+            return new Route.NoTarget("no target", 1_000);
         }
         return new Route.Chosen(choose(usable), Optional.empty(), 0);
     }
--- a/src/main/java/org/dogwoodwinch/replay/Deployment.java
+++ b/src/main/java/org/dogwoodwinch/replay/Deployment.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 import java.util.Locale;
-import org.dogwoodwinch.roles.RolePlanSettings;
+import org.dogwoodwinch.roles.RolePlannerSettings;
 
 /** The users' two deployments: their groups, their kinds of requests and their price of a role change. */
 public enum Deployment {
     /** Malabar Reel Exchange: reading model, booking and playlists; the first show starts at a fixed hour. */
-    MALABAR(RolePlanSettings.GOODPUT_FIRST_PRICE),
+    MALABAR(RolePlannerSettings.GOODPUT_FIRST_PRICE),
     /** Vazamentos Albuquerque: office language models, field dispatch; crews leave in the morning. */
-    ALBUQUERQUE(RolePlanSettings.STEADY_PRICE);
+    ALBUQUERQUE(RolePlannerSettings.STABILITY_FIRST_PRICE);
 
     private final double price;
 
--- a/src/main/java/org/dogwoodwinch/replay/GreedyRolePlanning.java
+++ b/src/main/java/org/dogwoodwinch/replay/GreedyRolePlanning.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import org.dogwoodwinch.roles.ClassDemand;
 import org.dogwoodwinch.roles.DemandSource;
-import org.dogwoodwinch.roles.EngineView;
+import org.dogwoodwinch.roles.EngineSnapshot;
 import org.dogwoodwinch.roles.GoodputModel;
 import org.dogwoodwinch.roles.RoleChange;
 import org.dogwoodwinch.roles.RoleChangeRequester;
-import org.dogwoodwinch.roles.RolePlanning;
+import org.dogwoodwinch.roles.RolePlanningStrategy;
 import org.dogwoodwinch.roles.RoleSplit;
 import org.dogwoodwinch.target.EngineRole;
 
 /** Always moves towards the split that the last seconds' demand calls best: no price, no dwell, no second horizon. */
-final class GreedyRolePlanning implements RolePlanning {
+final class GreedyRolePlanning implements RolePlanningStrategy {
 
     private static final long HORIZON_MILLIS = 10_000;
 
@@ -28,8 +28,8 @@
     }
 
     @Override
-    public void plan(String group, List<EngineView> engines) {
-        if (engines.stream().anyMatch(engine -> !engine.steady())) {
+    public void plan(String group, List<EngineSnapshot> engines) {
+        if (engines.stream().anyMatch(engine -> !engine.stable())) {
             return;
         }
         RoleSplit now = new RoleSplit(
@@ -37,7 +37,7 @@
                 count(engines, EngineRole.DECODE),
                 count(engines, EngineRole.MIXED));
         List<ClassDemand> recent = demand.demand(group, HORIZON_MILLIS);
-        RoleSplit best = RoleSplit.all(engines.size()).stream()
+        RoleSplit best = RoleSplit.possibleSplits(engines.size()).stream()
                 .max(Comparator.comparingDouble(split -> model.predict(split, recent)))
                 .orElse(now);
         if (model.predict(best, recent) <= model.predict(now, recent)) {
@@ -45,10 +45,10 @@
         }
         for (EngineRole wanted : EngineRole.values()) {
             for (EngineRole surplus : EngineRole.values()) {
-                if (best.of(wanted) > now.of(wanted) && best.of(surplus) < now.of(surplus)) {
+                if (best.count(wanted) > now.count(wanted) && best.count(surplus) < now.count(surplus)) {
                     engines.stream()
                             .filter(engine -> engine.role() == surplus)
-                            .min(Comparator.comparingLong(EngineView::backlogTokens))
+                            .min(Comparator.comparingLong(EngineSnapshot::backlogTokens))
                             .ifPresent(engine -> requester.request(new RoleChange(group, engine.name(), wanted, 0)));
                     return;
                 }
@@ -56,7 +56,7 @@
         }
     }
 
-    private static int count(List<EngineView> engines, EngineRole role) {
+    private static int count(List<EngineSnapshot> engines, EngineRole role) {
         return (int) engines.stream().filter(engine -> engine.role() == role).count();
     }
 }
--- a/src/main/java/org/dogwoodwinch/replay/Replay.java
+++ b/src/main/java/org/dogwoodwinch/replay/Replay.java
@@ -6,7 +6,7 @@
 import org.dogwoodwinch.roles.DemandMeter;
 import org.dogwoodwinch.roles.GoodputModel;
 import org.dogwoodwinch.roles.RolePlanner;
-import org.dogwoodwinch.roles.RolePlanning;
+import org.dogwoodwinch.roles.RolePlanningStrategy;
 import org.dogwoodwinch.standin.EngineCost;
 import org.dogwoodwinch.time.TimeSource;
 import org.dogwoodwinch.time.VirtualTimeSource;
@@ -54,7 +54,7 @@
     public ReplayResult run() {
         trace.faults().forEach(fault -> time.schedule(fault.atMillis(), () -> engines.befall(fault)));
         scheduleArrival(0);
-        RolePlanning planning = planning(time);
+        RolePlanningStrategy planning = planning(time);
         time.schedule(PLAN_MILLIS, () -> planAndRepeat(planning));
         time.advanceMillis(endMillis());
         return result();
@@ -80,7 +80,7 @@
         ReplayInstance instance = instances.get(Math.floorMod(index * 31 + 7, instances.size()));
         time.schedule(
                 DEMAND_LAG_MILLIS,
-                () -> demand.onArrivals(
+                () -> demand.recordArrivals(
                         request.group(),
                         request.workClass(),
                         1,
@@ -90,7 +90,7 @@
         new ReplayRequest(request, instance, engines, world).start();
     }
 
-    private RolePlanning planning(TimeSource clock) {
+    private RolePlanningStrategy planning(TimeSource clock) {
         return switch (policy.roles()) {
             case PLANNED -> new RolePlanner(policy.planSettings(), demand, engines, clock);
             case GREEDY ->
@@ -99,7 +99,7 @@
         };
     }
 
-    private void planAndRepeat(RolePlanning planning) {
+    private void planAndRepeat(RolePlanningStrategy planning) {
         trace.header().groups().forEach(group -> planning.plan(group.name(), engines.views(group.name())));
         time.schedule(PLAN_MILLIS, () -> planAndRepeat(planning));
     }
--- a/src/main/java/org/dogwoodwinch/replay/ReplayFleet.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayFleet.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.dogwoodwinch.external.ListedInstance;
-import org.dogwoodwinch.roles.EngineView;
+import org.dogwoodwinch.roles.EngineSnapshot;
 import org.dogwoodwinch.roles.RoleChange;
 import org.dogwoodwinch.roles.RoleChangeRequester;
 import org.dogwoodwinch.standin.EngineCost;
@@ -84,11 +84,11 @@
         }
     }
 
-    List<EngineView> views(String group) {
+    List<EngineSnapshot> views(String group) {
         return engines.values().stream()
                 .filter(engine -> engine.group().equals(group))
                 .filter(engine -> changing.containsKey(engine.name()) || !(engine.leaving() || engine.down()))
-                .map(engine -> new EngineView(
+                .map(engine -> new EngineSnapshot(
                         engine.name(),
                         engine.role(),
                         engine.serving() && !changing.containsKey(engine.name()),
@@ -106,7 +106,7 @@
         }
         changing.put(change.engine(), change.role());
         roleChangesMillis.add(time.monotonicMillis());
-        instances.forEach(instance -> instance.fleet().onLeaving(change.engine(), MARK_MILLIS));
+        instances.forEach(instance -> instance.fleet().markDraining(change.engine(), MARK_MILLIS));
         time.schedule(DRAIN_LOOK_MILLIS, () -> drained(engine));
         return true;
     }
@@ -126,7 +126,7 @@
     private void end(ReplayEngine engine) {
         changing.remove(engine.name());
         for (ReplayInstance instance : instances) {
-            instance.fleet().onStaying(engine.name());
+            instance.fleet().clearDraining(engine.name());
             instance.fleet().onEngineState(engine.name(), engine.state());
         }
     }
--- a/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
@@ -17,9 +17,9 @@
 import org.dogwoodwinch.external.ListedInstance;
 import org.dogwoodwinch.peer.PeerBoard;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.routing.EstimatingRouter;
-import org.dogwoodwinch.routing.FleetCapacity;
+import org.dogwoodwinch.routing.FleetCapacityEstimator;
 import org.dogwoodwinch.routing.FleetView;
+import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.routing.PeerLoadExchange;
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.LoadReport;
@@ -51,7 +51,7 @@
         PeerBoard board = world.board().of("instance-" + index);
         if (policy.routing() == ReplayPolicy.Routing.ESTIMATING) {
             long seed = header.seed() * 1_000 + index;
-            router = new EstimatingRouter(
+            router = new LoadAwareRouter(
                     fleet, policy.estimating(), time, RandomSource.XO_RO_SHI_RO_128_PP.create(seed), "dc-1");
             new PeerLoadExchange(fleet, board, time, index + 1L, PEER_MILLIS).start();
         } else {
@@ -88,7 +88,7 @@
                 AdmissionPolicy.STANDARD,
                 noLimits,
                 new ShareExchange(ShareSettings.ALONE, board, time, 1),
-                new FleetCapacity(fleet, policy.estimating(), time),
+                new FleetCapacityEstimator(fleet, policy.estimating(), time),
                 header::instances,
                 time);
     }
--- a/src/main/java/org/dogwoodwinch/replay/ReplayPolicy.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayPolicy.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Objects;
-import org.dogwoodwinch.roles.RolePlanSettings;
+import org.dogwoodwinch.roles.RolePlannerSettings;
 import org.dogwoodwinch.routing.RoutingPolicy;
 
 /**
@@ -80,7 +80,8 @@
                 new ReplayPolicy("static-mixed (ours, no planner)", Routing.ESTIMATING, standard, true, Roles.MIXED, 0),
                 new ReplayPolicy(
                         "v1 reports only", Routing.ESTIMATING, RoutingPolicy.REPORTS_ONLY, false, Roles.MIXED, 0),
-                new ReplayPolicy("v2 own sends", Routing.ESTIMATING, RoutingPolicy.OWN_SENDS, true, Roles.MIXED, 0));
+                new ReplayPolicy(
+                        "v2 own sends", Routing.ESTIMATING, RoutingPolicy.REPORTS_AND_OWN_SENDS, true, Roles.MIXED, 0));
     }
 
     /**
@@ -88,8 +89,8 @@
      *
      * @return the settings at this policy's price
      */
-    public RolePlanSettings planSettings() {
-        return RolePlanSettings.atPrice(price);
+    public RolePlannerSettings planSettings() {
+        return RolePlannerSettings.withPrice(price);
     }
 
     private static ReplayPolicy baseline(String name, Routing routing) {
--- a/src/main/java/org/dogwoodwinch/request/RequestRun.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestRun.java
@@ -146,7 +146,7 @@
                 });
     }
 
-    private void onNoRoute(Route.None none) {
+    private void onNoRoute(Route.NoTarget none) {
         RefusalReason reason = ledger.attempts() == 0 ? RefusalReason.NO_TARGET : RefusalReason.TARGET_FAILED;
         giveUp(reason, none.detail(), none.retryAfterMillis());
     }
@@ -233,7 +233,7 @@
     }
 
     private void send(Route.Chosen chosen, RouteQuery query, String attemptId) {
-        if (query.alone()) {
+        if (query.crashSuspect()) {
             context.quarantine()
                     .onTrial(request.fingerprint(), attemptId, chosen.target().name());
         }
--- a/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
+++ b/src/main/java/org/dogwoodwinch/roles/DemandMeter.java
@@ -39,7 +39,7 @@
      * @param outputTokens the sum of their expected output tokens
      * @param deadlineMillis the sum of their deadlines, in milliseconds
      */
-    public synchronized void onArrivals(
+    public synchronized void recordArrivals(
             String group,
             WorkClass workClass,
             long requests,
--- a/src/main/java/org/dogwoodwinch/roles/EngineView.java
+++ b/src/main/java/org/dogwoodwinch/roles/EngineSnapshot.java
@@ -8,13 +8,13 @@
  *
  * @param name the engine's name, not null
  * @param role the engine's role, not null
- * @param steady whether the engine serves requests and is neither draining nor changing its role
+ * @param stable whether the engine serves requests and is neither draining nor changing its role
  * @param backlogTokens tokens that wait on the engine; the engine with the fewest is drained soonest
  */
-public record EngineView(String name, EngineRole role, boolean steady, long backlogTokens) {
+public record EngineSnapshot(String name, EngineRole role, boolean stable, long backlogTokens) {
 
     /** Checks the components. */
-    public EngineView {
+    public EngineSnapshot {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(role, "role");
     }
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanner.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlanner.java
@@ -17,9 +17,9 @@
  * prefill engine in a group of mixed engines brings no gain until there is a decode engine as well. A plan is carried
  * out one engine at a time and recomputed before each change. Not thread-safe.
  */
-public final class RolePlanner implements RolePlanning {
+public final class RolePlanner implements RolePlanningStrategy {
 
-    private final RolePlanSettings settings;
+    private final RolePlannerSettings settings;
     private final DemandSource demand;
     private final RoleChangeRequester requester;
     private final TimeSource time;
@@ -35,7 +35,8 @@
      * @param requester receives the proposals, not null
      * @param time the clock, not null
      */
-    public RolePlanner(RolePlanSettings settings, DemandSource demand, RoleChangeRequester requester, TimeSource time) {
+    public RolePlanner(
+            RolePlannerSettings settings, DemandSource demand, RoleChangeRequester requester, TimeSource time) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.demand = Objects.requireNonNull(demand, "demand");
         this.requester = Objects.requireNonNull(requester, "requester");
@@ -44,8 +45,8 @@
     }
 
     @Override
-    public void plan(String group, List<EngineView> engines) {
-        boolean changing = engines.stream().anyMatch(engine -> !engine.steady());
+    public void plan(String group, List<EngineSnapshot> engines) {
+        boolean changing = engines.stream().anyMatch(engine -> !engine.stable());
         if (changing || isWithinDwell(groupChangedMillis.get(group), settings.groupDwellMillis())) {
             return;
         }
@@ -55,7 +56,7 @@
         RoleSplit best = current;
         double bestNetGain = 0;
         double bestGain = 0;
-        for (RoleSplit candidate : RoleSplit.all(engines.size())) {
+        for (RoleSplit candidate : RoleSplit.possibleSplits(engines.size())) {
             double gain = Math.min(gain(current, candidate, shortTermDemand), gain(current, candidate, longTermDemand));
             double netGain = gain - cost(current, candidate, shortTermDemand, engines.size());
             if (netGain > bestNetGain) {
@@ -89,7 +90,7 @@
         return secondsUnavailable * (lostPerSecond + settings.pricePerSecondAway());
     }
 
-    private void propose(String group, List<EngineView> engines, RoleSplit current, RoleSplit best, double gain) {
+    private void propose(String group, List<EngineSnapshot> engines, RoleSplit current, RoleSplit best, double gain) {
         Optional<EngineRole> deficitRole = roleWithLargestDifference(current, best, true);
         Optional<EngineRole> surplusRole = roleWithLargestDifference(current, best, false);
         if (deficitRole.isEmpty() || surplusRole.isEmpty()) {
@@ -98,7 +99,7 @@
         engines.stream()
                 .filter(engine -> engine.role() == surplusRole.get())
                 .filter(engine -> !isWithinDwell(engineChangedMillis.get(engine.name()), settings.engineDwellMillis()))
-                .min(Comparator.comparingLong(EngineView::backlogTokens).thenComparing(EngineView::name))
+                .min(Comparator.comparingLong(EngineSnapshot::backlogTokens).thenComparing(EngineSnapshot::name))
                 .ifPresent(engine -> request(new RoleChange(group, engine.name(), deficitRole.get(), gain)));
     }
 
@@ -120,18 +121,18 @@
     private static Optional<EngineRole> roleWithLargestDifference(RoleSplit current, RoleSplit best, boolean deficit) {
         int sign = deficit ? 1 : -1;
         return List.of(EngineRole.DECODE, EngineRole.PREFILL, EngineRole.MIXED).stream()
-                .filter(role -> sign * (best.of(role) - current.of(role)) > 0)
-                .max(Comparator.comparingInt(role -> sign * (best.of(role) - current.of(role))));
+                .filter(role -> sign * (best.count(role) - current.count(role)) > 0)
+                .max(Comparator.comparingInt(role -> sign * (best.count(role) - current.count(role))));
     }
 
-    private static RoleSplit splitOf(List<EngineView> engines) {
+    private static RoleSplit splitOf(List<EngineSnapshot> engines) {
         return new RoleSplit(
                 count(engines, EngineRole.PREFILL),
                 count(engines, EngineRole.DECODE),
                 count(engines, EngineRole.MIXED));
     }
 
-    private static int count(List<EngineView> engines, EngineRole role) {
+    private static int count(List<EngineSnapshot> engines, EngineRole role) {
         return (int) engines.stream().filter(engine -> engine.role() == role).count();
     }
 }
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanSettings.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlannerSettings.java
@@ -15,7 +15,7 @@
  * @param drainMillis the time that an engine takes to finish its requests before a change, in milliseconds
  * @param speed the engines' speed, not null
  */
-public record RolePlanSettings(
+public record RolePlannerSettings(
         double pricePerSecondAway,
         long planningHorizonMillis,
         long shortHorizonMillis,
@@ -29,10 +29,10 @@
     public static final double GOODPUT_FIRST_PRICE = 1;
 
     /** The price that changes roles only for a large gain, used by the Albuquerque deployment. */
-    public static final double STEADY_PRICE = 12;
+    public static final double STABILITY_FIRST_PRICE = 12;
 
     /** Checks the components. */
-    public RolePlanSettings {
+    public RolePlannerSettings {
         Objects.requireNonNull(speed, "speed");
     }
 
@@ -43,8 +43,8 @@
      *     one engine is unavailable, on top of the answers lost meanwhile
      * @return the settings
      */
-    public static RolePlanSettings atPrice(double pricePerSecondAway) {
-        return new RolePlanSettings(
+    public static RolePlannerSettings withPrice(double pricePerSecondAway) {
+        return new RolePlannerSettings(
                 pricePerSecondAway, 60_000, 10_000, 45_000, 8_000, 30_000, 8_000, EngineSpeed.STANDARD);
     }
 }
--- a/src/main/java/org/dogwoodwinch/roles/RolePlanning.java
+++ b/src/main/java/org/dogwoodwinch/roles/RolePlanningStrategy.java
@@ -4,7 +4,7 @@
 
 /** Decides whether an engine of a group should change its role. */
 @FunctionalInterface
-public interface RolePlanning {
+public interface RolePlanningStrategy {
 
     /**
      * Evaluates one group and requests at most one change.
@@ -12,5 +12,5 @@
      * @param group the group's name, not null
      * @param engines the engines of the group, not null
      */
-    void plan(String group, List<EngineView> engines);
+    void plan(String group, List<EngineSnapshot> engines);
 }
--- a/src/main/java/org/dogwoodwinch/roles/RoleSplit.java
+++ b/src/main/java/org/dogwoodwinch/roles/RoleSplit.java
@@ -19,7 +19,7 @@
      * @param engines the number of engines
      * @return the splits; those with prefill engines but no decode engines, or the reverse, are left out
      */
-    public static List<RoleSplit> all(int engines) {
+    public static List<RoleSplit> possibleSplits(int engines) {
         List<RoleSplit> splits = new ArrayList<>();
         for (int prefill = 0; prefill <= engines; prefill++) {
             for (int decode = 0; prefill + decode <= engines; decode++) {
@@ -37,7 +37,7 @@
      * @param role the role, not null
      * @return the number of engines
      */
-    public int of(EngineRole role) {
+    public int count(EngineRole role) {
         return switch (role) {
             case PREFILL -> prefill;
             case DECODE -> decode;
--- a/src/main/java/org/dogwoodwinch/routing/FleetCapacity.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetCapacityEstimator.java
@@ -10,7 +10,7 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /** Estimates the capacity of target groups for admission from the router's view of the fleet. Thread-safe. */
-public final class FleetCapacity implements CapacityEstimator {
+public final class FleetCapacityEstimator implements CapacityEstimator {
 
     private static final int LARGE_GROUP_TARGETS = 16;
     private static final double TYPICAL_OUTPUT_TOKENS = 200;
@@ -28,7 +28,7 @@
      * @param policy the routing parameters, not null
      * @param time the clock, not null
      */
-    public FleetCapacity(FleetView fleet, RoutingPolicy policy, TimeSource time) {
+    public FleetCapacityEstimator(FleetView fleet, RoutingPolicy policy, TimeSource time) {
         this.fleet = Objects.requireNonNull(fleet, "fleet");
         this.policy = Objects.requireNonNull(policy, "policy");
         this.time = Objects.requireNonNull(time, "time");
--- a/src/main/java/org/dogwoodwinch/routing/FleetView.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetView.java
@@ -21,7 +21,7 @@
  * The state of all targets as known to this instance, from the instance list, engine states, load reports and messages
  * of peers.
  *
- * <p>Thread-safe: every public method holds this object's monitor, and {@link EstimatingRouter} holds it during a
+ * <p>Thread-safe: every public method holds this object's monitor, and {@link LoadAwareRouter} holds it during a
  * decision.
  */
 public final class FleetView {
@@ -71,7 +71,7 @@
      * @param targetName the target, not null; an unknown one is ignored
      * @param durationMillis how long the mark lasts, in milliseconds; the instance list decides afterwards
      */
-    public synchronized void onLeaving(String targetName, long durationMillis) {
+    public synchronized void markDraining(String targetName, long durationMillis) {
         TargetState state = targets.get(targetName);
         if (state != null) {
             state.markDrainingUntil(time.monotonicMillis() + durationMillis);
@@ -84,7 +84,7 @@
      *
      * @param targetName the target, not null; an unknown one is ignored
      */
-    public synchronized void onStaying(String targetName) {
+    public synchronized void clearDraining(String targetName) {
         TargetState state = targets.get(targetName);
         if (state != null) {
             state.clearDraining();
@@ -126,7 +126,7 @@
      * @param targetName the target, not null
      * @return true if there are some
      */
-    public synchronized boolean hasUrgentInFlight(String targetName) {
+    public synchronized boolean hasUrgentRequests(String targetName) {
         return state(targetName)
                 .filter(state -> state.hasUrgentRequests(time.wallMillis()))
                 .isPresent();
@@ -137,7 +137,7 @@
      *
      * @return one summary each, ordered by group, role and name
      */
-    public synchronized List<TargetSummary> summaries() {
+    public synchronized List<TargetSummary> targetSummaries() {
         List<TargetSummary> summaries = new ArrayList<>();
         groups.values().forEach(group -> group.all().forEach(state -> summaries.add(summaryOf(state))));
         return summaries;
@@ -149,7 +149,7 @@
      * @param groupName the group, not null
      * @return one summary each; empty for an unknown group
      */
-    public synchronized List<TargetSummary> summaries(String groupName) {
+    public synchronized List<TargetSummary> targetSummaries(String groupName) {
         GroupState group = groups.get(groupName);
         return group == null
                 ? List.of()
--- a/src/main/java/org/dogwoodwinch/routing/EstimatingRouter.java
+++ b/src/main/java/org/dogwoodwinch/routing/LoadAwareRouter.java
@@ -20,7 +20,7 @@
  *
  * <p>Thread-safe: a decision holds the monitor of the {@link FleetView} for its few microseconds.
  */
-public final class EstimatingRouter implements Router {
+public final class LoadAwareRouter implements Router {
 
     private static final int MAX_PREFIX_BLOCKS = 50_000;
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -46,7 +46,7 @@
      * @param random the source of random numbers for sampling and jitter, not null
      * @param ownDataCentre the data centre of this instance, not null
      */
-    public EstimatingRouter(
+    public LoadAwareRouter(
             FleetView fleet,
             RoutingPolicy policy,
             TimeSource time,
@@ -65,7 +65,8 @@
         synchronized (fleet) {
             Optional<GroupState> group = fleet.group(query.group());
             if (group.isEmpty()) {
-                return new Route.None("the instance list has no target of group " + query.group(), RETRY_AFTER_MILLIS);
+                return new Route.NoTarget(
+                        "the instance list has no target of group " + query.group(), RETRY_AFTER_MILLIS);
             }
             DecisionTime now = DecisionTime.now(time);
             Predicate<TargetState> eligible = state -> canServe(state, query, now);
@@ -196,7 +197,7 @@
         return state.isReady()
                 && !state.isDraining(now.monotonicMillis())
                 && !query.excludedTargets().contains(state.target().name())
-                && !(query.alone() && state.hasUrgentRequests(now.wallMillis()));
+                && !(query.crashSuspect() && state.hasUrgentRequests(now.wallMillis()));
     }
 
     private RouteOption bestOption(
@@ -242,10 +243,10 @@
     }
 
     private static Route noRoute(RouteQuery query) {
-        String detail = query.alone()
+        String detail = query.crashSuspect()
                 ? "no target of group " + query.group() + " without urgent requests accepts new requests"
                 : "no target of group " + query.group() + " accepts new requests";
-        return new Route.None(detail, RETRY_AFTER_MILLIS);
+        return new Route.NoTarget(detail, RETRY_AFTER_MILLIS);
     }
 
     private Attempt newAttempt(TargetState state, RouteQuery query, DecisionTime now) {
--- a/src/main/java/org/dogwoodwinch/routing/Route.java
+++ b/src/main/java/org/dogwoodwinch/routing/Route.java
@@ -23,20 +23,20 @@
      * @param detail the reason
      * @param retryAfterMillis the time after which the caller may retry, in milliseconds
      */
-    record None(String detail, long retryAfterMillis) implements Route {}
+    record NoTarget(String detail, long retryAfterMillis) implements Route {}
 
     /**
      * Calls the function for the kind of this route.
      *
      * @param chosen the function for {@link Chosen}
-     * @param none the function for {@link None}
+     * @param none the function for {@link NoTarget}
      * @param <T> the result type of the functions
      * @return the result of the function
      */
-    default <T> T match(Function<Chosen, T> chosen, Function<None, T> none) {
+    default <T> T match(Function<Chosen, T> chosen, Function<NoTarget, T> none) {
         if (this instanceof Chosen value) {
             return chosen.apply(value);
         }
-        return none.apply((None) this);
+        return none.apply((NoTarget) this);
     }
 }
--- a/src/main/java/org/dogwoodwinch/routing/RouteQuery.java
+++ b/src/main/java/org/dogwoodwinch/routing/RouteQuery.java
@@ -14,7 +14,7 @@
  * @param maxTokens the maximum number of tokens to generate
  * @param remainingMillis the time left until the deadline, in milliseconds
  * @param excludedTargets names of targets that must not be chosen, such as those that just failed, not null
- * @param alone whether the request is suspected of crashing targets; it is then placed only on a target without urgent
+ * @param crashSuspect whether the request is suspected of crashing targets; it is then placed only on a target without urgent
  *     requests
  */
 public record RouteQuery(
@@ -25,7 +25,7 @@
         int maxTokens,
         long remainingMillis,
         Set<String> excludedTargets,
-        boolean alone) {
+        boolean crashSuspect) {
 
     /** Checks and copies the components. */
     public RouteQuery {
--- a/src/main/java/org/dogwoodwinch/routing/RoutingPolicy.java
+++ b/src/main/java/org/dogwoodwinch/routing/RoutingPolicy.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.routing;
 
 /**
- * The parameters of {@link EstimatingRouter}. Values with fewer corrections are kept for comparison in replays.
+ * The parameters of {@link LoadAwareRouter}. Values with fewer corrections are kept for comparison in replays.
  *
  * @param sampledCandidates the number of targets of each role that one decision scores, one or more
  * @param jitter the maximum random increase of a score, as a fraction; it keeps instances with equal views from making
@@ -43,7 +43,7 @@
             new RoutingPolicy(Integer.MAX_VALUE, 0, false, false, false, false, 256, 14, 0.022, 0, 0, 0);
 
     /** Reports corrected by the requests that this instance sent. */
-    public static final RoutingPolicy OWN_SENDS =
+    public static final RoutingPolicy REPORTS_AND_OWN_SENDS =
             new RoutingPolicy(4, 0.1, true, false, false, true, 256, 14, 0.022, 0.2, 0, 0);
 
     /**
--- a/src/main/java/org/dogwoodwinch/routing/TargetSummary.java
+++ b/src/main/java/org/dogwoodwinch/routing/TargetSummary.java
@@ -10,7 +10,7 @@
  * @param target the target, not null
  * @param role the phases that the target serves, not null
  * @param usable whether the target accepts new requests at present
- * @param leaving whether the target is draining: the platform is about to remove it, or a peer or the target itself
+ * @param draining whether the target is draining: the platform is about to remove it, or a peer or the target itself
  *     reported a drain
  * @param outstandingRequests requests that this instance has in flight on the target
  * @param prefillBacklogTokens estimated prompt tokens that wait on the target
@@ -21,7 +21,7 @@
         Target target,
         EngineRole role,
         boolean usable,
-        boolean leaving,
+        boolean draining,
         int outstandingRequests,
         long prefillBacklogTokens,
         long decodeBacklogTokens,
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
@@ -71,7 +71,7 @@
     @Test
     void aMarkedTargetIsExcluded() {
         mark();
-        assertTrue(first.work.route(query(WorkClass.URGENT)) instanceof Route.None);
+        assertTrue(first.work.route(query(WorkClass.URGENT)) instanceof Route.NoTarget);
         first.marked.clear();
         assertTrue(first.work.route(query(WorkClass.URGENT)) instanceof Route.Chosen);
     }
@@ -119,7 +119,7 @@
         @Override
         public Route route(RouteQuery query) {
             return query.excludedTargets().contains(ENGINE.name())
-                    ? new Route.None("excluded", 100)
+                    ? new Route.NoTarget("excluded", 100)
                     : new Route.Chosen(ENGINE, Optional.empty(), 1);
         }
 
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualRouter.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualRouter.java
@@ -30,7 +30,7 @@
                 .filter(target -> !outOfService.get().contains(target.name()))
                 .toList();
         return allowed.isEmpty()
-                ? new Route.None("no target is left", 500)
+                ? new Route.NoTarget("no target is left", 500)
                 : new Route.Chosen(allowed.get(run.random.nextInt(allowed.size())), Optional.empty(), 0);
     }
 
--- a/src/test/java/org/dogwoodwinch/request/RequestFixture.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestFixture.java
@@ -175,7 +175,7 @@
                     .filter(target -> !query.excludedTargets().contains(target.name()))
                     .findFirst()
                     .<Route>map(target -> new Route.Chosen(target, Optional.empty(), 0))
-                    .orElseGet(() -> new Route.None("no target is left", 500));
+                    .orElseGet(() -> new Route.NoTarget("no target is left", 500));
         }
 
         @Override
--- a/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
@@ -36,7 +36,7 @@
 
     private List<Boolean> alone() {
         return RouteQueries.of(request, book, Set.of(), 0).stream()
-                .map(RouteQuery::alone)
+                .map(RouteQuery::crashSuspect)
                 .toList();
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/WorldInstance.java
+++ b/src/test/java/org/dogwoodwinch/request/WorldInstance.java
@@ -175,7 +175,7 @@
                     .filter(target -> !query.excludedTargets().contains(target.name()))
                     .toList();
             return allowed.isEmpty()
-                    ? new Route.None("no target is left", 500)
+                    ? new Route.NoTarget("no target is left", 500)
                     : new Route.Chosen(allowed.get(world.random.nextInt(allowed.size())), Optional.empty(), 0);
         }
 
--- a/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/roles/RolePlannerTest.java
@@ -73,7 +73,7 @@
     void demandMeterAveragesOverTheHorizon() {
         DemandMeter meter = new DemandMeter(time);
         time.advanceMillis(100_000);
-        meter.onArrivals(GROUP, WorkClass.URGENT, 20, 2_000, 400, 40_000);
+        meter.recordArrivals(GROUP, WorkClass.URGENT, 20, 2_000, 400, 40_000);
         time.advanceMillis(5_000);
         ClassDemand demand = meter.demand(GROUP, 10_000).get(0);
         assertEquals(new ClassDemand(WorkClass.URGENT, 2, 100, 20, 2_000), demand);
@@ -85,16 +85,16 @@
     private RolePlanner newPlanner(double price) {
         EngineSpeed fastChange = new EngineSpeed(8, 12, 0.4, 48, 0.022, 500);
         return new RolePlanner(
-                new RolePlanSettings(price, 600_000, 10_000, 45_000, 8_000, 30_000, 0, fastChange),
+                new RolePlannerSettings(price, 600_000, 10_000, 45_000, 8_000, 30_000, 0, fastChange),
                 (_group, horizonMillis) -> horizonMillis > 20_000 ? longTermDemand : shortTermDemand,
                 change -> !controlLogUnavailable && changes.add(change),
                 time);
     }
 
-    private static List<EngineView> newEngines(int mixed, int changing) {
-        List<EngineView> engines = new ArrayList<>();
+    private static List<EngineSnapshot> newEngines(int mixed, int changing) {
+        List<EngineSnapshot> engines = new ArrayList<>();
         for (int i = 0; i < mixed; i++) {
-            engines.add(new EngineView("e" + i, EngineRole.MIXED, i >= changing, i));
+            engines.add(new EngineSnapshot("e" + i, EngineRole.MIXED, i >= changing, i));
         }
         return engines;
     }
--- a/src/test/java/org/dogwoodwinch/routing/EstimatingRouterTest.java
+++ b/src/test/java/org/dogwoodwinch/routing/LoadAwareRouterTest.java
@@ -24,14 +24,14 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class EstimatingRouterTest {
+class LoadAwareRouterTest {
 
     private static final String GROUP = "reading";
     private static final String SHARED_PREFIX = "Censor note, form 7. ".repeat(100);
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     private final FleetView fleet = new FleetView(time);
-    private final EstimatingRouter router = newRouter(fleet, 1);
+    private final LoadAwareRouter router = newRouter(fleet, 1);
     private int attemptCount;
 
     @Test
@@ -125,8 +125,8 @@
     void drainingTargetReceivesNoNewRequests() {
         setInstanceList("e1", "e2");
         router.onFailed(send("e1", 10), new TargetFailure.Refused("leaving", false, true, 0));
-        fleet.onLeaving("e2", 5_000);
-        assertInstanceOf(Route.None.class, router.route(newQuery("p")));
+        fleet.markDraining("e2", 5_000);
+        assertInstanceOf(Route.NoTarget.class, router.route(newQuery("p")));
         time.advanceMillis(5_000);
         assertEquals("e2", chooseRoute(newQuery("p")).target().name());
     }
@@ -139,7 +139,7 @@
         RouteQuery suspectedQuery = new RouteQuery(GROUP, WorkClass.STANDARD, "p", 10, 10, 9_000, Set.of(), true);
         assertEquals(Set.of("e2"), countChoices(suspectedQuery, 20).keySet());
         router.onSent("v", newTarget("e2"), urgentQuery);
-        assertInstanceOf(Route.None.class, router.route(suspectedQuery));
+        assertInstanceOf(Route.NoTarget.class, router.route(suspectedQuery));
     }
 
     @Test
@@ -150,12 +150,12 @@
         assertEquals(Set.of("e3"), countChoices(query, 20).keySet());
     }
 
-    private static EstimatingRouter newRouter(FleetView fleet, long seed, VirtualTimeSource time) {
-        return new EstimatingRouter(
+    private static LoadAwareRouter newRouter(FleetView fleet, long seed, VirtualTimeSource time) {
+        return new LoadAwareRouter(
                 fleet, RoutingPolicy.STANDARD, time, RandomSource.XO_RO_SHI_RO_128_PP.create(seed), "kochi-1");
     }
 
-    private EstimatingRouter newRouter(FleetView view, long seed) {
+    private LoadAwareRouter newRouter(FleetView view, long seed) {
         return newRouter(view, seed, time);
     }
 
