--- a/src/main/java/org/dogwoodwinch/admission/Admission.java
+++ b/src/main/java/org/dogwoodwinch/admission/Admission.java
@@ -11,8 +11,8 @@
      * Asks for a permit. The decision comes exactly once, at once or after a wait in the queue, unless it is cancelled.
      *
      * @param request the request, not null
-     * @param decision takes the decision, not null; it may be called before this method returns
+     * @param decisionListener takes the decision, not null; it may be called before this method returns
      * @return cancels the wait
      */
-    Cancellable admit(CallerRequest request, Consumer<AdmissionDecision> decision);
+    Cancellable admit(CallerRequest request, Consumer<AdmissionDecision> decisionListener);
 }
--- a/src/main/java/org/dogwoodwinch/admission/AdmissionDecision.java
+++ b/src/main/java/org/dogwoodwinch/admission/AdmissionDecision.java
@@ -18,20 +18,20 @@
      *
      * @param refusal why
      */
-    record Denied(Refusal refusal) implements AdmissionDecision {}
+    record Refused(Refusal refusal) implements AdmissionDecision {}
 
     /**
      * Calls the function of this decision's kind.
      *
-     * @param granted for {@link Granted}
-     * @param denied for {@link Denied}
+     * @param onGranted for {@link Granted}
+     * @param onRefused for {@link Refused}
      * @param <T> what the functions return
      * @return what the function returned
      */
-    default <T> T match(Function<Permit, T> granted, Function<Refusal, T> denied) {
-        if (this instanceof Granted value) {
-            return granted.apply(value.permit());
+    default <T> T match(Function<Permit, T> onGranted, Function<Refusal, T> onRefused) {
+        if (this instanceof Granted grantedDecision) {
+            return onGranted.apply(grantedDecision.permit());
         }
-        return denied.apply(((Denied) this).refusal());
+        return onRefused.apply(((Refused) this).refusal());
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/AdmissionPolicy.java
+++ b/src/main/java/org/dogwoodwinch/admission/AdmissionPolicy.java
@@ -3,13 +3,13 @@
 /**
  * The constants of {@link ClassQueueAdmission}.
  *
- * @param urgentQueueLength the most urgent requests that wait for one group
- * @param standardQueueLength the most standard requests that wait for one group
- * @param longReadQueueLength the most long reads that wait for one group
+ * @param urgentQueueCapacity the most urgent requests that wait for one group
+ * @param standardQueueCapacity the most standard requests that wait for one group
+ * @param longReadQueueCapacity the most long reads that wait for one group
  * @param urgentWaitMillis an urgent request starts while a target's own wait is shorter than this, in milliseconds
  * @param standardWaitMillis the same for standard requests, in milliseconds
  * @param longReadWaitMillis the same for long reads, in milliseconds
- * @param longReadFloor the part of started work, in tokens, that is kept for waiting long reads, from zero to below one
+ * @param longReadFloorRatio the part of started work, in tokens, that is kept for waiting long reads, from zero to below one
  * @param refusalFactor how many times an estimated answer time must fit before the deadline
  * @param limitWaitMillis how long a request may wait for its owner's limit, in milliseconds
  * @param limitQueueLength the most requests that wait for one owner's limits
@@ -18,13 +18,13 @@
  * @param sweepMillis the time between looks at the queues while something waits, in milliseconds
  */
 public record AdmissionPolicy(
-        int urgentQueueLength,
-        int standardQueueLength,
-        int longReadQueueLength,
+        int urgentQueueCapacity,
+        int standardQueueCapacity,
+        int longReadQueueCapacity,
         long urgentWaitMillis,
         long standardWaitMillis,
         long longReadWaitMillis,
-        double longReadFloor,
+        double longReadFloorRatio,
         double refusalFactor,
         long limitWaitMillis,
         int limitQueueLength,
@@ -41,8 +41,8 @@
      * @throws IllegalArgumentException if the floor is not in [0, 1) or the sweep is not more than zero
      */
     public AdmissionPolicy {
-        if (longReadFloor < 0 || longReadFloor >= 1) {
-            throw new IllegalArgumentException("longReadFloor must be at least 0 and below 1: " + longReadFloor);
+        if (longReadFloorRatio < 0 || longReadFloorRatio >= 1) {
+            throw new IllegalArgumentException("longReadFloor must be at least 0 and below 1: " + longReadFloorRatio);
         }
         if (sweepMillis <= 0) {
             throw new IllegalArgumentException("sweepMillis must be more than zero: " + sweepMillis);
--- a/src/main/java/org/dogwoodwinch/admission/ClassQueueAdmission.java
+++ b/src/main/java/org/dogwoodwinch/admission/ClassQueueAdmission.java
@@ -25,16 +25,16 @@
  */
 public final class ClassQueueAdmission implements Admission {
 
-    private static final long SHORTEST_RETRY_MILLIS = 200;
-    private static final long LONGEST_RETRY_MILLIS = 5_000;
-    private static final long NO_TARGET_RETRY_MILLIS = 1_000;
+    private static final long MIN_RETRY_AFTER_MILLIS = 200;
+    private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
+    private static final long NO_TARGET_RETRY_AFTER_MILLIS = 1_000;
 
     private final AdmissionPolicy policy;
-    private final CapacityEstimator capacity;
-    private final IntSupplier liveInstances;
-    private final OwnerLimits limits;
+    private final CapacityEstimator capacityEstimator;
+    private final IntSupplier liveInstanceCount;
+    private final OwnerLimits ownerLimits;
     private final TimeSource time;
-    private final Map<String, GroupQueues> groups = new HashMap<>();
+    private final Map<String, GroupQueues> queuesByGroup = new HashMap<>();
     private final LimitQueue limitQueue;
     private final DecisionQueue decisions = new DecisionQueue();
     private boolean sweepScheduled;
@@ -44,34 +44,34 @@
      *
      * @param policy the constants, not null
      * @param catalogue the catalogue in force, for owners' limits, not null
-     * @param shares the instances' shares of those limits, not null
-     * @param capacity estimates what target groups can do, not null
-     * @param liveInstances how many instances of our own are live, to judge how fast this one's queues move, not null
+     * @param limitShares the instances' shares of those limits, not null
+     * @param capacityEstimator estimates what target groups can do, not null
+     * @param liveInstanceCount how many instances of our own are live, to judge how fast this one's queues move, not null
      * @param time the clock, not null
      */
     public ClassQueueAdmission(
             AdmissionPolicy policy,
             CatalogueView catalogue,
-            ShareExchange shares,
-            CapacityEstimator capacity,
-            IntSupplier liveInstances,
+            ShareExchange limitShares,
+            CapacityEstimator capacityEstimator,
+            IntSupplier liveInstanceCount,
             TimeSource time) {
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.capacity = Objects.requireNonNull(capacity, "capacity");
-        this.liveInstances = Objects.requireNonNull(liveInstances, "liveInstances");
+        this.capacityEstimator = Objects.requireNonNull(capacityEstimator, "capacity");
+        this.liveInstanceCount = Objects.requireNonNull(liveInstanceCount, "liveInstances");
         this.time = Objects.requireNonNull(time, "time");
-        this.limits = new OwnerLimits(catalogue, shares, time);
+        this.ownerLimits = new OwnerLimits(catalogue, limitShares, time);
         this.limitQueue = new LimitQueue(policy.limitQueueLength());
     }
 
     @Override
-    public Cancellable admit(CallerRequest request, Consumer<AdmissionDecision> decision) {
+    public Cancellable admit(CallerRequest request, Consumer<AdmissionDecision> decisionListener) {
         long nowMillis = time.monotonicMillis();
-        WaitingRequest waiting = new WaitingRequest(request, decision, limitDeadlineMillis(request, nowMillis));
+        WaitingRequest waiting = new WaitingRequest(request, decisionListener, limitDeadlineMillis(request, nowMillis));
         synchronized (this) {
-            arrive(waiting, nowMillis);
+            processArrival(waiting, nowMillis);
         }
-        tell();
+        deliverDecisions();
         return () -> cancel(waiting);
     }
 
@@ -80,14 +80,14 @@
      *
      * @return the count, over all groups and limits
      */
-    public synchronized int waitingRequests() {
-        int waiting = limitQueue.snapshot().size();
-        for (GroupQueues queues : groups.values()) {
+    public synchronized int waitingRequestCount() {
+        int count = limitQueue.snapshot().size();
+        for (GroupQueues queues : queuesByGroup.values()) {
             for (WorkClass workClass : WorkClass.values()) {
-                waiting += queues.all(workClass).size();
+                count += queues.requests(workClass).size();
             }
         }
-        return waiting;
+        return count;
     }
 
     private long limitDeadlineMillis(CallerRequest request, long nowMillis) {
@@ -96,53 +96,54 @@
                 : Math.min(request.deadlineMillis(), nowMillis + policy.limitWaitMillis());
     }
 
-    private void arrive(WaitingRequest waiting, long nowMillis) {
+    private void processArrival(WaitingRequest waiting, long nowMillis) {
         Optional<Refusal> refusal =
-                hopeless(waiting, queuesOf(waiting).workAheadMillis(waiting.workClass()), nowMillis);
+                refusalIfInfeasible(waiting, queuesOf(waiting).workAheadMillis(waiting.workClass()), nowMillis);
         if (refusal.isPresent()) {
-            deny(waiting, refusal.get());
-        } else if (limitQueue.isBehind(waiting)) {
-            waitForLimit(waiting, RefusalReason.CONCURRENCY_LIMIT, "owner", SHORTEST_RETRY_MILLIS);
+            refuse(waiting, refusal.get());
+        } else if (limitQueue.hasEarlierOfSameEntry(waiting)) {
+            enqueueForLimit(waiting, RefusalReason.CONCURRENCY_LIMIT, "owner", MIN_RETRY_AFTER_MILLIS);
         } else {
-            acquire(waiting);
+            acquireOrEnqueueForLimit(waiting);
         }
         scheduleSweep();
     }
 
-    private void acquire(WaitingRequest waiting) {
-        OwnerLimits.Acquired acquired = limits.tryAcquire(waiting.request(), waiting.tokens());
-        if (acquired instanceof OwnerLimits.Acquired.Yes yes) {
-            waiting.setPermit(yes.permit());
-            enqueue(waiting);
+    private void acquireOrEnqueueForLimit(WaitingRequest waiting) {
+        OwnerLimits.Acquired result = ownerLimits.tryAcquire(waiting.request(), waiting.maxTotalTokens());
+        if (result instanceof OwnerLimits.Acquired.Success success) {
+            waiting.setPermit(success.permit());
+            enqueueForGroup(waiting);
         } else {
-            LimitScope.Blocked blocked = ((OwnerLimits.Acquired.No) acquired).blocked();
-            waitForLimit(waiting, blocked.reason(), blocked.scope(), blocked.retryAfterMillis());
+            LimitScope.LimitReached limitReached = ((OwnerLimits.Acquired.Failure) result).limitReached();
+            enqueueForLimit(waiting, limitReached.reason(), limitReached.scope(), limitReached.retryAfterMillis());
         }
     }
 
-    private void waitForLimit(WaitingRequest waiting, RefusalReason reason, String scope, long retryAfterMillis) {
-        if (limitQueue.hasRoom(waiting)) {
+    private void enqueueForLimit(WaitingRequest waiting, RefusalReason reason, String scope, long retryAfterMillis) {
+        if (limitQueue.hasCapacity(waiting)) {
             limitQueue.add(waiting);
         } else {
-            deny(waiting, Refusal.notRun(reason, "the limit of " + scope + " is used up", retryAfterMillis));
+            refuse(waiting, Refusal.notRun(reason, "the limit of " + scope + " is used up", retryAfterMillis));
         }
     }
 
-    private void enqueue(WaitingRequest waiting) {
+    private void enqueueForGroup(WaitingRequest waiting) {
         GroupQueues queues = queuesOf(waiting);
-        if (!queues.hasRoom(waiting.workClass())) {
+        if (!queues.hasCapacity(waiting.workClass())) {
             String detail = "the queue of class " + waiting.workClass() + " is full";
-            deny(waiting, Refusal.notRun(RefusalReason.QUEUE_FULL, detail, retryAfter(waiting)));
+            refuse(waiting, Refusal.notRun(RefusalReason.QUEUE_FULL, detail, estimateRetryAfterMillis(waiting)));
             return;
         }
-        capacity.capacityOf(waiting.group())
+        capacityEstimator
+                .capacityOf(waiting.group())
                 .ifPresent(estimate ->
                         waiting.setWorkMillis(estimate.workMillis(waiting.promptTokens(), waiting.maxTokens())));
         queues.add(waiting);
     }
 
     /** Says why a request is not worth starting or keeping; empty where it is. */
-    private Optional<Refusal> hopeless(WaitingRequest waiting, double workAheadMillis, long nowMillis) {
+    private Optional<Refusal> refusalIfInfeasible(WaitingRequest waiting, double workAheadMillis, long nowMillis) {
         long remainingMillis = waiting.request().remainingMillis(nowMillis);
         if (remainingMillis == 0) {
             return Optional.of(
@@ -151,74 +152,77 @@
         if (waiting.workClass() == WorkClass.LONG_READ) {
             return Optional.empty();
         }
-        Optional<GroupCapacity> estimate = capacity.capacityOf(waiting.group());
+        Optional<GroupCapacity> estimate = capacityEstimator.capacityOf(waiting.group());
         if (estimate.isEmpty()) {
             String detail = "no target of group " + waiting.group() + " takes new work";
-            return Optional.of(Refusal.notRun(RefusalReason.NO_TARGET, detail, NO_TARGET_RETRY_MILLIS));
+            return Optional.of(Refusal.notRun(RefusalReason.NO_TARGET, detail, NO_TARGET_RETRY_AFTER_MILLIS));
         }
-        double waitMillis = queueWaitMillis(workAheadMillis, estimate.get());
+        double waitMillis = estimateQueueWaitMillis(workAheadMillis, estimate.get());
         double neededMillis = waitMillis
                 + policy.refusalFactor() * estimate.get().completionMillis(waiting.promptTokens(), waiting.maxTokens());
         if (neededMillis <= remainingMillis) {
             return Optional.empty();
         }
         String detail = "an answer would take " + Math.round(neededMillis) + " ms and " + remainingMillis + " are left";
-        return Optional.of(Refusal.notRun(RefusalReason.DEADLINE_UNMEETABLE, detail, retryAfter(waiting)));
+        return Optional.of(
+                Refusal.notRun(RefusalReason.DEADLINE_UNMEETABLE, detail, estimateRetryAfterMillis(waiting)));
     }
 
-    private double queueWaitMillis(double workAheadMillis, GroupCapacity estimate) {
-        double ownTargets = estimate.targets() / (double) Math.max(1, liveInstances.getAsInt());
-        return workAheadMillis / (1 - policy.longReadFloor()) / Math.max(0.1, ownTargets);
+    private double estimateQueueWaitMillis(double workAheadMillis, GroupCapacity estimate) {
+        double targetsPerInstance = estimate.availableTargets() / (double) Math.max(1, liveInstanceCount.getAsInt());
+        return workAheadMillis / (1 - policy.longReadFloorRatio()) / Math.max(0.1, targetsPerInstance);
     }
 
-    private long retryAfter(WaitingRequest waiting) {
-        double queueMillis = capacity.capacityOf(waiting.group())
-                .map(estimate -> queueWaitMillis(queuesOf(waiting).workAheadMillis(waiting.workClass()), estimate))
+    private long estimateRetryAfterMillis(WaitingRequest waiting) {
+        double queueMillis = capacityEstimator
+                .capacityOf(waiting.group())
+                .map(estimate ->
+                        estimateQueueWaitMillis(queuesOf(waiting).workAheadMillis(waiting.workClass()), estimate))
                 .orElse(0.0);
-        return Math.max(SHORTEST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, Math.round(queueMillis)));
+        return Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, Math.round(queueMillis)));
     }
 
     private GroupQueues queuesOf(WaitingRequest waiting) {
-        return groups.computeIfAbsent(waiting.group(), _group -> new GroupQueues(policy));
+        return queuesByGroup.computeIfAbsent(waiting.group(), _group -> new GroupQueues(policy));
     }
 
-    private void deny(WaitingRequest waiting, Refusal refusal) {
-        waiting.markDone();
+    private void refuse(WaitingRequest waiting, Refusal refusal) {
+        waiting.markSettled();
         if (waiting.permit() != null) {
             waiting.permit().release(0);
         }
-        decisions.add(() -> waiting.decision().accept(new AdmissionDecision.Denied(refusal)));
+        decisions.add(() -> waiting.decisionListener().accept(new AdmissionDecision.Refused(refusal)));
     }
 
     private void grant(WaitingRequest waiting) {
-        waiting.markDone();
-        Permit permit = usedTokens -> release(waiting, usedTokens);
-        decisions.add(() -> waiting.decision().accept(new AdmissionDecision.Granted(permit)));
+        waiting.markSettled();
+        Permit permit = usedTokens -> releasePermit(waiting, usedTokens);
+        decisions.add(() -> waiting.decisionListener().accept(new AdmissionDecision.Granted(permit)));
     }
 
-    private void release(WaitingRequest waiting, long usedTokens) {
+    private void releasePermit(WaitingRequest waiting, long usedTokens) {
         waiting.permit().release(usedTokens);
-        tell();
+        deliverDecisions();
     }
 
     private void cancel(WaitingRequest waiting) {
         synchronized (this) {
-            if (waiting.done()) {
+            if (waiting.settled()) {
                 return;
             }
-            waiting.markDone();
+            waiting.markSettled();
             limitQueue.remove(waiting);
             queuesOf(waiting).remove(waiting);
             if (waiting.permit() != null) {
                 waiting.permit().release(0);
             }
         }
-        tell();
+        deliverDecisions();
     }
 
     /** Tells decisions one by one, since each start changes the estimate that the next one depends on. */
-    private void tell() {
-        if (!decisions.startTelling()) {
+    private void deliverDecisions() {
+        if (!decisions.tryStartDelivery()) {
             return;
         }
         try {
@@ -228,59 +232,62 @@
                     decision.run();
                     decision = nextDecision();
                 }
-            } while (!decisions.stopTelling());
+            } while (!decisions.tryStopDelivery());
         } catch (RuntimeException | Error e) {
-            decisions.abortTelling();
+            decisions.abortDelivery();
             throw e;
         }
     }
 
     private synchronized Runnable nextDecision() {
-        Runnable decision = decisions.next();
+        Runnable decision = decisions.poll();
         if (decision == null) {
-            groups.values().forEach(this::decisionsOf);
-            decision = decisions.next();
+            queuesByGroup.values().forEach(this::decideNext);
+            decision = decisions.poll();
         }
         return decision;
     }
 
     /** Takes at most one start of a group, after the refusals that come before it. */
-    private void decisionsOf(GroupQueues queues) {
+    private void decideNext(GroupQueues queues) {
         long nowMillis = time.monotonicMillis();
         for (WorkClass workClass : WorkClass.values()) {
             WaitingRequest head = queues.head(workClass);
             while (head != null) {
-                Optional<Refusal> refusal = hopeless(head, 0, nowMillis);
+                Optional<Refusal> refusal = refusalIfInfeasible(head, 0, nowMillis);
                 if (refusal.isEmpty()) {
                     break;
                 }
                 queues.remove(head);
-                deny(head, refusal.get());
+                refuse(head, refusal.get());
                 head = queues.head(workClass);
             }
         }
-        startOne(queues, nowMillis);
+        startNext(queues, nowMillis);
     }
 
-    private void startOne(GroupQueues queues, long nowMillis) {
+    private void startNext(GroupQueues queues, long nowMillis) {
         if (queues.isEmpty()) {
             return;
         }
-        String group = anyOf(queues).group();
-        WaitingRequest next = capacity.capacityOf(group)
-                .map(estimate -> queues.next(estimate.waitMillis() + unheardMillis(queues, estimate, nowMillis)))
+        String group = firstWaiting(queues).group();
+        WaitingRequest next = capacityEstimator
+                .capacityOf(group)
+                .map(estimate -> queues.nextToStart(
+                        estimate.promptWaitMillis() + unreportedPeerWorkMillis(queues, estimate, nowMillis)))
                 .orElse(null);
         if (next != null) {
-            queues.start(next, nowMillis);
+            queues.removeForStart(next, nowMillis);
             grant(next);
         }
     }
 
-    private double unheardMillis(GroupQueues queues, GroupCapacity estimate, long nowMillis) {
-        return queues.unheardMillis(liveInstances.getAsInt(), nowMillis) / Math.max(1, estimate.targets());
+    private double unreportedPeerWorkMillis(GroupQueues queues, GroupCapacity estimate, long nowMillis) {
+        return queues.unreportedPeerWorkMillis(liveInstanceCount.getAsInt(), nowMillis)
+                / Math.max(1, estimate.availableTargets());
     }
 
-    private static WaitingRequest anyOf(GroupQueues queues) {
+    private static WaitingRequest firstWaiting(GroupQueues queues) {
         for (WorkClass workClass : WorkClass.values()) {
             if (queues.head(workClass) != null) {
                 return queues.head(workClass);
@@ -290,8 +297,9 @@
     }
 
     private void scheduleSweep() {
-        boolean waiting = !limitQueue.isEmpty() || groups.values().stream().anyMatch(queues -> !queues.isEmpty());
-        if (waiting && !sweepScheduled) {
+        boolean anyWaiting =
+                !limitQueue.isEmpty() || queuesByGroup.values().stream().anyMatch(queues -> !queues.isEmpty());
+        if (anyWaiting && !sweepScheduled) {
             sweepScheduled = true;
             time.schedule(policy.sweepMillis(), this::sweep);
         }
@@ -300,41 +308,41 @@
     private void sweep() {
         synchronized (this) {
             sweepScheduled = false;
-            sweepLimits();
+            sweepLimitQueue();
         }
-        tell();
+        deliverDecisions();
         synchronized (this) {
             scheduleSweep();
         }
     }
 
-    private void sweepLimits() {
+    private void sweepLimitQueue() {
         long nowMillis = time.monotonicMillis();
-        List<WaitingRequest> waiting = limitQueue.snapshot();
+        List<WaitingRequest> waitingRequests = limitQueue.snapshot();
         limitQueue.clear();
-        for (WaitingRequest each : waiting) {
-            if (nowMillis >= each.limitDeadlineMillis()) {
-                refuseForLimit(each);
+        for (WaitingRequest waiting : waitingRequests) {
+            if (nowMillis >= waiting.limitDeadlineMillis()) {
+                acquireOrRefuse(waiting);
             } else {
-                acquire(each);
+                acquireOrEnqueueForLimit(waiting);
             }
         }
-        limits.reportWaiting();
+        ownerLimits.reportDemand();
     }
 
-    private void refuseForLimit(WaitingRequest waiting) {
-        OwnerLimits.Acquired acquired = limits.tryAcquire(waiting.request(), waiting.tokens());
-        if (acquired instanceof OwnerLimits.Acquired.Yes yes) {
-            waiting.setPermit(yes.permit());
-            enqueue(waiting);
+    private void acquireOrRefuse(WaitingRequest waiting) {
+        OwnerLimits.Acquired result = ownerLimits.tryAcquire(waiting.request(), waiting.maxTotalTokens());
+        if (result instanceof OwnerLimits.Acquired.Success success) {
+            waiting.setPermit(success.permit());
+            enqueueForGroup(waiting);
             return;
         }
-        LimitScope.Blocked blocked = ((OwnerLimits.Acquired.No) acquired).blocked();
-        deny(
+        LimitScope.LimitReached limitReached = ((OwnerLimits.Acquired.Failure) result).limitReached();
+        refuse(
                 waiting,
                 Refusal.notRun(
-                        blocked.reason(),
-                        "the limit of " + blocked.scope() + " is used up",
-                        blocked.retryAfterMillis()));
+                        limitReached.reason(),
+                        "the limit of " + limitReached.scope() + " is used up",
+                        limitReached.retryAfterMillis()));
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/DecisionQueue.java
+++ b/src/main/java/org/dogwoodwinch/admission/DecisionQueue.java
@@ -11,8 +11,8 @@
 final class DecisionQueue {
 
     private final Deque<Runnable> decisions = new ArrayDeque<>();
-    private boolean telling;
-    private boolean askedAgain;
+    private boolean delivering;
+    private boolean recheckRequested;
 
     synchronized void add(Runnable decision) {
         decisions.add(decision);
@@ -22,30 +22,30 @@
      * Becomes the teller, unless someone is; that one then looks once more before it stops, or a request that came in
      * between would wait for the next sweep.
      */
-    synchronized boolean startTelling() {
-        if (telling) {
-            askedAgain = true;
+    synchronized boolean tryStartDelivery() {
+        if (delivering) {
+            recheckRequested = true;
             return false;
         }
-        telling = true;
+        delivering = true;
         return true;
     }
 
-    synchronized Runnable next() {
+    synchronized Runnable poll() {
         return decisions.poll();
     }
 
     /** Stops telling, unless there is reason to look again. */
-    synchronized boolean stopTelling() {
-        if (askedAgain) {
-            askedAgain = false;
+    synchronized boolean tryStopDelivery() {
+        if (recheckRequested) {
+            recheckRequested = false;
             return false;
         }
-        telling = false;
+        delivering = false;
         return true;
     }
 
-    synchronized void abortTelling() {
-        telling = false;
+    synchronized void abortDelivery() {
+        delivering = false;
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/GrantTerm.java
+++ b/src/main/java/org/dogwoodwinch/admission/GrantExpiryRule.java
@@ -2,11 +2,11 @@
 
 /** From when on a borrower counts the term of a grant; tests put a wrong one in its place to see it caught. */
 @FunctionalInterface
-interface GrantTerm {
+interface GrantExpiryRule {
 
     /** Counts from the borrower's own stamp, sent before the lender knew of it: the borrower always ends first. */
-    GrantTerm FROM_OWN_STAMP = (echoStampMillis, _nowMillis, termMillis) -> echoStampMillis + termMillis;
+    GrantExpiryRule FROM_BORROWER_STAMP = (echoStampMillis, _nowMillis, termMillis) -> echoStampMillis + termMillis;
 
     /** Returns when the borrower stops using the grant, on its own clock. */
-    long endMillis(long echoStampMillis, long nowMillis, long termMillis);
+    long expiryMillis(long echoStampMillis, long nowMillis, long termMillis);
 }
--- a/src/main/java/org/dogwoodwinch/admission/GroupCapacity.java
+++ b/src/main/java/org/dogwoodwinch/admission/GroupCapacity.java
@@ -3,20 +3,20 @@
 /**
  * What a target group can do for one request more, as this instance estimates it now.
  *
- * @param targets how many targets take new work
- * @param waitMillis how long a prompt would wait on the best of them, in milliseconds
- * @param prefillTokensPerMilli prompt tokens that one target computes a millisecond
- * @param tokenMillis time between tokens of one answer, in milliseconds
- * @param decodeTokensPerMilli tokens that one target generates a millisecond over its batch
- * @param outputShare the part of the allowed output that answers really use, from zero to one
+ * @param availableTargets how many targets take new work
+ * @param promptWaitMillis how long a prompt would wait on the best of them, in milliseconds
+ * @param prefillTokensPerMillisecond prompt tokens that one target computes a millisecond
+ * @param interTokenMillis time between tokens of one answer, in milliseconds
+ * @param decodeTokensPerMillisecond tokens that one target generates a millisecond over its batch
+ * @param expectedOutputRatio the part of the allowed output that answers really use, from zero to one
  */
 public record GroupCapacity(
-        int targets,
-        double waitMillis,
-        double prefillTokensPerMilli,
-        double tokenMillis,
-        double decodeTokensPerMilli,
-        double outputShare) {
+        int availableTargets,
+        double promptWaitMillis,
+        double prefillTokensPerMillisecond,
+        double interTokenMillis,
+        double decodeTokensPerMillisecond,
+        double expectedOutputRatio) {
 
     /**
      * Estimates how long a request takes from its start on a target to its last token.
@@ -26,7 +26,9 @@
      * @return milliseconds
      */
     public double completionMillis(long promptTokens, int maxTokens) {
-        return waitMillis + promptTokens / prefillTokensPerMilli + maxTokens * outputShare * tokenMillis;
+        return promptWaitMillis
+                + promptTokens / prefillTokensPerMillisecond
+                + maxTokens * expectedOutputRatio * interTokenMillis;
     }
 
     /**
@@ -37,6 +39,7 @@
      * @return milliseconds of one target
      */
     public double workMillis(long promptTokens, int maxTokens) {
-        return promptTokens / prefillTokensPerMilli + maxTokens * outputShare / decodeTokensPerMilli;
+        return promptTokens / prefillTokensPerMillisecond
+                + maxTokens * expectedOutputRatio / decodeTokensPerMillisecond;
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
+++ b/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
@@ -21,13 +21,13 @@
 
     private final AdmissionPolicy policy;
     private final Map<WorkClass, Queue<WaitingRequest>> queues = new EnumMap<>(WorkClass.class);
-    private final Map<WorkClass, Double> workMillis = new EnumMap<>(WorkClass.class);
-    private final StartedWork started;
-    private double longReadCredit;
+    private final Map<WorkClass, Double> queuedWorkMillis = new EnumMap<>(WorkClass.class);
+    private final RecentlyStartedWork recentlyStarted;
+    private double longReadCreditTokens;
 
     GroupQueues(AdmissionPolicy policy) {
         this.policy = policy;
-        this.started = new StartedWork(policy.unheardMillis());
+        this.recentlyStarted = new RecentlyStartedWork(policy.unheardMillis());
         Comparator<WaitingRequest> byDeadline =
                 Comparator.comparingLong(waiting -> waiting.request().deadlineMillis());
         queues.put(WorkClass.URGENT, new PriorityQueue<>(byDeadline));
@@ -35,21 +35,21 @@
         queues.put(WorkClass.LONG_READ, new ArrayDeque<>());
     }
 
-    boolean hasRoom(WorkClass workClass) {
-        return queues.get(workClass).size() < lengthOf(workClass);
+    boolean hasCapacity(WorkClass workClass) {
+        return queues.get(workClass).size() < capacityOf(workClass);
     }
 
     void add(WaitingRequest waiting) {
         queues.get(waiting.workClass()).add(waiting);
-        workMillis.merge(waiting.workClass(), waiting.workMillis(), Double::sum);
+        queuedWorkMillis.merge(waiting.workClass(), waiting.workMillis(), Double::sum);
     }
 
     void remove(WaitingRequest waiting) {
         if (queues.get(waiting.workClass()).remove(waiting)) {
-            workMillis.merge(waiting.workClass(), -waiting.workMillis(), Double::sum);
+            queuedWorkMillis.merge(waiting.workClass(), -waiting.workMillis(), Double::sum);
         }
         if (queues.get(WorkClass.LONG_READ).isEmpty()) {
-            longReadCredit = 0;
+            longReadCreditTokens = 0;
         }
     }
 
@@ -62,26 +62,28 @@
         return queues.get(workClass).peek();
     }
 
-    Collection<WaitingRequest> all(WorkClass workClass) {
+    Collection<WaitingRequest> requests(WorkClass workClass) {
         return queues.get(workClass);
     }
 
     /** The work that would go before a new request of a class, in milliseconds of one target. */
     double workAheadMillis(WorkClass workClass) {
-        double ahead = workMillis.getOrDefault(WorkClass.URGENT, 0.0);
+        double aheadMillis = queuedWorkMillis.getOrDefault(WorkClass.URGENT, 0.0);
         if (workClass != WorkClass.URGENT) {
-            ahead += workMillis.getOrDefault(WorkClass.STANDARD, 0.0);
+            aheadMillis += queuedWorkMillis.getOrDefault(WorkClass.STANDARD, 0.0);
         }
         if (workClass == WorkClass.LONG_READ) {
-            ahead += workMillis.getOrDefault(WorkClass.LONG_READ, 0.0);
+            aheadMillis += queuedWorkMillis.getOrDefault(WorkClass.LONG_READ, 0.0);
         }
-        return Math.max(0, ahead);
+        return Math.max(0, aheadMillis);
     }
 
     /** Which request starts next where a target's own wait is this long; null where none does. */
-    WaitingRequest next(double targetWaitMillis) {
+    WaitingRequest nextToStart(double targetWaitMillis) {
         WaitingRequest longRead = head(WorkClass.LONG_READ);
-        if (longRead != null && longReadCredit >= longRead.tokens() && targetWaitMillis <= policy.urgentWaitMillis()) {
+        if (longRead != null
+                && longReadCreditTokens >= longRead.maxTotalTokens()
+                && targetWaitMillis <= policy.urgentWaitMillis()) {
             return longRead;
         }
         if (head(WorkClass.URGENT) != null) {
@@ -94,28 +96,30 @@
     }
 
     /** What the other instances have started and nobody has told yet, in milliseconds of one target. */
-    double unheardMillis(int instancesCount, long nowMillis) {
-        return started.unheardOfOthers(instancesCount, nowMillis);
+    double unreportedPeerWorkMillis(int instanceCount, long nowMillis) {
+        return recentlyStarted.unreportedPeerWorkMillis(instanceCount, nowMillis);
     }
 
     /** Takes a request out to start it, and keeps the accounts. */
-    void start(WaitingRequest waiting, long nowMillis) {
-        started.started(waiting.workMillis(), nowMillis);
+    void removeForStart(WaitingRequest waiting, long nowMillis) {
+        recentlyStarted.recordStart(waiting.workMillis(), nowMillis);
         if (waiting.workClass() == WorkClass.LONG_READ) {
-            longReadCredit = Math.max(0, longReadCredit - waiting.tokens());
+            longReadCreditTokens = Math.max(0, longReadCreditTokens - waiting.maxTotalTokens());
         } else if (head(WorkClass.LONG_READ) != null) {
-            double earned = waiting.tokens() * policy.longReadFloor() / (1 - policy.longReadFloor());
-            longReadCredit =
-                    Math.min(longReadCredit + earned, head(WorkClass.LONG_READ).tokens() + earned);
+            double earnedTokens =
+                    waiting.maxTotalTokens() * policy.longReadFloorRatio() / (1 - policy.longReadFloorRatio());
+            longReadCreditTokens = Math.min(
+                    longReadCreditTokens + earnedTokens,
+                    head(WorkClass.LONG_READ).maxTotalTokens() + earnedTokens);
         }
         remove(waiting);
     }
 
-    private int lengthOf(WorkClass workClass) {
+    private int capacityOf(WorkClass workClass) {
         return switch (workClass) {
-            case URGENT -> policy.urgentQueueLength();
-            case STANDARD -> policy.standardQueueLength();
-            case LONG_READ -> policy.longReadQueueLength();
+            case URGENT -> policy.urgentQueueCapacity();
+            case STANDARD -> policy.standardQueueCapacity();
+            case LONG_READ -> policy.longReadQueueCapacity();
         };
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/LimitQueue.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitQueue.java
@@ -8,23 +8,23 @@
 /** Requests that wait for their owner's limit, in order of arrival for each owner. */
 final class LimitQueue {
 
-    private final int mostOfOneOwner;
-    private final Map<String, List<WaitingRequest>> byOwner = new HashMap<>();
+    private final int maxPerOwner;
+    private final Map<String, List<WaitingRequest>> queuesByOwner = new HashMap<>();
 
-    LimitQueue(int mostOfOneOwner) {
-        this.mostOfOneOwner = mostOfOneOwner;
+    LimitQueue(int maxPerOwner) {
+        this.maxPerOwner = maxPerOwner;
     }
 
-    boolean hasRoom(WaitingRequest waiting) {
-        List<WaitingRequest> line = byOwner.get(ownerOf(waiting));
-        return line == null || line.size() < mostOfOneOwner;
+    boolean hasCapacity(WaitingRequest waiting) {
+        List<WaitingRequest> ownerQueue = queuesByOwner.get(ownerOf(waiting));
+        return ownerQueue == null || ownerQueue.size() < maxPerOwner;
     }
 
     /** Whether an earlier request of the same entry waits; a later one must not overtake it. */
-    boolean isBehind(WaitingRequest waiting) {
-        List<WaitingRequest> line = byOwner.get(ownerOf(waiting));
-        return line != null
-                && line.stream()
+    boolean hasEarlierOfSameEntry(WaitingRequest waiting) {
+        List<WaitingRequest> ownerQueue = queuesByOwner.get(ownerOf(waiting));
+        return ownerQueue != null
+                && ownerQueue.stream()
                         .anyMatch(earlier -> earlier.request()
                                 .entry()
                                 .name()
@@ -32,35 +32,37 @@
     }
 
     void add(WaitingRequest waiting) {
-        byOwner.computeIfAbsent(ownerOf(waiting), _owner -> new ArrayList<>()).add(waiting);
+        queuesByOwner
+                .computeIfAbsent(ownerOf(waiting), _owner -> new ArrayList<>())
+                .add(waiting);
     }
 
     void remove(WaitingRequest waiting) {
-        List<WaitingRequest> line = byOwner.get(ownerOf(waiting));
-        if (line != null) {
-            line.remove(waiting);
-            removeIfEmpty(ownerOf(waiting), line);
+        List<WaitingRequest> ownerQueue = queuesByOwner.get(ownerOf(waiting));
+        if (ownerQueue != null) {
+            ownerQueue.remove(waiting);
+            removeIfEmpty(ownerOf(waiting), ownerQueue);
         }
     }
 
     void clear() {
-        byOwner.clear();
+        queuesByOwner.clear();
     }
 
     boolean isEmpty() {
-        return byOwner.isEmpty();
+        return queuesByOwner.isEmpty();
     }
 
     /** All that wait, in an order in which a decision may take them out of the queue. */
     List<WaitingRequest> snapshot() {
         List<WaitingRequest> all = new ArrayList<>();
-        byOwner.values().forEach(all::addAll);
+        queuesByOwner.values().forEach(all::addAll);
         return all;
     }
 
-    private void removeIfEmpty(String owner, List<WaitingRequest> line) {
-        if (line.isEmpty()) {
-            byOwner.remove(owner);
+    private void removeIfEmpty(String owner, List<WaitingRequest> ownerQueue) {
+        if (ownerQueue.isEmpty()) {
+            queuesByOwner.remove(owner);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/admission/LimitScope.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitScope.java
@@ -12,23 +12,23 @@
     static final long RATE_UNITS = 64;
 
     /** How much of its rate an owner may use at once. */
-    private static final double BUCKET_MILLIS = 2_000;
+    private static final double BURST_MILLIS = 2_000;
 
-    private static final long RATE_TERM_MILLIS = 10_000;
-    private static final long LONGEST_RETRY_MILLIS = 5_000;
-    private static final long RETRY_MILLIS = 500;
+    private static final long RATE_GRANT_TERM_MILLIS = 10_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
+    private static final long MIN_RETRY_AFTER_MILLIS = 500;
 
     private final String name;
-    private final ShareExchange shares;
+    private final ShareExchange limitShares;
     private Limits limits;
     private TokenBucket bucket;
-    private long blockedRequests;
-    private long blockedTokens;
-    private long blockedTermMillis;
+    private long unmetRequests;
+    private long unmetTokens;
+    private long unmetTermMillis;
 
-    LimitScope(String name, ShareExchange shares, Limits limits) {
+    LimitScope(String name, ShareExchange limitShares, Limits limits) {
         this.name = name;
-        this.shares = shares;
+        this.limitShares = limitShares;
         this.limits = limits;
         setLimits(limits);
     }
@@ -37,86 +37,88 @@
     void setLimits(Limits newLimits) {
         limits = newLimits;
         if (limits.maxConcurrent() > 0) {
-            concurrency();
+            concurrencyAllocation();
         }
         if (limits.tokensPerSecond() > 0) {
-            rate();
+            rateAllocation();
         }
     }
 
     /** Why a request may not start for this scope; empty where it may. */
-    Optional<Blocked> check(long tokens, long nowMillis) {
+    Optional<LimitReached> checkTokenRate(long tokens, long nowMillis) {
         if (limits.tokensPerSecond() > 0) {
             TokenBucket tokenBucket = refreshedBucket(nowMillis);
             long waitMillis = tokenBucket.millisUntil(tokens, nowMillis);
             if (!tokenBucket.canTake(tokens, nowMillis)) {
-                blockedTokens += tokens;
-                long retryMillis = Math.min(LONGEST_RETRY_MILLIS, Math.max(RETRY_MILLIS, waitMillis));
-                return Optional.of(new Blocked(RefusalReason.TOKEN_RATE_LIMIT, name, retryMillis));
+                unmetTokens += tokens;
+                long retryAfterMillis = Math.min(MAX_RETRY_AFTER_MILLIS, Math.max(MIN_RETRY_AFTER_MILLIS, waitMillis));
+                return Optional.of(new LimitReached(RefusalReason.TOKEN_RATE_LIMIT, name, retryAfterMillis));
             }
         }
         return Optional.empty();
     }
 
-    /** Takes a place; call it after {@link #check}. Empty where no unit is free until the given time. */
-    Optional<ShareLedger.Use> takePlace(long untilMillis, long nowMillis) {
+    /** Takes a place; call it after {@link #checkTokenRate}. Empty where no unit is free until the given time. */
+    Optional<LimitAllocation.AcquiredUnit> tryAcquireConcurrency(long untilMillis, long nowMillis) {
         if (limits.maxConcurrent() <= 0) {
             return Optional.of(() -> {});
         }
-        Optional<ShareLedger.Use> use = concurrency().tryUse(untilMillis, nowMillis);
-        if (use.isEmpty()) {
-            blockedRequests++;
-            blockedTermMillis = Math.max(blockedTermMillis, untilMillis - nowMillis);
+        Optional<LimitAllocation.AcquiredUnit> unit = concurrencyAllocation().tryAcquire(untilMillis, nowMillis);
+        if (unit.isEmpty()) {
+            unmetRequests++;
+            unmetTermMillis = Math.max(unmetTermMillis, untilMillis - nowMillis);
         }
-        return use;
+        return unit;
     }
 
-    Blocked concurrencyBlocked() {
-        return new Blocked(RefusalReason.CONCURRENCY_LIMIT, name, RETRY_MILLIS);
+    LimitReached concurrencyLimitReached() {
+        return new LimitReached(RefusalReason.CONCURRENCY_LIMIT, name, MIN_RETRY_AFTER_MILLIS);
     }
 
     void takeTokens(long tokens, long nowMillis) {
         if (limits.tokensPerSecond() > 0) {
             refreshedBucket(nowMillis).take(tokens);
-            rate().touch(nowMillis);
+            rateAllocation().markUsed(nowMillis);
         }
     }
 
-    void correctTokens(long usedBeyondEstimate) {
+    void correctTokens(long tokensAboveEstimate) {
         if (bucket != null) {
-            bucket.correct(usedBeyondEstimate);
+            bucket.correct(tokensAboveEstimate);
         }
     }
 
     /** Tells the ledgers what was blocked since the last call; they ask the peers for as much. */
-    void reportWaiting() {
+    void reportDemand() {
         if (limits.maxConcurrent() > 0) {
-            concurrency().setWaiting(blockedRequests, 2 * blockedTermMillis);
+            concurrencyAllocation().setDemand(unmetRequests, 2 * unmetTermMillis);
         }
         if (limits.tokensPerSecond() > 0) {
             long unitTokens = Math.max(1, limits.tokensPerSecond() / RATE_UNITS);
-            rate().setWaiting(Math.min(RATE_UNITS, (blockedTokens + unitTokens - 1) / unitTokens), RATE_TERM_MILLIS);
+            rateAllocation()
+                    .setDemand(
+                            Math.min(RATE_UNITS, (unmetTokens + unitTokens - 1) / unitTokens), RATE_GRANT_TERM_MILLIS);
         }
-        blockedRequests = 0;
-        blockedTokens = 0;
-        blockedTermMillis = 0;
+        unmetRequests = 0;
+        unmetTokens = 0;
+        unmetTermMillis = 0;
     }
 
     private TokenBucket refreshedBucket(long nowMillis) {
-        double perSecond = rate().heldUnits(nowMillis) * (double) limits.tokensPerSecond() / RATE_UNITS;
+        double tokensPerSecond = rateAllocation().heldUnits(nowMillis) * (double) limits.tokensPerSecond() / RATE_UNITS;
         if (bucket == null) {
-            bucket = TokenBucket.full(perSecond, BUCKET_MILLIS, nowMillis);
+            bucket = TokenBucket.full(tokensPerSecond, BURST_MILLIS, nowMillis);
         }
-        bucket.setRate(perSecond, nowMillis);
+        bucket.setRate(tokensPerSecond, nowMillis);
         return bucket;
     }
 
-    private ShareLedger concurrency() {
-        return shares.ledger(name + "/concurrent", limits.maxConcurrent());
+    private LimitAllocation concurrencyAllocation() {
+        return limitShares.allocation(name + "/concurrent", limits.maxConcurrent());
     }
 
-    private ShareLedger rate() {
-        return shares.ledger(name + "/tokens", RATE_UNITS);
+    private LimitAllocation rateAllocation() {
+        return limitShares.allocation(name + "/tokens", RATE_UNITS);
     }
 
     /**
@@ -126,5 +128,5 @@
      * @param scope the owner or entry whose limit it is
      * @param retryAfterMillis when to come back, in milliseconds
      */
-    record Blocked(RefusalReason reason, String scope, long retryAfterMillis) {}
+    record LimitReached(RefusalReason reason, String scope, long retryAfterMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/admission/ShareNote.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareMessage.java
@@ -18,17 +18,17 @@
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonPropertyOrder({"homeIndex", "incarnation", "stampMillis", "lives", "wants", "grants", "holds"})
-public record ShareNote(
+public record LimitShareMessage(
         int homeIndex,
         long incarnation,
         long stampMillis,
         List<Long> lives,
-        List<Want> wants,
+        List<BorrowRequest> wants,
         List<Grant> grants,
-        List<Hold> holds) {
+        List<HeldGrant> holds) {
 
     /** Copies the lists. */
-    public ShareNote {
+    public LimitShareMessage {
         lives = List.copyOf(lives);
         wants = List.copyOf(wants);
         grants = List.copyOf(grants);
@@ -44,10 +44,10 @@
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @JsonPropertyOrder({"limitId", "units", "termMillis"})
-    public record Want(String limitId, long units, long termMillis) {
+    public record BorrowRequest(String limitId, long units, long termMillis) {
 
         /** Checks the parts. */
-        public Want {
+        public BorrowRequest {
             Objects.requireNonNull(limitId, "limitId");
         }
     }
@@ -92,18 +92,18 @@
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @JsonPropertyOrder({"limitId", "lenderIndex", "lenderIncarnation", "grantId", "units", "state"})
-    public record Hold(
-            String limitId, int lenderIndex, long lenderIncarnation, long grantId, long units, HoldState state) {
+    public record HeldGrant(
+            String limitId, int lenderIndex, long lenderIncarnation, long grantId, long units, HeldGrantState state) {
 
         /** Checks the parts. */
-        public Hold {
+        public HeldGrant {
             Objects.requireNonNull(limitId, "limitId");
             Objects.requireNonNull(state, "state");
         }
     }
 
     /** What becomes of a borrowed grant. */
-    public enum HoldState {
+    public enum HeldGrantState {
         /** In use or wanted: the lender may lengthen it. */
         RENEW,
         /** Given back: the lender may use the units again. */
--- a/src/main/java/org/dogwoodwinch/admission/ShareNoteCodec.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareMessageCodec.java
@@ -8,22 +8,22 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Writes and reads {@link ShareNote} in MessagePack. */
-public final class ShareNoteCodec {
+/** Writes and reads {@link LimitShareMessage} in MessagePack. */
+public final class LimitShareMessageCodec {
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
 
-    private ShareNoteCodec() {}
+    private LimitShareMessageCodec() {}
 
     /**
      * Writes a note.
      *
-     * @param note the note, not null
+     * @param message the note, not null
      * @return its bytes
      */
-    public static Bytes encode(ShareNote note) {
+    public static Bytes encode(LimitShareMessage message) {
         try {
-            return Bytes.of(MAPPER.writeValueAsBytes(note));
+            return Bytes.of(MAPPER.writeValueAsBytes(message));
         } catch (JsonProcessingException e) {
             throw new UncheckedIOException("a plain record could not be written", e);
         }
@@ -35,9 +35,9 @@
      * @param payload the bytes, not null
      * @return the note, or empty where the bytes are not one: a newer or broken peer must not stop this instance
      */
-    public static Optional<ShareNote> decode(Bytes payload) {
+    public static Optional<LimitShareMessage> decode(Bytes payload) {
         try {
-            return Optional.ofNullable(MAPPER.readValue(payload.toByteArray(), ShareNote.class));
+            return Optional.ofNullable(MAPPER.readValue(payload.toByteArray(), LimitShareMessage.class));
         } catch (IOException e) {
             return Optional.empty();
         }
--- a/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
+++ b/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
@@ -20,102 +20,111 @@
 final class OwnerLimits {
 
     private final CatalogueView catalogue;
-    private final ShareExchange shares;
+    private final ShareExchange limitShares;
     private final TimeSource time;
     private final Map<String, LimitScope> scopes = new HashMap<>();
 
-    OwnerLimits(CatalogueView catalogue, ShareExchange shares, TimeSource time) {
+    OwnerLimits(CatalogueView catalogue, ShareExchange limitShares, TimeSource time) {
         this.catalogue = Objects.requireNonNull(catalogue, "catalogue");
-        this.shares = Objects.requireNonNull(shares, "shares");
+        this.limitShares = Objects.requireNonNull(limitShares, "shares");
         this.time = Objects.requireNonNull(time, "time");
-        catalogue.onChange(this::onCatalogue);
-        catalogue.current().ifPresent(this::onCatalogue);
+        catalogue.onChange(this::applyCatalogue);
+        catalogue.current().ifPresent(this::applyCatalogue);
     }
 
     /** Takes a place and the tokens under both the owner's and the entry's limits, or says which limit is in the way. */
-    Acquired tryAcquire(CallerRequest request, long tokens) {
-        synchronized (shares) {
+    Acquired tryAcquire(CallerRequest request, long estimatedTokens) {
+        synchronized (limitShares) {
             long nowMillis = time.monotonicMillis();
-            LimitScope owner = ownerScope(request);
-            LimitScope entry = entryScope(request);
-            Optional<LimitScope.Blocked> blocked =
-                    owner.check(tokens, nowMillis).or(() -> entry.check(tokens, nowMillis));
-            if (blocked.isPresent()) {
-                return new Acquired.No(blocked.get());
+            LimitScope ownerScope = ownerScope(request);
+            LimitScope entryScope = entryScope(request);
+            Optional<LimitScope.LimitReached> limitReached = ownerScope
+                    .checkTokenRate(estimatedTokens, nowMillis)
+                    .or(() -> entryScope.checkTokenRate(estimatedTokens, nowMillis));
+            if (limitReached.isPresent()) {
+                return new Acquired.Failure(limitReached.get());
             }
-            return takePlaces(request.deadlineMillis(), owner, entry)
-                    .<Acquired>map(use -> taken(use, owner, entry, tokens, nowMillis))
-                    .orElseGet(() -> new Acquired.No(owner.concurrencyBlocked()));
+            return tryAcquireConcurrency(request.deadlineMillis(), ownerScope, entryScope)
+                    .<Acquired>map(units -> takeTokens(units, ownerScope, entryScope, estimatedTokens, nowMillis))
+                    .orElseGet(() -> new Acquired.Failure(ownerScope.concurrencyLimitReached()));
         }
     }
 
     /** Tells the peers what had to wait since the last call. */
-    void reportWaiting() {
-        synchronized (shares) {
-            scopes.values().forEach(LimitScope::reportWaiting);
+    void reportDemand() {
+        synchronized (limitShares) {
+            scopes.values().forEach(LimitScope::reportDemand);
         }
     }
 
-    private Optional<ShareLedger.Use> takePlaces(long untilMillis, LimitScope owner, LimitScope entry) {
+    private Optional<LimitAllocation.AcquiredUnit> tryAcquireConcurrency(
+            long untilMillis, LimitScope ownerScope, LimitScope entryScope) {
         long nowMillis = time.monotonicMillis();
-        Optional<ShareLedger.Use> ownerUse = owner.takePlace(untilMillis, nowMillis);
-        if (ownerUse.isEmpty()) {
+        Optional<LimitAllocation.AcquiredUnit> ownerUnit = ownerScope.tryAcquireConcurrency(untilMillis, nowMillis);
+        if (ownerUnit.isEmpty()) {
             return Optional.empty();
         }
-        Optional<ShareLedger.Use> entryUse = entry.takePlace(untilMillis, nowMillis);
-        if (entryUse.isEmpty()) {
-            ownerUse.get().release();
+        Optional<LimitAllocation.AcquiredUnit> entryUnit = entryScope.tryAcquireConcurrency(untilMillis, nowMillis);
+        if (entryUnit.isEmpty()) {
+            ownerUnit.get().release();
             return Optional.empty();
         }
         return Optional.of(() -> {
-            ownerUse.get().release();
-            entryUse.get().release();
+            ownerUnit.get().release();
+            entryUnit.get().release();
         });
     }
 
-    private Acquired taken(ShareLedger.Use use, LimitScope owner, LimitScope entry, long tokens, long nowMillis) {
-        owner.takeTokens(tokens, nowMillis);
-        entry.takeTokens(tokens, nowMillis);
-        return new Acquired.Yes(new LimitPermit(use, used -> {
-            owner.correctTokens(used - tokens);
-            entry.correctTokens(used - tokens);
+    private Acquired takeTokens(
+            LimitAllocation.AcquiredUnit units,
+            LimitScope ownerScope,
+            LimitScope entryScope,
+            long estimatedTokens,
+            long nowMillis) {
+        ownerScope.takeTokens(estimatedTokens, nowMillis);
+        entryScope.takeTokens(estimatedTokens, nowMillis);
+        return new Acquired.Success(new LimitPermit(units, usedTokens -> {
+            ownerScope.correctTokens(usedTokens - estimatedTokens);
+            entryScope.correctTokens(usedTokens - estimatedTokens);
         }));
     }
 
-    private void onCatalogue(Catalogue newCatalogue) {
-        synchronized (shares) {
+    private void applyCatalogue(Catalogue newCatalogue) {
+        synchronized (limitShares) {
             newCatalogue.owners().values().forEach(owner -> setLimits("owner/" + owner.name(), owner.limits()));
             newCatalogue.entries().values().forEach(entry -> setLimits("entry/" + entry.name(), entry.limits()));
-            scopes.keySet().removeIf(name -> !isNamed(newCatalogue, name));
+            scopes.keySet().removeIf(scopeName -> !isInCatalogue(newCatalogue, scopeName));
         }
     }
 
-    private static boolean isNamed(Catalogue catalogue, String scope) {
-        String name = scope.substring(scope.indexOf('/') + 1);
-        return scope.startsWith("owner/")
+    private static boolean isInCatalogue(Catalogue catalogue, String scopeName) {
+        String name = scopeName.substring(scopeName.indexOf('/') + 1);
+        return scopeName.startsWith("owner/")
                 ? catalogue.owners().containsKey(name)
                 : catalogue.entries().containsKey(name);
     }
 
-    private void setLimits(String name, Limits limits) {
-        LimitScope known = scopes.get(name);
-        if (known == null) {
-            scopes.put(name, new LimitScope(name, shares, limits));
+    private void setLimits(String scopeName, Limits limits) {
+        LimitScope existing = scopes.get(scopeName);
+        if (existing == null) {
+            scopes.put(scopeName, new LimitScope(scopeName, limitShares, limits));
         } else {
-            known.setLimits(limits);
+            existing.setLimits(limits);
         }
     }
 
     private LimitScope ownerScope(CallerRequest request) {
         String owner = request.entry().owner();
-        Function<String, LimitScope> make = name -> new LimitScope(name, shares, limitsOf(owner));
-        return scopes.computeIfAbsent("owner/" + owner, make);
+        Function<String, LimitScope> newScope = name -> new LimitScope(name, limitShares, limitsOf(owner));
+        return scopes.computeIfAbsent("owner/" + owner, newScope);
     }
 
     private LimitScope entryScope(CallerRequest request) {
-        String name = "entry/" + request.entry().name();
+        String scopeName = "entry/" + request.entry().name();
         return scopes.computeIfAbsent(
-                name, scope -> new LimitScope(scope, shares, request.entry().limits()));
+                scopeName,
+                newScopeName -> new LimitScope(
+                        newScopeName, limitShares, request.entry().limits()));
     }
 
     private Limits limitsOf(String owner) {
@@ -134,38 +143,38 @@
          *
          * @param permit to be released
          */
-        record Yes(LimitPermit permit) implements Acquired {}
+        record Success(LimitPermit permit) implements Acquired {}
 
         /**
          * A limit is in the way.
          *
-         * @param blocked which
+         * @param limitReached which
          */
-        record No(LimitScope.Blocked blocked) implements Acquired {}
+        record Failure(LimitScope.LimitReached limitReached) implements Acquired {}
     }
 
     /** A place under the limits. */
     final class LimitPermit {
 
-        private final ShareLedger.Use use;
-        private final LongConsumer correction;
+        private final LimitAllocation.AcquiredUnit units;
+        private final LongConsumer tokenCorrection;
         private boolean released;
 
-        LimitPermit(ShareLedger.Use use, LongConsumer correction) {
-            this.use = use;
-            this.correction = correction;
+        LimitPermit(LimitAllocation.AcquiredUnit units, LongConsumer tokenCorrection) {
+            this.units = units;
+            this.tokenCorrection = tokenCorrection;
         }
 
         /** Gives the place back; {@code usedTokens} below zero leaves the estimate as it is. */
         void release(long usedTokens) {
-            synchronized (shares) {
+            synchronized (limitShares) {
                 if (released) {
                     return;
                 }
                 released = true;
-                use.release();
+                units.release();
                 if (usedTokens >= 0) {
-                    correction.accept(usedTokens);
+                    tokenCorrection.accept(usedTokens);
                 }
             }
         }
--- a/src/main/java/org/dogwoodwinch/admission/ShareExchange.java
+++ b/src/main/java/org/dogwoodwinch/admission/ShareExchange.java
@@ -25,25 +25,25 @@
  */
 public final class ShareExchange {
 
-    private static final String KEY = "shares";
-    private static final int MOST_LIMITS_IN_NOTE = 128;
-    private static final int NOTES_KEPT = 50;
-    private static final long IDLE_MILLIS = 2_000;
-    private static final long SMALLEST_PIECE_UNITS = 4;
-    private static final long PIECES_OF_HOME = 4;
+    private static final String MESSAGE_KEY = "shares";
+    private static final int MAX_LIMITS_PER_MESSAGE = 128;
+    private static final int RETENTION_INTERVALS = 50;
+    private static final long UNUSED_GRANT_MILLIS = 2_000;
+    private static final long MIN_GRANT_CAP_UNITS = 4;
+    private static final long GRANT_CAP_DIVISOR = 4;
 
     private final ShareSettings settings;
     private final PeerBoard board;
     private final TimeSource time;
     private final long incarnation;
-    private final GrantTerm grantTerm;
-    private final long startedMillis;
-    private final Map<String, ShareLedger> ledgers = new TreeMap<>();
-    private final Map<String, Long> limits = new HashMap<>();
-    private final Map<Integer, Long> lives = new HashMap<>();
-    private final Map<Integer, Long> lastStamps = new HashMap<>();
-    private final Map<Integer, Boolean> acknowledged = new HashMap<>();
-    private long homeClosedUntilMillis;
+    private final GrantExpiryRule grantExpiryRule;
+    private final long startMillis;
+    private final Map<String, LimitAllocation> allocations = new TreeMap<>();
+    private final Map<String, Long> totalUnitsByLimit = new HashMap<>();
+    private final Map<Integer, Long> latestIncarnations = new HashMap<>();
+    private final Map<Integer, Long> latestStampsMillis = new HashMap<>();
+    private final Map<Integer, Boolean> acknowledgedHomes = new HashMap<>();
+    private long homeUnitsUnusableUntilMillis;
     private long nextGrantId;
 
     /**
@@ -55,7 +55,7 @@
      * @param incarnation grows with each start of the home, such as the time of day at the start
      */
     public ShareExchange(ShareSettings settings, PeerBoard board, TimeSource time, long incarnation) {
-        this(settings, board, time, incarnation, GrantTerm.FROM_OWN_STAMP, settings.restartWaitMillis());
+        this(settings, board, time, incarnation, GrantExpiryRule.FROM_BORROWER_STAMP, settings.restartWaitMillis());
     }
 
     ShareExchange(
@@ -63,15 +63,15 @@
             PeerBoard board,
             TimeSource time,
             long incarnation,
-            GrantTerm grantTerm,
+            GrantExpiryRule grantExpiryRule,
             long restartWaitMillis) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.board = Objects.requireNonNull(board, "board");
         this.time = Objects.requireNonNull(time, "time");
         this.incarnation = incarnation;
-        this.grantTerm = Objects.requireNonNull(grantTerm, "grantTerm");
-        this.startedMillis = time.monotonicMillis();
-        this.homeClosedUntilMillis = startedMillis + (settings.homeCount() == 1 ? 0 : restartWaitMillis);
+        this.grantExpiryRule = Objects.requireNonNull(grantExpiryRule, "grantTerm");
+        this.startMillis = time.monotonicMillis();
+        this.homeUnitsUnusableUntilMillis = startMillis + (settings.homeCount() == 1 ? 0 : restartWaitMillis);
     }
 
     /** Subscribes, and publishes notes from now on. */
@@ -84,26 +84,31 @@
      * Returns the ledger of a limit, made at need.
      *
      * @param limitId names the limit, not null
-     * @param units the whole limit over all instances
+     * @param totalUnits the whole limit over all instances
      * @return the ledger; use it under this object's monitor
      */
-    synchronized ShareLedger ledger(String limitId, long units) {
-        limits.put(limitId, units);
-        ShareLedger ledger = ledgers.computeIfAbsent(limitId, id -> new ShareLedger(id, settings.homeUnits(id, units)));
-        ledger.setHome(settings.homeUnits(limitId, units), homeOpen());
-        ledger.expire(time.monotonicMillis());
-        return ledger;
+    synchronized LimitAllocation allocation(String limitId, long totalUnits) {
+        totalUnitsByLimit.put(limitId, totalUnits);
+        LimitAllocation allocation =
+                allocations.computeIfAbsent(limitId, id -> new LimitAllocation(id, settings.homeUnits(id, totalUnits)));
+        allocation.setHomeUnits(settings.homeUnits(limitId, totalUnits), areHomeUnitsUsable());
+        allocation.removeExpired(time.monotonicMillis());
+        return allocation;
     }
 
     /** Publishes one note now. */
     synchronized void publish() {
         long nowMillis = time.monotonicMillis();
-        long idleSinceMillis = nowMillis - IDLE_MILLIS;
-        for (ShareLedger ledger : ledgers.values()) {
-            ledger.expire(nowMillis);
-            ledger.returnUnusedSince(idleSinceMillis, nowMillis + settings.longestTermMillis());
+        long unusedSinceMillis = nowMillis - UNUSED_GRANT_MILLIS;
+        for (LimitAllocation allocation : allocations.values()) {
+            allocation.removeExpired(nowMillis);
+            allocation.returnUnusedSince(unusedSinceMillis, nowMillis + settings.longestTermMillis());
         }
-        board.publish(PeerTopic.DEMAND, KEY, ShareNoteCodec.encode(note(nowMillis)), keepMillis());
+        board.publish(
+                PeerTopic.DEMAND,
+                MESSAGE_KEY,
+                LimitShareMessageCodec.encode(createMessage(nowMillis)),
+                retentionMillis());
     }
 
     private void publishAndRepeat() {
@@ -111,156 +116,167 @@
         time.schedule(settings.publishMillis(), this::publishAndRepeat);
     }
 
-    private long keepMillis() {
-        return settings.publishMillis() * NOTES_KEPT;
+    private long retentionMillis() {
+        return settings.publishMillis() * RETENTION_INTERVALS;
     }
 
-    private ShareNote note(long nowMillis) {
-        List<ShareNote.Want> wants = new ArrayList<>();
-        List<ShareNote.Grant> grants = new ArrayList<>();
-        List<ShareNote.Hold> holds = new ArrayList<>();
-        busyLedgers().forEach(ledger -> {
-            ledger.want().ifPresent(wants::add);
-            grants.addAll(ledger.grants());
-            holds.addAll(ledger.holds());
+    private LimitShareMessage createMessage(long nowMillis) {
+        List<LimitShareMessage.BorrowRequest> borrowRequests = new ArrayList<>();
+        List<LimitShareMessage.Grant> grants = new ArrayList<>();
+        List<LimitShareMessage.HeldGrant> heldGrants = new ArrayList<>();
+        allocationsToPublish().forEach(allocation -> {
+            allocation.borrowRequest().ifPresent(borrowRequests::add);
+            grants.addAll(allocation.grants());
+            heldGrants.addAll(allocation.heldGrants());
         });
-        return new ShareNote(settings.homeIndex(), incarnation, nowMillis, livesByIndex(), wants, grants, holds);
+        return new LimitShareMessage(
+                settings.homeIndex(),
+                incarnation,
+                nowMillis,
+                latestIncarnationsByHome(),
+                borrowRequests,
+                grants,
+                heldGrants);
     }
 
     /** Holds are never left out: a home that restarts relies on hearing of every one. */
-    private Collection<ShareLedger> busyLedgers() {
-        List<ShareLedger> busy = new ArrayList<>();
-        for (ShareLedger ledger : ledgers.values()) {
-            if (ledger.hasHolds() || (ledger.isBusy() && busy.size() < MOST_LIMITS_IN_NOTE)) {
-                busy.add(ledger);
+    private Collection<LimitAllocation> allocationsToPublish() {
+        List<LimitAllocation> selected = new ArrayList<>();
+        for (LimitAllocation allocation : allocations.values()) {
+            if (allocation.hasBorrowedGrants()
+                    || (allocation.hasDemandOrGrants() && selected.size() < MAX_LIMITS_PER_MESSAGE)) {
+                selected.add(allocation);
             }
         }
-        return busy;
+        return selected;
     }
 
-    private List<Long> livesByIndex() {
-        List<Long> byIndex = new ArrayList<>();
+    private List<Long> latestIncarnationsByHome() {
+        List<Long> incarnations = new ArrayList<>();
         for (int i = 0; i < settings.homeCount(); i++) {
-            byIndex.add(lives.getOrDefault(i, 0L));
+            incarnations.add(latestIncarnations.getOrDefault(i, 0L));
         }
-        return byIndex;
+        return incarnations;
     }
 
     private void onItem(PeerItem item) {
-        if (item.key().equals(KEY)) {
-            ShareNoteCodec.decode(item.payload()).ifPresent(note -> onNote(note, item.ageMillis()));
+        if (item.key().equals(MESSAGE_KEY)) {
+            LimitShareMessageCodec.decode(item.payload()).ifPresent(message -> onMessage(message, item.ageMillis()));
         }
     }
 
     /** Takes one note. */
-    synchronized void onNote(ShareNote note, long ageMillis) {
-        if (note.homeIndex() == settings.homeIndex()) {
-            onOwnIndex(note, ageMillis);
+    synchronized void onMessage(LimitShareMessage message, long ageMillis) {
+        if (message.homeIndex() == settings.homeIndex()) {
+            onMessageWithOwnIndex(message, ageMillis);
             return;
         }
-        if (!isNews(note)) {
+        if (!acceptIfNewer(message)) {
             return;
         }
-        note.holds().forEach(hold -> onHold(note, hold));
-        acknowledge(note);
-        note.grants().forEach(grant -> onGrant(note, grant));
-        note.wants().forEach(want -> onWant(note, want));
+        message.holds().forEach(heldGrant -> onHeldGrant(message, heldGrant));
+        recordAcknowledgement(message);
+        message.grants().forEach(grant -> onGrant(message, grant));
+        message.wants().forEach(borrowRequest -> onBorrowRequest(message, borrowRequest));
     }
 
     /**
      * Two live instances with one home index would use its units twice; each steps back until the other is silent for
      * as long as a grant may last. A note written before this instance started is its predecessor's and says nothing.
      */
-    private void onOwnIndex(ShareNote note, long ageMillis) {
+    private void onMessageWithOwnIndex(LimitShareMessage message, long ageMillis) {
         long nowMillis = time.monotonicMillis();
-        if (note.incarnation() != incarnation && nowMillis - ageMillis > startedMillis) {
-            homeClosedUntilMillis = nowMillis + settings.restartWaitMillis();
-            acknowledged.clear();
+        if (message.incarnation() != incarnation && nowMillis - ageMillis > startMillis) {
+            homeUnitsUnusableUntilMillis = nowMillis + settings.restartWaitMillis();
+            acknowledgedHomes.clear();
         }
     }
 
-    private boolean isNews(ShareNote note) {
-        int index = note.homeIndex();
-        long life = lives.getOrDefault(index, 0L);
-        if (index < 0 || index >= settings.homeCount() || note.incarnation() < life) {
+    private boolean acceptIfNewer(LimitShareMessage message) {
+        int index = message.homeIndex();
+        long latestIncarnation = latestIncarnations.getOrDefault(index, 0L);
+        if (index < 0 || index >= settings.homeCount() || message.incarnation() < latestIncarnation) {
             return false;
         }
-        if (note.incarnation() > life) {
-            lives.put(index, note.incarnation());
-            lastStamps.remove(index);
+        if (message.incarnation() > latestIncarnation) {
+            latestIncarnations.put(index, message.incarnation());
+            latestStampsMillis.remove(index);
         }
-        Long last = lastStamps.get(index);
-        if (last != null && note.stampMillis() <= last) {
+        Long latestStampMillis = latestStampsMillis.get(index);
+        if (latestStampMillis != null && message.stampMillis() <= latestStampMillis) {
             return false;
         }
-        lastStamps.put(index, note.stampMillis());
+        latestStampsMillis.put(index, message.stampMillis());
         return true;
     }
 
-    private void acknowledge(ShareNote note) {
+    private void recordAcknowledgement(LimitShareMessage message) {
         int index = settings.homeIndex();
-        if (index < note.lives().size() && note.lives().get(index) == incarnation) {
-            acknowledged.put(note.homeIndex(), Boolean.TRUE);
+        if (index < message.lives().size() && message.lives().get(index) == incarnation) {
+            acknowledgedHomes.put(message.homeIndex(), Boolean.TRUE);
         }
     }
 
-    private boolean homeOpen() {
-        return acknowledged.size() == settings.homeCount() - 1 || time.monotonicMillis() >= homeClosedUntilMillis;
+    private boolean areHomeUnitsUsable() {
+        return acknowledgedHomes.size() == settings.homeCount() - 1
+                || time.monotonicMillis() >= homeUnitsUnusableUntilMillis;
     }
 
-    private void onHold(ShareNote note, ShareNote.Hold hold) {
-        if (hold.lenderIndex() != settings.homeIndex()) {
+    private void onHeldGrant(LimitShareMessage message, LimitShareMessage.HeldGrant heldGrant) {
+        if (heldGrant.lenderIndex() != settings.homeIndex()) {
             return;
         }
-        ShareLedger ledger = ledgers.computeIfAbsent(hold.limitId(), id -> new ShareLedger(id, 0));
-        ShareLedger.GrantKey key =
-                new ShareLedger.GrantKey(hold.lenderIndex(), hold.lenderIncarnation(), hold.grantId());
+        LimitAllocation allocation = allocations.computeIfAbsent(heldGrant.limitId(), id -> new LimitAllocation(id, 0));
+        LimitAllocation.GrantKey key = new LimitAllocation.GrantKey(
+                heldGrant.lenderIndex(), heldGrant.lenderIncarnation(), heldGrant.grantId());
         long nowMillis = time.monotonicMillis();
-        if (hold.state() == ShareNote.HoldState.RETURNED) {
-            ledger.takeBack(key);
-        } else if (hold.lenderIncarnation() == incarnation) {
-            ledger.renew(key, note.stampMillis(), nowMillis, settings.marginMillis());
+        if (heldGrant.state() == LimitShareMessage.HeldGrantState.RETURNED) {
+            allocation.reclaim(key);
+        } else if (heldGrant.lenderIncarnation() == incarnation) {
+            allocation.renew(key, message.stampMillis(), nowMillis, settings.marginMillis());
         } else {
-            ledger.recallFormer(key, hold.units(), nowMillis + settings.restartWaitMillis());
+            allocation.recordPreviousLoan(key, heldGrant.units(), nowMillis + settings.restartWaitMillis());
         }
     }
 
-    private void onGrant(ShareNote note, ShareNote.Grant grant) {
+    private void onGrant(LimitShareMessage message, LimitShareMessage.Grant grant) {
         if (grant.toIndex() != settings.homeIndex() || grant.toIncarnation() != incarnation) {
             return;
         }
         long nowMillis = time.monotonicMillis();
         long termMillis = Math.min(grant.termMillis(), settings.longestTermMillis());
-        ShareLedger.GrantKey key = new ShareLedger.GrantKey(note.homeIndex(), note.incarnation(), grant.grantId());
-        ledgers.computeIfAbsent(grant.limitId(), id -> new ShareLedger(id, 0))
+        LimitAllocation.GrantKey key =
+                new LimitAllocation.GrantKey(message.homeIndex(), message.incarnation(), grant.grantId());
+        allocations
+                .computeIfAbsent(grant.limitId(), id -> new LimitAllocation(id, 0))
                 .borrow(
                         key,
                         grant.units(),
-                        grantTerm.endMillis(grant.echoStampMillis(), nowMillis, termMillis),
+                        grantExpiryRule.expiryMillis(grant.echoStampMillis(), nowMillis, termMillis),
                         nowMillis);
     }
 
-    private void onWant(ShareNote note, ShareNote.Want want) {
-        Long limit = limits.get(want.limitId());
-        if (limit == null) {
+    private void onBorrowRequest(LimitShareMessage message, LimitShareMessage.BorrowRequest borrowRequest) {
+        Long totalUnits = totalUnitsByLimit.get(borrowRequest.limitId());
+        if (totalUnits == null) {
             return;
         }
         long nowMillis = time.monotonicMillis();
-        ShareLedger ledger = ledger(want.limitId(), limit);
-        ledger.returnTo(note.homeIndex(), nowMillis + settings.longestTermMillis());
-        long termMillis = Math.max(1, Math.min(want.termMillis(), settings.longestTermMillis()));
-        long home = settings.homeUnits(want.limitId(), limit);
-        long piece = Math.max(SMALLEST_PIECE_UNITS, home / PIECES_OF_HOME);
-        long others = Math.max(1, settings.homeCount() - 1);
-        long units = Math.min(piece, (want.units() + others - 1) / others);
-        ShareLedger.GrantKey key = new ShareLedger.GrantKey(settings.homeIndex(), incarnation, nextGrantId++);
-        ledger.lend(
+        LimitAllocation allocation = allocation(borrowRequest.limitId(), totalUnits);
+        allocation.returnUnusedTo(message.homeIndex(), nowMillis + settings.longestTermMillis());
+        long termMillis = Math.max(1, Math.min(borrowRequest.termMillis(), settings.longestTermMillis()));
+        long homeUnits = settings.homeUnits(borrowRequest.limitId(), totalUnits);
+        long maxGrantUnits = Math.max(MIN_GRANT_CAP_UNITS, homeUnits / GRANT_CAP_DIVISOR);
+        long otherHomes = Math.max(1, settings.homeCount() - 1);
+        long units = Math.min(maxGrantUnits, (borrowRequest.units() + otherHomes - 1) / otherHomes);
+        LimitAllocation.GrantKey key = new LimitAllocation.GrantKey(settings.homeIndex(), incarnation, nextGrantId++);
+        allocation.lend(
                 key,
-                new ShareLedger.Loan(
-                        note.homeIndex(),
-                        note.incarnation(),
+                new LimitAllocation.LoanTerms(
+                        message.homeIndex(),
+                        message.incarnation(),
                         units,
-                        note.stampMillis(),
+                        message.stampMillis(),
                         termMillis,
                         nowMillis + termMillis + settings.marginMillis()));
     }
--- a/src/main/java/org/dogwoodwinch/admission/ShareSettings.java
+++ b/src/main/java/org/dogwoodwinch/admission/ShareSettings.java
@@ -34,12 +34,12 @@
      * Returns how many units of a limit have their home here.
      *
      * @param limitId names the limit, not null; it decides which homes get the units that do not divide evenly
-     * @param units the whole limit
+     * @param totalUnits the whole limit
      * @return the units, so that all homes together have exactly the limit
      */
-    public long homeUnits(String limitId, long units) {
-        long place = Math.floorMod(homeIndex + (long) limitId.hashCode(), (long) homeCount);
-        return units / homeCount + (place < units % homeCount ? 1 : 0);
+    public long homeUnits(String limitId, long totalUnits) {
+        long remainderRank = Math.floorMod(homeIndex + (long) limitId.hashCode(), (long) homeCount);
+        return totalUnits / homeCount + (remainderRank < totalUnits % homeCount ? 1 : 0);
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
+++ b/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
@@ -9,15 +9,15 @@
 final class WaitingRequest {
 
     private final CallerRequest request;
-    private final Consumer<AdmissionDecision> decision;
+    private final Consumer<AdmissionDecision> decisionListener;
     private final long limitDeadlineMillis;
     private OwnerLimits.LimitPermit permit;
     private double workMillis;
-    private boolean done;
+    private boolean settled;
 
-    WaitingRequest(CallerRequest request, Consumer<AdmissionDecision> decision, long limitDeadlineMillis) {
+    WaitingRequest(CallerRequest request, Consumer<AdmissionDecision> decisionListener, long limitDeadlineMillis) {
         this.request = request;
-        this.decision = decision;
+        this.decisionListener = decisionListener;
         this.limitDeadlineMillis = limitDeadlineMillis;
     }
 
@@ -25,8 +25,8 @@
         return request;
     }
 
-    Consumer<AdmissionDecision> decision() {
-        return decision;
+    Consumer<AdmissionDecision> decisionListener() {
+        return decisionListener;
     }
 
     WorkClass workClass() {
@@ -45,7 +45,7 @@
         return request.work().match(Work.Generate::maxTokens, _service -> 0);
     }
 
-    long tokens() {
+    long maxTotalTokens() {
         return promptTokens() + maxTokens();
     }
 
@@ -70,11 +70,11 @@
         workMillis = millis;
     }
 
-    boolean done() {
-        return done;
+    boolean settled() {
+        return settled;
     }
 
-    void markDone() {
-        done = true;
+    void markSettled() {
+        settled = true;
     }
 }
--- a/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
@@ -31,48 +31,48 @@
 
 class ClassQueueAdmissionTest {
 
-    private static final Limits TWO_AT_ONCE = new Limits(2, 0, 0, 0);
-    private static final Limits HUNDRED_TOKENS = new Limits(0, 100, 0, 0);
+    private static final Limits MAX_TWO_CONCURRENT = new Limits(2, 0, 0, 0);
+    private static final Limits HUNDRED_TOKENS_PER_SECOND = new Limits(0, 100, 0, 0);
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final List<String> told = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private final List<Permit> permits = new ArrayList<>();
     private final List<Refusal> refusals = new ArrayList<>();
     private double targetWaitMillis;
-    private boolean anyTarget = true;
+    private boolean targetAvailable = true;
 
     @Test
-    void anUrgentRequestThatCannotBeMetIsRefusedAtOnceWithATimeToComeBack() {
-        ClassQueueAdmission admission = admission(Limits.NONE);
+    void urgentRequestWithUnmeetableDeadlineIsRefusedAtOnceWithRetryAfter() {
+        ClassQueueAdmission admission = createAdmission(Limits.NONE);
         targetWaitMillis = 3_000;
-        admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recorder("u"));
+        admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recordOutcome("u"));
         assertEquals(RefusalReason.DEADLINE_UNMEETABLE, refusals.get(0).reason());
         assertEquals(RunState.NOT_RUN, refusals.get(0).run());
         assertTrue(refusals.get(0).retryAfterMillis() > 0);
     }
 
     @Test
-    void nothingStartsThatIsAlreadyTooLate() {
-        ClassQueueAdmission admission = admission(Limits.NONE);
+    void queuedRequestIsRefusedOnceItsDeadlineCannotBeMet() {
+        ClassQueueAdmission admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
-        admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recorder("u"));
+        admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recordOutcome("u"));
         time.advanceMillis(1_900);
         targetWaitMillis = 0;
         time.advanceMillis(200);
-        assertEquals(List.of("u refused"), told);
+        assertEquals(List.of("u refused"), outcomes);
     }
 
     @Test
-    void urgentWorkGoesFirstByDeadline() {
-        ClassQueueAdmission admission = admission(Limits.NONE);
+    void requestsStartByClassAndUrgentOnesByDeadline() {
+        ClassQueueAdmission admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
-        admission.admit(request("long", WorkClass.LONG_READ, 900_000, 10), recorder("long"));
-        admission.admit(request("standard", WorkClass.STANDARD, 20_000, 10), recorder("standard"));
-        admission.admit(request("later", WorkClass.URGENT, 9_000, 10), recorder("later"));
-        admission.admit(request("sooner", WorkClass.URGENT, 5_000, 10), recorder("sooner"));
+        admission.admit(request("long", WorkClass.LONG_READ, 900_000, 10), recordOutcome("long"));
+        admission.admit(request("standard", WorkClass.STANDARD, 20_000, 10), recordOutcome("standard"));
+        admission.admit(request("later", WorkClass.URGENT, 9_000, 10), recordOutcome("later"));
+        admission.admit(request("sooner", WorkClass.URGENT, 5_000, 10), recordOutcome("sooner"));
         targetWaitMillis = 0;
         time.advanceMillis(100);
-        assertEquals(List.of("sooner", "later", "standard", "long"), told);
+        assertEquals(List.of("sooner", "later", "standard", "long"), outcomes);
     }
 
     /**
@@ -81,117 +81,117 @@
      * other work, and one request, start before a long read with A tokens in line.
      */
     @Property(seed = "11", tries = 60)
-    void aLongReadStartsWithinItsBoundUnderEndlessUrgentWork(
+    void longReadStartsWithinItsTokenBoundUnderContinuousUrgentLoad(
             @ForAll @IntRange(min = 1, max = 20_000) int longTokens,
             @ForAll @IntRange(min = 400, max = 4_000) int urgentTokens) {
         // The tries of a property share one test object; each needs a clock and a record of its own.
-        new ClassQueueAdmissionTest().checkLongReadBound(longTokens, urgentTokens);
+        new ClassQueueAdmissionTest().assertLongReadBound(longTokens, urgentTokens);
     }
 
-    private void checkLongReadBound(int longTokens, int urgentTokens) {
-        ClassQueueAdmission admission = admission(Limits.NONE);
+    private void assertLongReadBound(int longTokens, int urgentTokens) {
+        ClassQueueAdmission admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
-        admission.admit(request("long", WorkClass.LONG_READ, 90_000_000, longTokens), recorder("long"));
-        double floor = AdmissionPolicy.STANDARD.longReadFloor();
-        double bound = longTokens * (1 - floor) / floor + urgentTokens;
-        long started = 0;
-        while (!told.contains("long")) {
-            admission.admit(request("u", WorkClass.URGENT, 90_000_000, urgentTokens), recorder("u"));
-            admission.admit(request("u", WorkClass.URGENT, 90_000_000, urgentTokens), recorder("u"));
+        admission.admit(request("long", WorkClass.LONG_READ, 90_000_000, longTokens), recordOutcome("long"));
+        double floorRatio = AdmissionPolicy.STANDARD.longReadFloorRatio();
+        double maxOtherTokens = longTokens * (1 - floorRatio) / floorRatio + urgentTokens;
+        long startedTokens = 0;
+        while (!outcomes.contains("long")) {
+            admission.admit(request("u", WorkClass.URGENT, 90_000_000, urgentTokens), recordOutcome("u"));
+            admission.admit(request("u", WorkClass.URGENT, 90_000_000, urgentTokens), recordOutcome("u"));
             targetWaitMillis = 0;
-            oneStartOnly = true;
+            targetBusyAfterStart = true;
             time.advanceMillis(20);
-            started = told.stream().filter("u"::equals).count() * urgentTokens;
-            assertTrue(started <= bound, "started " + started + " bound " + bound);
+            startedTokens = outcomes.stream().filter("u"::equals).count() * urgentTokens;
+            assertTrue(startedTokens <= maxOtherTokens, "started " + startedTokens + " bound " + maxOtherTokens);
         }
     }
 
     @Test
-    void anOwnersConcurrencyHoldsAndAPlaceThatComesFreeGoesToTheWaiting() {
-        ClassQueueAdmission admission = admission(TWO_AT_ONCE);
+    void concurrencyLimitHoldsAndAReleasedPermitStartsTheNextWaitingRequest() {
+        ClassQueueAdmission admission = createAdmission(MAX_TWO_CONCURRENT);
         for (int i = 0; i < 4; i++) {
-            admission.admit(request("r" + i, WorkClass.URGENT, 9_000, 10), recorder("r" + i));
+            admission.admit(request("r" + i, WorkClass.URGENT, 9_000, 10), recordOutcome("r" + i));
         }
-        assertEquals(List.of("r0", "r1"), told);
+        assertEquals(List.of("r0", "r1"), outcomes);
         permits.get(0).release(10);
         permits.get(0).release(10);
         time.advanceMillis(40);
-        assertEquals(List.of("r0", "r1", "r2"), told);
+        assertEquals(List.of("r0", "r1", "r2"), outcomes);
         time.advanceMillis(AdmissionPolicy.STANDARD.limitWaitMillis());
         assertEquals(RefusalReason.CONCURRENCY_LIMIT, refusals.get(0).reason());
     }
 
     @Test
-    void tokensAreEstimatedAndCorrectedByUsage() {
-        ClassQueueAdmission admission = admission(HUNDRED_TOKENS);
-        admission.admit(request("first", WorkClass.URGENT, 9_000, 200), recorder("first"));
-        admission.admit(request("second", WorkClass.URGENT, 9_000, 100), recorder("second"));
-        assertEquals(List.of("first"), told);
+    void tokenRateCountsTheEstimateAndIsCorrectedByActualUsage() {
+        ClassQueueAdmission admission = createAdmission(HUNDRED_TOKENS_PER_SECOND);
+        admission.admit(request("first", WorkClass.URGENT, 9_000, 200), recordOutcome("first"));
+        admission.admit(request("second", WorkClass.URGENT, 9_000, 100), recordOutcome("second"));
+        assertEquals(List.of("first"), outcomes);
         permits.get(0).release(50);
         time.advanceMillis(20);
-        assertEquals(List.of("first", "second"), told);
+        assertEquals(List.of("first", "second"), outcomes);
         permits.get(1).release(1_000);
-        admission.admit(request("third", WorkClass.URGENT, 90_000, 10), recorder("third"));
+        admission.admit(request("third", WorkClass.URGENT, 90_000, 10), recordOutcome("third"));
         time.advanceMillis(2_000);
         assertEquals(RefusalReason.TOKEN_RATE_LIMIT, refusals.get(0).reason());
     }
 
     @Test
-    void aFullQueueRefusesAtOnce() {
-        ClassQueueAdmission admission = admission(Limits.NONE);
+    void fullQueueRefusesAtOnce() {
+        ClassQueueAdmission admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
-        for (int i = 0; i <= AdmissionPolicy.STANDARD.longReadQueueLength(); i++) {
-            admission.admit(request("l", WorkClass.LONG_READ, 900_000, 1), recorder("l"));
+        for (int i = 0; i <= AdmissionPolicy.STANDARD.longReadQueueCapacity(); i++) {
+            admission.admit(request("l", WorkClass.LONG_READ, 900_000, 1), recordOutcome("l"));
         }
         assertEquals(RefusalReason.QUEUE_FULL, refusals.get(0).reason());
     }
 
     @Test
-    void withoutATargetUrgentWorkIsRefusedAndLongReadsWait() {
-        ClassQueueAdmission admission = admission(Limits.NONE);
-        anyTarget = false;
-        admission.admit(request("u", WorkClass.URGENT, 9_000, 10), recorder("u"));
-        admission.admit(request("l", WorkClass.LONG_READ, 900_000, 10), recorder("l"));
+    void withoutTargetsUrgentRequestsAreRefusedAndLongReadsWait() {
+        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        targetAvailable = false;
+        admission.admit(request("u", WorkClass.URGENT, 9_000, 10), recordOutcome("u"));
+        admission.admit(request("l", WorkClass.LONG_READ, 900_000, 10), recordOutcome("l"));
         assertEquals(RefusalReason.NO_TARGET, refusals.get(0).reason());
-        anyTarget = true;
+        targetAvailable = true;
         time.advanceMillis(20);
-        assertEquals(List.of("u refused", "l"), told);
+        assertEquals(List.of("u refused", "l"), outcomes);
     }
 
     @Test
-    void aCancelledWaitGivesItsPlaceBackAndHearsNothing() {
-        ClassQueueAdmission admission = admission(TWO_AT_ONCE);
+    void cancelledRequestReleasesItsPermitAndReceivesNoDecision() {
+        ClassQueueAdmission admission = createAdmission(MAX_TWO_CONCURRENT);
         targetWaitMillis = 700;
         admission
-                .admit(request("a", WorkClass.URGENT, 9_000, 10), recorder("a"))
+                .admit(request("a", WorkClass.URGENT, 9_000, 10), recordOutcome("a"))
                 .cancel();
-        admission.admit(request("b", WorkClass.URGENT, 9_000, 10), recorder("b"));
-        admission.admit(request("c", WorkClass.URGENT, 9_000, 10), recorder("c"));
+        admission.admit(request("b", WorkClass.URGENT, 9_000, 10), recordOutcome("b"));
+        admission.admit(request("c", WorkClass.URGENT, 9_000, 10), recordOutcome("c"));
         targetWaitMillis = 0;
         time.advanceMillis(40);
-        assertEquals(List.of("b", "c"), told);
-        assertEquals(0, admission.waitingRequests());
+        assertEquals(List.of("b", "c"), outcomes);
+        assertEquals(0, admission.waitingRequestCount());
     }
 
-    private boolean oneStartOnly;
+    private boolean targetBusyAfterStart;
 
-    private Consumer<AdmissionDecision> recorder(String name) {
+    private Consumer<AdmissionDecision> recordOutcome(String name) {
         return decision -> decision.match(
                 permit -> {
-                    if (oneStartOnly) {
+                    if (targetBusyAfterStart) {
                         targetWaitMillis = 700;
                     }
                     permits.add(permit);
-                    return told.add(name);
+                    return outcomes.add(name);
                 },
                 refusal -> {
                     refusals.add(refusal);
-                    return told.add(name + " refused");
+                    return outcomes.add(name + " refused");
                 });
     }
 
-    private ClassQueueAdmission admission(Limits limits) {
-        told.clear();
+    private ClassQueueAdmission createAdmission(Limits limits) {
+        outcomes.clear();
         Catalogue catalogue = catalogue(limits);
         CatalogueView view = new CatalogueView() {
             @Override
@@ -202,7 +202,7 @@
             @Override
             public void onChange(Consumer<Catalogue> _listener) {}
         };
-        PeerBoard nobody = new PeerBoard() {
+        PeerBoard boardWithoutPeers = new PeerBoard() {
             @Override
             public void publish(PeerTopic _topic, String _key, Bytes _payload, long _keepMillis) {}
 
@@ -212,9 +212,10 @@
         return new ClassQueueAdmission(
                 AdmissionPolicy.STANDARD,
                 view,
-                new ShareExchange(ShareSettings.ALONE, nobody, time, 1),
-                _group ->
-                        anyTarget ? Optional.of(new GroupCapacity(4, targetWaitMillis, 8, 20, 1, 1)) : Optional.empty(),
+                new ShareExchange(ShareSettings.ALONE, boardWithoutPeers, time, 1),
+                _group -> targetAvailable
+                        ? Optional.of(new GroupCapacity(4, targetWaitMillis, 8, 20, 1, 1))
+                        : Optional.empty(),
                 () -> 1,
                 time);
     }
--- a/src/test/java/org/dogwoodwinch/admission/ShareExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/ShareExchangeTest.java
@@ -16,44 +16,46 @@
      * which another one uses too would break the owner's limit; its engines would then run more than was agreed.
      */
     @Property(seed = "6", tries = 250)
-    void theSumNeverExceedsTheLimit(@ForAll long seed) {
-        SharesSchedule schedule = new SharesSchedule(seed, GrantTerm.FROM_OWN_STAMP, true);
-        assertEquals(-1, schedule.firstStepOverLimit(600));
+    void totalUnitsInUseNeverExceedTheLimit(@ForAll long seed) {
+        LimitShareSimulation simulation = new LimitShareSimulation(seed, GrantExpiryRule.FROM_BORROWER_STAMP, true);
+        assertEquals(-1, simulation.firstStepExceedingLimit(600));
     }
 
     /** The check must be able to fail: a borrower that counts a term from the grant's arrival outlives its grant. */
     @Test
-    void aBorrowerThatCountsFromArrivalIsCaught() {
-        assertTrue(caught((_echoStampMillis, nowMillis, termMillis) -> nowMillis + termMillis, true));
+    void countingATermFromArrivalOfTheGrantIsDetected() {
+        assertTrue(exceedsLimitForSomeSeed((_echoStampMillis, nowMillis, termMillis) -> nowMillis + termMillis, true));
     }
 
     /** A restarted home that uses its units at once, forgetting what its former life lent, is caught too. */
     @Test
-    void aHomeThatForgetsItsLoansIsCaught() {
-        assertTrue(caught(GrantTerm.FROM_OWN_STAMP, false));
+    void usingHomeUnitsRightAfterARestartIsDetected() {
+        assertTrue(exceedsLimitForSomeSeed(GrantExpiryRule.FROM_BORROWER_STAMP, false));
     }
 
     /** Demand at one instance only: units follow it within seconds, so that little of the limit is wasted. */
     @Test
-    void unitsFollowDemandAndComeBack() {
-        SharesSchedule calm = new SharesSchedule(1, GrantTerm.FROM_OWN_STAMP, true);
-        calm.settle();
-        assertTrue(calm.unitsReachedAlone(0) >= SharesSchedule.LIMIT * 9 / 10);
-        assertTrue(calm.unitsReachedAlone(3) >= SharesSchedule.LIMIT * 9 / 10);
+    void unitsMoveToTheOnlyInstanceWithDemand() {
+        LimitShareSimulation simulation = new LimitShareSimulation(1, GrantExpiryRule.FROM_BORROWER_STAMP, true);
+        simulation.runInitialSteps();
+        assertTrue(simulation.peakUnitsWithSoleDemand(0) >= LimitShareSimulation.LIMIT_UNITS * 9 / 10);
+        assertTrue(simulation.peakUnitsWithSoleDemand(3) >= LimitShareSimulation.LIMIT_UNITS * 9 / 10);
     }
 
     /** Cut off from everyone, an instance still has what is at home with it, and no more. */
     @Test
-    void anInstanceCutOffKeepsItsHomeUnits() {
-        SharesSchedule calm = new SharesSchedule(2, GrantTerm.FROM_OWN_STAMP, true);
-        calm.settle();
-        calm.cutOff(4);
-        assertEquals(SharesSchedule.LIMIT / SharesSchedule.INSTANCES, calm.unitsReachedAlone(4));
+    void partitionedInstanceKeepsExactlyItsHomeUnits() {
+        LimitShareSimulation simulation = new LimitShareSimulation(2, GrantExpiryRule.FROM_BORROWER_STAMP, true);
+        simulation.runInitialSteps();
+        simulation.partition(4);
+        assertEquals(
+                LimitShareSimulation.LIMIT_UNITS / LimitShareSimulation.INSTANCE_COUNT,
+                simulation.peakUnitsWithSoleDemand(4));
     }
 
-    private static boolean caught(GrantTerm term, boolean restartWait) {
+    private static boolean exceedsLimitForSomeSeed(GrantExpiryRule expiryRule, boolean waitsAfterRestart) {
         for (long seed = 0; seed < 400; seed++) {
-            if (new SharesSchedule(seed, term, restartWait).firstStepOverLimit(600) >= 0) {
+            if (new LimitShareSimulation(seed, expiryRule, waitsAfterRestart).firstStepExceedingLimit(600) >= 0) {
                 return true;
             }
         }
