--- a/src/main/java/org/dogwoodwinch/admission/Admission.java
+++ b/src/main/java/org/dogwoodwinch/admission/Admission.java
@@ -4,15 +4,16 @@
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.time.Cancellable;
 
-/** Decides whether and when a request may start: owners' limits, deadlines, bounded queues by class of work. */
+/** Decides whether and when a request may start, from its owner's limits, its deadline and the work already queued. */
 public interface Admission {
 
     /**
-     * Asks for a permit. The decision comes exactly once, at once or after a wait in the queue, unless it is cancelled.
+     * Requests a permit. The listener receives exactly one decision, immediately or after a wait in a queue; it
+     * receives none if the request is cancelled first.
      *
      * @param request the request, not null
-     * @param decisionListener takes the decision, not null; it may be called before this method returns
-     * @return cancels the wait
+     * @param decisionListener receives the decision, not null; it may be called before this method returns
+     * @return a handle that cancels the request while it waits
      */
     Cancellable admit(CallerRequest request, Consumer<AdmissionDecision> decisionListener);
 }
--- a/src/main/java/org/dogwoodwinch/admission/AdmissionDecision.java
+++ b/src/main/java/org/dogwoodwinch/admission/AdmissionDecision.java
@@ -3,30 +3,30 @@
 import java.util.function.Function;
 import org.dogwoodwinch.request.Refusal;
 
-/** The outcome of asking for admission. */
+/** The outcome of a request for admission. */
 public sealed interface AdmissionDecision {
 
     /**
      * The request may start.
      *
-     * @param permit to be released when it ends
+     * @param permit the permit, to be released when the request ends
      */
     record Granted(Permit permit) implements AdmissionDecision {}
 
     /**
-     * The request is refused; it did not run.
+     * The request is refused and was not run.
      *
-     * @param refusal why
+     * @param refusal the reason for the refusal
      */
     record Refused(Refusal refusal) implements AdmissionDecision {}
 
     /**
-     * Calls the function of this decision's kind.
+     * Applies the function that matches the kind of this decision.
      *
-     * @param onGranted for {@link Granted}
-     * @param onRefused for {@link Refused}
-     * @param <T> what the functions return
-     * @return what the function returned
+     * @param onGranted applied to the permit of a {@link Granted} decision
+     * @param onRefused applied to the refusal of a {@link Refused} decision
+     * @param <T> the result type of the functions
+     * @return the result of the applied function
      */
     default <T> T match(Function<Permit, T> onGranted, Function<Refusal, T> onRefused) {
         if (this instanceof Granted grantedDecision) {
--- a/src/main/java/org/dogwoodwinch/admission/AdmissionPolicy.java
+++ b/src/main/java/org/dogwoodwinch/admission/AdmissionPolicy.java
@@ -1,21 +1,24 @@
 package org.dogwoodwinch.admission;
 
 /**
- * The constants of {@link ClassQueueAdmission}.
+ * Queue capacities, start thresholds and intervals of {@link ClassQueueAdmission}.
  *
- * @param urgentQueueCapacity the most urgent requests that wait for one group
- * @param standardQueueCapacity the most standard requests that wait for one group
- * @param longReadQueueCapacity the most long reads that wait for one group
- * @param urgentWaitMillis an urgent request starts while a target's own wait is shorter than this, in milliseconds
- * @param standardWaitMillis the same for standard requests, in milliseconds
- * @param longReadWaitMillis the same for long reads, in milliseconds
- * @param longReadFloorRatio the part of started work, in tokens, that is kept for waiting long reads, from zero to below one
- * @param refusalFactor how many times an estimated answer time must fit before the deadline
- * @param limitWaitMillis how long a request may wait for its owner's limit, in milliseconds
- * @param limitQueueLength the most requests that wait for one owner's limits
- * @param unheardMillis how old the words of the other instances about their starts may be, in milliseconds: a round of
- *     their exchange
- * @param sweepMillis the time between looks at the queues while something waits, in milliseconds
+ * @param urgentQueueCapacity maximum number of urgent requests queued for one target group
+ * @param standardQueueCapacity maximum number of standard requests queued for one target group
+ * @param longReadQueueCapacity maximum number of long reads queued for one target group
+ * @param urgentWaitMillis longest wait on a target, in milliseconds, at which an urgent request is still started
+ * @param standardWaitMillis longest wait on a target, in milliseconds, at which a standard request is still started
+ * @param longReadWaitMillis longest wait on a target, in milliseconds, at which a long read is still started
+ * @param longReadFloorRatio minimum share of the started tokens that is reserved for waiting long reads, from 0
+ *     (inclusive) to 1 (exclusive)
+ * @param refusalFactor safety factor applied to the estimated completion time before it is compared with the time left
+ *     until the deadline
+ * @param limitWaitMillis longest time a request may wait for its owner's limit, in milliseconds; a long read may wait
+ *     until its deadline
+ * @param limitQueueLength maximum number of requests that wait for one owner's limits
+ * @param unheardMillis maximum age of the other instances' reports about the work they started, in milliseconds: one
+ *     interval between their reports
+ * @param sweepMillis interval between checks of the queues while any request waits, in milliseconds
  */
 public record AdmissionPolicy(
         int urgentQueueCapacity,
@@ -31,21 +34,23 @@
         long unheardMillis,
         long sweepMillis) {
 
-    /** The policy that daemons use. */
+    /** The default policy of the daemon. */
     public static final AdmissionPolicy STANDARD =
             new AdmissionPolicy(2_000, 1_000, 4_000, 600, 400, 250, 0.15, 1.1, 1_500, 256, 500, 20);
 
     /**
-     * Checks the numbers.
+     * Validates the values.
      *
-     * @throws IllegalArgumentException if the floor is not in [0, 1) or the sweep is not more than zero
+     * @throws IllegalArgumentException if {@code longReadFloorRatio} is not in [0, 1) or {@code sweepMillis} is not
+     *     positive
      */
     public AdmissionPolicy {
         if (longReadFloorRatio < 0 || longReadFloorRatio >= 1) {
-            throw new IllegalArgumentException("longReadFloor must be at least 0 and below 1: " + longReadFloorRatio);
+            throw new IllegalArgumentException(
+                    "longReadFloorRatio must be at least 0 and less than 1: " + longReadFloorRatio);
         }
         if (sweepMillis <= 0) {
-            throw new IllegalArgumentException("sweepMillis must be more than zero: " + sweepMillis);
+            throw new IllegalArgumentException("the sweep interval must be greater than 0 ms: " + sweepMillis);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/CapacityEstimator.java
+++ b/src/main/java/org/dogwoodwinch/admission/CapacityEstimator.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** Estimates what target groups can do; routing's view of the fleet is the one in use. */
+/** Estimates the capacity of target groups, normally from routing's view of the fleet. */
 @FunctionalInterface
 public interface CapacityEstimator {
 
     /**
-     * Estimates a group's capacity.
+     * Estimates the capacity of a target group.
      *
      * @param group the group's name, not null
-     * @return the estimate, or empty where no target takes new work
+     * @return the estimate, or empty if no target of the group accepts new work
      */
     Optional<GroupCapacity> capacityOf(String group);
 }
--- a/src/main/java/org/dogwoodwinch/admission/ClassQueueAdmission.java
+++ b/src/main/java/org/dogwoodwinch/admission/ClassQueueAdmission.java
@@ -16,12 +16,15 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Admits by owners' limits and by class: urgent work by deadline, refused at once where it cannot be met; long reads
- * wait, with a floor.
+ * Admits requests within their owners' limits from bounded queues by class of work.
  *
- * <p>Requests wait here rather than on targets. On a target the order is fixed and a request that became worthless is
- * computed all the same; here it costs nothing. Thread-safe: decisions are taken under this object's monitor and told
- * outside it.
+ * <p>Urgent and standard requests are ordered by deadline and refused as soon as the deadline is estimated to be
+ * unreachable. Long reads wait until their deadline and are guaranteed a minimum share of the started work.
+ *
+ * <p>Requests are queued here rather than on targets. A target does not reorder its queue and still computes requests
+ * whose deadline has passed, whereas a request dropped from a queue here uses no target time.
+ *
+ * <p>Thread-safe: decisions are made under this object's monitor, and listeners are called outside it.
  */
 public final class ClassQueueAdmission implements Admission {
 
@@ -40,13 +43,14 @@
     private boolean sweepScheduled;
 
     /**
-     * Creates an admission.
+     * Creates an admission controller.
      *
-     * @param policy the constants, not null
-     * @param catalogue the catalogue in force, for owners' limits, not null
-     * @param limitShares the instances' shares of those limits, not null
-     * @param capacityEstimator estimates what target groups can do, not null
-     * @param liveInstanceCount how many instances of our own are live, to judge how fast this one's queues move, not null
+     * @param policy the queue capacities, thresholds and intervals, not null
+     * @param catalogue the catalogue in force, which holds the limits of owners and entries, not null
+     * @param limitShares shares those limits among the instances, not null
+     * @param capacityEstimator estimates the capacity of target groups, not null
+     * @param liveInstanceCount returns the number of live instances, used to estimate how fast this instance's queues
+     *     drain, not null
      * @param time the clock, not null
      */
     public ClassQueueAdmission(
@@ -57,8 +61,8 @@
             IntSupplier liveInstanceCount,
             TimeSource time) {
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.capacityEstimator = Objects.requireNonNull(capacityEstimator, "capacity");
-        this.liveInstanceCount = Objects.requireNonNull(liveInstanceCount, "liveInstances");
+        this.capacityEstimator = Objects.requireNonNull(capacityEstimator, "capacityEstimator");
+        this.liveInstanceCount = Objects.requireNonNull(liveInstanceCount, "liveInstanceCount");
         this.time = Objects.requireNonNull(time, "time");
         this.ownerLimits = new OwnerLimits(catalogue, limitShares, time);
         this.limitQueue = new LimitQueue(policy.limitQueueLength());
@@ -76,9 +80,9 @@
     }
 
     /**
-     * Returns how many requests wait.
+     * Returns the number of waiting requests.
      *
-     * @return the count, over all groups and limits
+     * @return the number of requests queued for any group or any limit
      */
     public synchronized int waitingRequestCount() {
         int count = limitQueue.snapshot().size();
@@ -124,14 +128,14 @@
         if (limitQueue.hasCapacity(waiting)) {
             limitQueue.add(waiting);
         } else {
-            refuse(waiting, Refusal.notRun(reason, "the limit of " + scope + " is used up", retryAfterMillis));
+            refuse(waiting, Refusal.notRun(reason, "limit of " + scope + " is exhausted", retryAfterMillis));
         }
     }
 
     private void enqueueForGroup(WaitingRequest waiting) {
         GroupQueues queues = queuesOf(waiting);
         if (!queues.hasCapacity(waiting.workClass())) {
-            String detail = "the queue of class " + waiting.workClass() + " is full";
+            String detail = "queue for work class " + waiting.workClass() + " is full";
             refuse(waiting, Refusal.notRun(RefusalReason.QUEUE_FULL, detail, estimateRetryAfterMillis(waiting)));
             return;
         }
@@ -142,19 +146,22 @@
         queues.add(waiting);
     }
 
-    /** Says why a request is not worth starting or keeping; empty where it is. */
+    /**
+     * Returns the refusal of a request whose deadline has passed or cannot be met, or that has no target; empty if the
+     * request may start or keep waiting. Long reads are refused only when their deadline has passed.
+     */
     private Optional<Refusal> refusalIfInfeasible(WaitingRequest waiting, double workAheadMillis, long nowMillis) {
         long remainingMillis = waiting.request().remainingMillis(nowMillis);
         if (remainingMillis == 0) {
             return Optional.of(
-                    Refusal.notRun(RefusalReason.DEADLINE_PASSED, "the deadline passed before the start", 0));
+                    Refusal.notRun(RefusalReason.DEADLINE_PASSED, "deadline passed before the request started", 0));
         }
         if (waiting.workClass() == WorkClass.LONG_READ) {
             return Optional.empty();
         }
         Optional<GroupCapacity> estimate = capacityEstimator.capacityOf(waiting.group());
         if (estimate.isEmpty()) {
-            String detail = "no target of group " + waiting.group() + " takes new work";
+            String detail = "no target of group " + waiting.group() + " accepts new work";
             return Optional.of(Refusal.notRun(RefusalReason.NO_TARGET, detail, NO_TARGET_RETRY_AFTER_MILLIS));
         }
         double waitMillis = estimateQueueWaitMillis(workAheadMillis, estimate.get());
@@ -163,7 +170,8 @@
         if (neededMillis <= remainingMillis) {
             return Optional.empty();
         }
-        String detail = "an answer would take " + Math.round(neededMillis) + " ms and " + remainingMillis + " are left";
+        String detail = "estimated completion time is " + Math.round(neededMillis) + " ms, but the deadline is in "
+                + remainingMillis + " ms";
         return Optional.of(
                 Refusal.notRun(RefusalReason.DEADLINE_UNMEETABLE, detail, estimateRetryAfterMillis(waiting)));
     }
@@ -207,7 +215,7 @@
 
     private void cancel(WaitingRequest waiting) {
         synchronized (this) {
-            if (waiting.settled()) {
+            if (waiting.isSettled()) {
                 return;
             }
             waiting.markSettled();
@@ -220,7 +228,7 @@
         deliverDecisions();
     }
 
-    /** Tells decisions one by one, since each start changes the estimate that the next one depends on. */
+    /** Makes and delivers decisions one at a time, because each start changes the estimate for the next decision. */
     private void deliverDecisions() {
         if (!decisions.tryStartDelivery()) {
             return;
@@ -248,7 +256,9 @@
         return decision;
     }
 
-    /** Takes at most one start of a group, after the refusals that come before it. */
+    /**
+     * Refuses the requests at the heads of the queues that can no longer meet their deadline, then starts at most one.
+     */
     private void decideNext(GroupQueues queues) {
         long nowMillis = time.monotonicMillis();
         for (WorkClass workClass : WorkClass.values()) {
@@ -293,7 +303,7 @@
                 return queues.head(workClass);
             }
         }
-        throw new IllegalStateException("the queues are empty");
+        throw new IllegalStateException("all queues of the target group are empty");
     }
 
     private void scheduleSweep() {
@@ -342,7 +352,7 @@
                 waiting,
                 Refusal.notRun(
                         limitReached.reason(),
-                        "the limit of " + limitReached.scope() + " is used up",
+                        "limit of " + limitReached.scope() + " is exhausted",
                         limitReached.retryAfterMillis()));
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/DecisionQueue.java
+++ b/src/main/java/org/dogwoodwinch/admission/DecisionQueue.java
@@ -4,9 +4,11 @@
 import java.util.Deque;
 
 /**
- * Decisions that were taken and not yet told; told outside the monitor, one after another, by one thread at a time.
+ * Decisions that were made but not yet delivered to their listeners. One thread at a time delivers them, in order and
+ * outside the admission monitor.
  *
- * <p>Told under the monitor, a listener that asks for admission itself would deadlock or nest without end.
+ * <p>If they were delivered under that monitor, a listener that requests admission itself could deadlock or recurse
+ * without bound.
  */
 final class DecisionQueue {
 
@@ -19,8 +21,9 @@
     }
 
     /**
-     * Becomes the teller, unless someone is; that one then looks once more before it stops, or a request that came in
-     * between would wait for the next sweep.
+     * Makes the calling thread deliver the decisions and returns true, unless another thread delivers already. That
+     * thread then checks once more before it stops; otherwise a request that arrives meanwhile would wait for the next
+     * sweep.
      */
     synchronized boolean tryStartDelivery() {
         if (delivering) {
@@ -35,7 +38,7 @@
         return decisions.poll();
     }
 
-    /** Stops telling, unless there is reason to look again. */
+    /** Ends delivery and returns true, or returns false if another check was requested meanwhile. */
     synchronized boolean tryStopDelivery() {
         if (recheckRequested) {
             recheckRequested = false;
--- a/src/main/java/org/dogwoodwinch/admission/GrantExpiryRule.java
+++ b/src/main/java/org/dogwoodwinch/admission/GrantExpiryRule.java
@@ -1,12 +1,18 @@
 package org.dogwoodwinch.admission;
 
-/** From when on a borrower counts the term of a grant; tests put a wrong one in its place to see it caught. */
+/**
+ * Determines when a borrower stops using a grant. Tests substitute an incorrect rule to verify that a violation of the
+ * limit is detected.
+ */
 @FunctionalInterface
 interface GrantExpiryRule {
 
-    /** Counts from the borrower's own stamp, sent before the lender knew of it: the borrower always ends first. */
+    /**
+     * Counts the term from the borrower's own time stamp, which was sent before the lender made the grant. The
+     * borrower's use therefore always ends before the lender uses the units again.
+     */
     GrantExpiryRule FROM_BORROWER_STAMP = (echoStampMillis, _nowMillis, termMillis) -> echoStampMillis + termMillis;
 
-    /** Returns when the borrower stops using the grant, on its own clock. */
+    /** Returns the time on the borrower's clock at which it stops using the grant. */
     long expiryMillis(long echoStampMillis, long nowMillis, long termMillis);
 }
--- a/src/main/java/org/dogwoodwinch/admission/GroupCapacity.java
+++ b/src/main/java/org/dogwoodwinch/admission/GroupCapacity.java
@@ -1,14 +1,14 @@
 package org.dogwoodwinch.admission;
 
 /**
- * What a target group can do for one request more, as this instance estimates it now.
+ * Estimated capacity of a target group for one more request, as this instance currently sees it.
  *
- * @param availableTargets how many targets take new work
- * @param promptWaitMillis how long a prompt would wait on the best of them, in milliseconds
- * @param prefillTokensPerMillisecond prompt tokens that one target computes a millisecond
- * @param interTokenMillis time between tokens of one answer, in milliseconds
- * @param decodeTokensPerMillisecond tokens that one target generates a millisecond over its batch
- * @param expectedOutputRatio the part of the allowed output that answers really use, from zero to one
+ * @param availableTargets number of targets that accept new work
+ * @param promptWaitMillis estimated wait of a prompt on the best of these targets, in milliseconds
+ * @param prefillTokensPerMillisecond prompt tokens that one target processes per millisecond
+ * @param interTokenMillis time between two output tokens of one response, in milliseconds
+ * @param decodeTokensPerMillisecond output tokens that one target generates per millisecond over its whole batch
+ * @param expectedOutputRatio fraction of the permitted output tokens that responses use on average, from zero to one
  */
 public record GroupCapacity(
         int availableTargets,
@@ -19,11 +19,11 @@
         double expectedOutputRatio) {
 
     /**
-     * Estimates how long a request takes from its start on a target to its last token.
+     * Estimates the time from the start of a request on a target to its last token.
      *
-     * @param promptTokens tokens of the prompt
-     * @param maxTokens the most tokens of the answer
-     * @return milliseconds
+     * @param promptTokens number of tokens of the prompt
+     * @param maxTokens maximum number of output tokens
+     * @return the time, in milliseconds
      */
     public double completionMillis(long promptTokens, int maxTokens) {
         return promptWaitMillis
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Estimates how much of one target's time a request takes.
+     * Estimates the time for which a request occupies one target.
      *
-     * @param promptTokens tokens of the prompt
-     * @param maxTokens the most tokens of the answer
-     * @return milliseconds of one target
+     * @param promptTokens number of tokens of the prompt
+     * @param maxTokens maximum number of output tokens
+     * @return the time on one target, in milliseconds
      */
     public double workMillis(long promptTokens, int maxTokens) {
         return promptTokens / prefillTokensPerMillisecond
--- a/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
+++ b/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
@@ -10,12 +10,13 @@
 import org.dogwoodwinch.catalogue.WorkClass;
 
 /**
- * The requests that wait for one target group, by class.
+ * The queues of requests that wait for one target group, one queue per class of work.
  *
- * <p>Urgent and standard requests wait in order of deadline, long reads in order of arrival. For each token of other
- * work that starts while a long read waits, the long reads earn a fixed part of a token, and the first of them starts as
- * soon as it is paid for, whatever else waits. So a long read with A tokens in the line up to and with itself starts
- * before more than A * (1 - floor) / floor tokens of other work, and one request more, have started.
+ * <p>Urgent and standard requests are ordered by deadline, long reads by arrival. Each token of other work that starts
+ * while a long read waits adds a fixed fraction of a token to the credit of the long reads. When the credit covers the
+ * first long read, it starts next, ahead of the other classes. A long read for which the long reads up to and including
+ * itself have A tokens therefore starts before more than A * (1 - floor) / floor tokens of other work, plus one
+ * request, have started, where floor is {@link AdmissionPolicy#longReadFloorRatio()}.
  */
 final class GroupQueues {
 
@@ -57,7 +58,7 @@
         return queues.values().stream().allMatch(Queue::isEmpty);
     }
 
-    /** The first of a class, or null. */
+    /** Returns the first request of a class, or null if none waits. */
     WaitingRequest head(WorkClass workClass) {
         return queues.get(workClass).peek();
     }
@@ -66,7 +67,9 @@
         return queues.get(workClass);
     }
 
-    /** The work that would go before a new request of a class, in milliseconds of one target. */
+    /**
+     * Returns the estimated time on one target of the work queued ahead of a new request of a class, in milliseconds.
+     */
     double workAheadMillis(WorkClass workClass) {
         double aheadMillis = queuedWorkMillis.getOrDefault(WorkClass.URGENT, 0.0);
         if (workClass != WorkClass.URGENT) {
@@ -78,7 +81,7 @@
         return Math.max(0, aheadMillis);
     }
 
-    /** Which request starts next where a target's own wait is this long; null where none does. */
+    /** Returns the request to start next if a target would delay it by the given wait; null if none may start. */
     WaitingRequest nextToStart(double targetWaitMillis) {
         WaitingRequest longRead = head(WorkClass.LONG_READ);
         if (longRead != null
@@ -95,12 +98,15 @@
         return targetWaitMillis <= policy.longReadWaitMillis() ? longRead : null;
     }
 
-    /** What the other instances have started and nobody has told yet, in milliseconds of one target. */
+    /**
+     * Estimates the work that the other instances started but have not reported yet, as time on one target in
+     * milliseconds.
+     */
     double unreportedPeerWorkMillis(int instanceCount, long nowMillis) {
         return recentlyStarted.unreportedPeerWorkMillis(instanceCount, nowMillis);
     }
 
-    /** Takes a request out to start it, and keeps the accounts. */
+    /** Removes a request that is about to start, and updates the started work and the credit of the long reads. */
     void removeForStart(WaitingRequest waiting, long nowMillis) {
         recentlyStarted.recordStart(waiting.workMillis(), nowMillis);
         if (waiting.workClass() == WorkClass.LONG_READ) {
--- a/src/main/java/org/dogwoodwinch/admission/LimitAllocation.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitAllocation.java
@@ -7,11 +7,12 @@
 import java.util.Optional;
 
 /**
- * One limit's units on one instance: those at home here, lent out, and borrowed.
+ * The units of one limit on one instance: its home units, the units that it lent and the units that it borrowed.
  *
- * <p>Every unit of a limit has one home. A unit is used at home, or lent to one borrower for a term; the lender counts
- * the term from after the borrower's wish, the borrower from before it. So the borrower stops first, whatever messages
- * are lost or late and whoever is paused, and the sum over all instances never exceeds the limit. Not thread-safe.
+ * <p>Every unit of a limit is assigned to one home. A unit is used by its home or lent to one borrower for a term. The
+ * lender counts the term from the receipt of the borrower's request, and the borrower from the sending of it. The
+ * borrower therefore stops first, even if messages are lost or delayed or instances are paused, and the units in use on
+ * all instances never exceed the limit. Not thread-safe.
  */
 final class LimitAllocation {
 
@@ -38,12 +39,12 @@
         homeUsable = usable;
     }
 
-    /** Units that this instance holds now, in use or free. */
+    /** Returns the number of units that this instance may use now, in use or free. */
     long heldUnits(long nowMillis) {
         return homeUnitsHeld() + borrowedUnits(nowMillis);
     }
 
-    /** Uses one unit until it is released or the given time comes; empty where none is free for so long. */
+    /** Acquires one unit until it is released; empty if none is free and valid until the given time. */
     Optional<AcquiredUnit> tryAcquire(long untilMillis, long nowMillis) {
         if (homeUnitsFree() > 0) {
             homeUnitsInUse++;
@@ -62,7 +63,7 @@
         return Optional.empty();
     }
 
-    /** Says what waits for units here. */
+    /** Sets the number of units that requests on this instance wait for, and the term for which they need them. */
     void setDemand(long units, long termMillis) {
         demandUnits = units;
         demandTermMillis = termMillis;
@@ -74,7 +75,7 @@
                 : Optional.of(new LimitShareMessage.BorrowRequest(limitId, demandUnits, demandTermMillis));
     }
 
-    /** Lends units to a borrower; the units are out of use here from this moment on. */
+    /** Lends free units to a borrower; this instance stops using them at once. */
     void lend(GrantKey key, LoanTerms terms) {
         long spareUnits = Math.max(0, homeUnitsFree() - demandUnits);
         long units = Math.min(spareUnits, terms.maxUnits());
@@ -83,7 +84,7 @@
         }
     }
 
-    /** The borrower wishes to keep a grant: lengthens it, unless the units are wanted here. */
+    /** Extends a grant that its borrower still holds, unless requests on this instance wait for units. */
     void renew(GrantKey key, long borrowerStampMillis, long nowMillis, long marginMillis) {
         LentGrant lentGrant = lentGrants.get(key);
         if (lentGrant != null && lentGrant.borrowerIndex >= 0 && demandUnits == 0) {
@@ -96,7 +97,7 @@
         lentGrants.remove(key);
     }
 
-    /** Counts a grant of this home's former life as lent, as its borrower tells it. */
+    /** Records as lent a grant of a previous incarnation of this home, as reported by its borrower. */
     void recordPreviousLoan(GrantKey key, long units, long expiryMillis) {
         lentGrants.computeIfAbsent(key, _key -> new LentGrant(new LoanTerms(-1, 0, units, 0, 0, expiryMillis), units));
     }
@@ -111,7 +112,10 @@
         return grants;
     }
 
-    /** Takes a grant meant for this instance; one that was returned, or that is over, has no effect. */
+    /**
+     * Adds or extends a grant to this instance. A grant that is already expired is ignored, and one that was returned
+     * stays returned.
+     */
     void borrow(GrantKey key, long units, long expiryMillis, long nowMillis) {
         BorrowedGrant existing = borrowedGrants.get(key);
         if (existing != null) {
@@ -133,7 +137,7 @@
         return heldGrants;
     }
 
-    /** Returns the unused grants of a lender that wants its units itself. */
+    /** Returns the unused grants of a lender that needs its units itself. */
     void returnUnusedTo(int lenderIndex, long retainUntilMillis) {
         borrowedGrants.forEach((key, grant) -> {
             if (key.lenderIndex() == lenderIndex) {
@@ -143,10 +147,10 @@
     }
 
     /**
-     * Returns the grants that were not used since a given time.
+     * Returns the grants that have not been used since the given time.
      *
-     * <p>A returned grant stays known until {@code forgetMillis}, by which every copy of it that is still under way has
-     * ended: a late copy of a renewal would else bring back units that the lender uses again.
+     * <p>A returned grant is retained until {@code retainUntilMillis}, when every copy of it that is still in transit
+     * has expired. Otherwise a delayed renewal would restore units that the lender uses again.
      */
     void returnUnusedSince(long sinceMillis, long retainUntilMillis) {
         for (BorrowedGrant grant : borrowedGrants.values()) {
@@ -156,12 +160,12 @@
         }
     }
 
-    /** Marks every borrowed unit as used just now, for limits whose units are a rate. */
+    /** Marks all borrowed units as used now, for limits whose units are parts of a rate. */
     void markUsed(long nowMillis) {
         borrowedGrants.values().forEach(grant -> grant.lastUsedMillis = nowMillis);
     }
 
-    /** Drops what is over on either side. */
+    /** Removes expired grants, both lent and borrowed. */
     void removeExpired(long nowMillis) {
         lentGrants.values().removeIf(grant -> nowMillis >= grant.expiryMillis);
         borrowedGrants.values().removeIf(grant -> nowMillis >= grant.expiryMillis);
@@ -196,32 +200,32 @@
                 .sum();
     }
 
-    /** A unit in use. */
+    /** A unit that a request has acquired. */
     @FunctionalInterface
     interface AcquiredUnit {
 
-        /** Gives the unit back; call it once. */
+        /** Releases the unit; must be called once only. */
         void release();
     }
 
     /**
-     * Names a grant.
+     * Identifies a grant.
      *
-     * @param lenderIndex the lender's home
-     * @param lenderIncarnation the lender's incarnation
-     * @param grantId the grant among its lender's
+     * @param lenderIndex the home index of the lender
+     * @param lenderIncarnation the incarnation of the lender
+     * @param grantId the identifier of the grant, unique for its lender's incarnation
      */
     record GrantKey(int lenderIndex, long lenderIncarnation, long grantId) {}
 
     /**
-     * A loan to be made.
+     * The terms of a loan.
      *
-     * @param borrowerIndex the borrower's home; -1 where it is a loan of a former life
-     * @param borrowerIncarnation the borrower's incarnation
-     * @param maxUnits the most units
-     * @param borrowerStampMillis the borrower's stamp
-     * @param termMillis the term
-     * @param expiryMillis when the lender may use the units again, on the lender's clock
+     * @param borrowerIndex the home index of the borrower; -1 for a loan of a previous incarnation of the lender
+     * @param borrowerIncarnation the incarnation of the borrower
+     * @param maxUnits the maximum number of units to lend
+     * @param borrowerStampMillis the time stamp of the borrower's message, on the borrower's clock
+     * @param termMillis the term, in milliseconds
+     * @param expiryMillis time at which the lender may use the units again, on the lender's clock
      */
     record LoanTerms(
             int borrowerIndex,
--- a/src/main/java/org/dogwoodwinch/admission/LimitQueue.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitQueue.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Requests that wait for their owner's limit, in order of arrival for each owner. */
+/** The requests that wait for their owner's limits, in order of arrival for each owner. */
 final class LimitQueue {
 
     private final int maxPerOwner;
@@ -20,7 +20,7 @@
         return ownerQueue == null || ownerQueue.size() < maxPerOwner;
     }
 
-    /** Whether an earlier request of the same entry waits; a later one must not overtake it. */
+    /** Returns whether an earlier request of the same entry waits, which a later one must not overtake. */
     boolean hasEarlierOfSameEntry(WaitingRequest waiting) {
         List<WaitingRequest> ownerQueue = queuesByOwner.get(ownerOf(waiting));
         return ownerQueue != null
@@ -53,7 +53,7 @@
         return queuesByOwner.isEmpty();
     }
 
-    /** All that wait, in an order in which a decision may take them out of the queue. */
+    /** Returns a copy of all waiting requests, in order of arrival for each owner. */
     List<WaitingRequest> snapshot() {
         List<WaitingRequest> all = new ArrayList<>();
         queuesByOwner.values().forEach(all::addAll);
--- a/src/main/java/org/dogwoodwinch/admission/LimitScope.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitScope.java
@@ -5,13 +5,16 @@
 import org.dogwoodwinch.request.RefusalReason;
 import org.dogwoodwinch.time.TokenBucket;
 
-/** The limits of one owner or one entry on this instance. Used under the {@link ShareExchange}'s monitor. */
+/**
+ * Enforces the limits of one owner or one entry on this instance. Not thread-safe: callers hold the monitor of the
+ * {@link ShareExchange}.
+ */
 final class LimitScope {
 
-    /** A token rate is shared in this many units. */
+    /** Number of units into which a token rate is divided for sharing among the instances. */
     static final long RATE_UNITS = 64;
 
-    /** How much of its rate an owner may use at once. */
+    /** Maximum burst of a token rate, as the time in which the rate yields that many tokens. */
     private static final double BURST_MILLIS = 2_000;
 
     private static final long RATE_GRANT_TERM_MILLIS = 10_000;
@@ -33,7 +36,10 @@
         setLimits(limits);
     }
 
-    /** Takes new limits, and makes them known to the exchange, so that this instance lends where it has no demand. */
+    /**
+     * Sets new limits and creates their allocations in the exchange, so that this instance lends units even if it has
+     * no demand of its own.
+     */
     void setLimits(Limits newLimits) {
         limits = newLimits;
         if (limits.maxConcurrent() > 0) {
@@ -44,7 +50,7 @@
         }
     }
 
-    /** Why a request may not start for this scope; empty where it may. */
+    /** Returns why the token rate does not permit a request to start now; empty if it does. */
     Optional<LimitReached> checkTokenRate(long tokens, long nowMillis) {
         if (limits.tokensPerSecond() > 0) {
             TokenBucket tokenBucket = refreshedBucket(nowMillis);
@@ -58,7 +64,10 @@
         return Optional.empty();
     }
 
-    /** Takes a place; call it after {@link #checkTokenRate}. Empty where no unit is free until the given time. */
+    /**
+     * Acquires a unit of the concurrency limit; to be called after {@link #checkTokenRate}. Returns empty if no unit is
+     * available until the given time.
+     */
     Optional<LimitAllocation.AcquiredUnit> tryAcquireConcurrency(long untilMillis, long nowMillis) {
         if (limits.maxConcurrent() <= 0) {
             return Optional.of(() -> {});
@@ -88,7 +97,9 @@
         }
     }
 
-    /** Tells the ledgers what was blocked since the last call; they ask the peers for as much. */
+    /**
+     * Sets the demand of the allocations to what was blocked since the last call; they request as much from the peers.
+     */
     void reportDemand() {
         if (limits.maxConcurrent() > 0) {
             concurrencyAllocation().setDemand(unmetRequests, 2 * unmetTermMillis);
@@ -122,11 +133,11 @@
     }
 
     /**
-     * Why a request may not start.
+     * The limit that prevents a request from starting.
      *
-     * @param reason the refusal's reason
-     * @param scope the owner or entry whose limit it is
-     * @param retryAfterMillis when to come back, in milliseconds
+     * @param reason the reason to report in a refusal
+     * @param scope the name of the owner or entry that the limit belongs to
+     * @param retryAfterMillis time after which the caller should retry, in milliseconds
      */
     record LimitReached(RefusalReason reason, String scope, long retryAfterMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/admission/LimitShareMessage.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareMessage.java
@@ -6,15 +6,18 @@
 import java.util.Objects;
 
 /**
- * What one instance tells the others about its shares; the newest note says all, so that a lost one loses nothing.
+ * A message in which one instance publishes the state of its limit shares to the others. Each message holds the full
+ * state, so the loss of an earlier one has no effect.
  *
- * @param homeIndex the sender's home
- * @param incarnation tells the sender's present life from an earlier one; it grows with each start
- * @param stampMillis the sender's monotonic time; a grant repeats it, and the grant's term counts from it
- * @param lives the newest incarnation the sender knows of each home, by index; zero where it knows none, not null
- * @param wants the units it would borrow, not null
- * @param grants the units it lends, not null
- * @param holds the grants it has borrowed, not null
+ * @param homeIndex the home index of the sender
+ * @param incarnation the incarnation of the sender, which grows with each start
+ * @param stampMillis the sender's monotonic time; a grant to the sender repeats it, and the sender counts the grant's
+ *     term from it
+ * @param lives the latest incarnation of each home that the sender knows, by home index; zero if it knows none, not
+ *     null
+ * @param wants the requests of the sender to borrow units, not null
+ * @param grants the grants of units that the sender lends, not null
+ * @param holds the grants that the sender holds as a borrower, not null
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonPropertyOrder({"homeIndex", "incarnation", "stampMillis", "lives", "wants", "grants", "holds"})
@@ -36,31 +39,31 @@
     }
 
     /**
-     * A wish to borrow.
+     * A request to borrow units of a limit.
      *
-     * @param limitId the limit, not null
-     * @param units how many units
-     * @param termMillis for how long, in milliseconds
+     * @param limitId the identifier of the limit, not null
+     * @param units the number of units
+     * @param termMillis the requested term, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @JsonPropertyOrder({"limitId", "units", "termMillis"})
     public record BorrowRequest(String limitId, long units, long termMillis) {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public BorrowRequest {
             Objects.requireNonNull(limitId, "limitId");
         }
     }
 
     /**
-     * Units lent.
+     * A grant of units from the sender to a borrower.
      *
-     * @param limitId the limit, not null
-     * @param grantId names the grant among its lender's
-     * @param toIndex the borrower's home
-     * @param toIncarnation the borrower's incarnation
-     * @param units how many units
-     * @param echoStampMillis the borrower's own stamp from which the term counts
+     * @param limitId the identifier of the limit, not null
+     * @param grantId the identifier of the grant, unique for its lender's incarnation
+     * @param toIndex the home index of the borrower
+     * @param toIncarnation the incarnation of the borrower
+     * @param units the number of units
+     * @param echoStampMillis the time stamp of the borrower's message, from which the borrower counts the term
      * @param termMillis the term, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -74,39 +77,39 @@
             long echoStampMillis,
             long termMillis) {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Grant {
             Objects.requireNonNull(limitId, "limitId");
         }
     }
 
     /**
-     * A grant that the sender has borrowed.
+     * A grant that the sender holds as a borrower.
      *
-     * @param limitId the limit, not null
-     * @param lenderIndex the lender's home
-     * @param lenderIncarnation the lender's incarnation
-     * @param grantId the grant
-     * @param units how many units
-     * @param state what becomes of it, not null
+     * @param limitId the identifier of the limit, not null
+     * @param lenderIndex the home index of the lender
+     * @param lenderIncarnation the incarnation of the lender
+     * @param grantId the identifier of the grant at its lender
+     * @param units the number of units
+     * @param state whether the sender keeps the grant or has returned it, not null
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     @JsonPropertyOrder({"limitId", "lenderIndex", "lenderIncarnation", "grantId", "units", "state"})
     public record HeldGrant(
             String limitId, int lenderIndex, long lenderIncarnation, long grantId, long units, HeldGrantState state) {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public HeldGrant {
             Objects.requireNonNull(limitId, "limitId");
             Objects.requireNonNull(state, "state");
         }
     }
 
-    /** What becomes of a borrowed grant. */
+    /** Whether a borrower keeps a grant. */
     public enum HeldGrantState {
-        /** In use or wanted: the lender may lengthen it. */
+        /** The borrower keeps the grant; the lender may extend it. */
         RENEW,
-        /** Given back: the lender may use the units again. */
+        /** The borrower has returned the grant; the lender may use the units again. */
         RETURNED
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/LimitShareMessageCodec.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareMessageCodec.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Writes and reads {@link LimitShareMessage} in MessagePack. */
+/** Encodes and decodes {@link LimitShareMessage} as MessagePack. */
 public final class LimitShareMessageCodec {
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
@@ -16,24 +16,25 @@
     private LimitShareMessageCodec() {}
 
     /**
-     * Writes a note.
+     * Encodes a message.
      *
-     * @param message the note, not null
-     * @return its bytes
+     * @param message the message, not null
+     * @return the encoded message
      */
     public static Bytes encode(LimitShareMessage message) {
         try {
             return Bytes.of(MAPPER.writeValueAsBytes(message));
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("a plain record could not be written", e);
+            throw new UncheckedIOException("could not encode a limit share message as MessagePack", e);
         }
     }
 
     /**
-     * Reads a note.
+     * Decodes a message.
      *
-     * @param payload the bytes, not null
-     * @return the note, or empty where the bytes are not one: a newer or broken peer must not stop this instance
+     * @param payload the encoded message, not null
+     * @return the message, or empty if the bytes are not a valid message, because a newer or faulty peer must not stop
+     *     this instance
      */
     public static Optional<LimitShareMessage> decode(Bytes payload) {
         try {
--- a/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
+++ b/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
@@ -14,8 +14,8 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * The limits of owners and entries, as far as this instance's shares go. Thread-safe: it holds the
- * {@link ShareExchange}'s monitor.
+ * Enforces the limits of owners and entries within this instance's share of them. Thread-safe: all methods hold the
+ * monitor of the {@link ShareExchange}.
  */
 final class OwnerLimits {
 
@@ -26,13 +26,16 @@
 
     OwnerLimits(CatalogueView catalogue, ShareExchange limitShares, TimeSource time) {
         this.catalogue = Objects.requireNonNull(catalogue, "catalogue");
-        this.limitShares = Objects.requireNonNull(limitShares, "shares");
+        this.limitShares = Objects.requireNonNull(limitShares, "limitShares");
         this.time = Objects.requireNonNull(time, "time");
         catalogue.onChange(this::applyCatalogue);
         catalogue.current().ifPresent(this::applyCatalogue);
     }
 
-    /** Takes a place and the tokens under both the owner's and the entry's limits, or says which limit is in the way. */
+    /**
+     * Acquires a concurrency unit and the estimated tokens under the limits of both the owner and the entry, or returns
+     * the limit that prevents it.
+     */
     Acquired tryAcquire(CallerRequest request, long estimatedTokens) {
         synchronized (limitShares) {
             long nowMillis = time.monotonicMillis();
@@ -50,7 +53,7 @@
         }
     }
 
-    /** Tells the peers what had to wait since the last call. */
+    /** Sets the demand to publish to the peers from the requests that were blocked since the last call. */
     void reportDemand() {
         synchronized (limitShares) {
             scopes.values().forEach(LimitScope::reportDemand);
@@ -135,25 +138,25 @@
                 .orElse(Limits.NONE);
     }
 
-    /** What became of an attempt to take a place. */
+    /** The result of an attempt to acquire units of the limits. */
     sealed interface Acquired {
 
         /**
-         * A place was taken.
+         * The units and tokens were acquired.
          *
-         * @param permit to be released
+         * @param permit the permit, to be released when the request ends
          */
         record Success(LimitPermit permit) implements Acquired {}
 
         /**
-         * A limit is in the way.
+         * A limit prevents the request from starting.
          *
-         * @param limitReached which
+         * @param limitReached the limit
          */
         record Failure(LimitScope.LimitReached limitReached) implements Acquired {}
     }
 
-    /** A place under the limits. */
+    /** The concurrency units and tokens that one request holds under the limits. */
     final class LimitPermit {
 
         private final LimitAllocation.AcquiredUnit units;
@@ -165,7 +168,10 @@
             this.tokenCorrection = tokenCorrection;
         }
 
-        /** Gives the place back; {@code usedTokens} below zero leaves the estimate as it is. */
+        /**
+         * Releases the concurrency units and corrects the token count; a negative {@code usedTokens} keeps the
+         * estimate. A second call has no effect.
+         */
         void release(long usedTokens) {
             synchronized (limitShares) {
                 if (released) {
--- a/src/main/java/org/dogwoodwinch/admission/Permit.java
+++ b/src/main/java/org/dogwoodwinch/admission/Permit.java
@@ -1,13 +1,13 @@
 package org.dogwoodwinch.admission;
 
-/** Leave to run one request; counts against its owner until it is released. */
+/** Permission to run one request. It counts against the owner's limits until it is released. */
 @FunctionalInterface
 public interface Permit {
 
     /**
-     * Gives the permit back and corrects the estimated token count; a second call has no effect.
+     * Releases the permit and corrects the estimated token count; a second call has no effect.
      *
-     * @param usedTokens prompt and generated tokens that the request really cost; -1 where unknown
+     * @param usedTokens number of prompt and output tokens that the request used, or -1 if unknown
      */
     void release(long usedTokens);
 }
--- a/src/main/java/org/dogwoodwinch/admission/RecentlyStartedWork.java
+++ b/src/main/java/org/dogwoodwinch/admission/RecentlyStartedWork.java
@@ -4,13 +4,14 @@
 import java.util.Deque;
 
 /**
- * The work that this instance started of late in one group. Not thread-safe.
+ * Tracks the work that this instance recently started in one target group, to estimate the work that its peers started
+ * but have not reported yet. Not thread-safe.
  *
- * <p>Failure: between two words of its peers an instance does not see what they start. When many requests wait
- * everywhere, all instances fill the same free target at once, and what they start waits there, where the order is
- * fixed. The others have the same waiting work as this one, so each of them is taken to have started as much as this
- * one did in that time. In the replay of three times the load, goodput in the first 40 s went from 82 to 92 of 100 of the
- * usual.
+ * <p>Failure: between two reports of its peers, an instance does not see the work that they start. When many requests
+ * wait on all instances, every instance sends work to the same free target at once, and that work then waits on the
+ * target, where it cannot be reordered. Because the peers have similar queues, each of them is assumed to have started
+ * as much work as this instance did since their last report. In a replay of three times the normal load, this raised
+ * goodput in the first 40 s from 82 to 92 percent of the normal value.
  */
 final class RecentlyStartedWork {
 
@@ -19,9 +20,9 @@
     private double workMillis;
 
     /**
-     * Creates an account without work.
+     * Creates a tracker without any started work.
      *
-     * @param reportIntervalMillis how old the words of peers may be
+     * @param reportIntervalMillis maximum age of the peers' reports, in milliseconds
      */
     RecentlyStartedWork(long reportIntervalMillis) {
         this.reportIntervalMillis = reportIntervalMillis;
@@ -32,7 +33,10 @@
         workMillis += startedWorkMillis;
     }
 
-    /** The work of the other instances that is not heard of yet, in milliseconds of one target. */
+    /**
+     * Estimates the work that the other instances started but have not reported yet, as time on one target in
+     * milliseconds.
+     */
     double unreportedPeerWorkMillis(int instanceCount, long nowMillis) {
         while (!recentStarts.isEmpty() && recentStarts.peekFirst().atMillis <= nowMillis - reportIntervalMillis) {
             workMillis -= recentStarts.pollFirst().workMillis;
--- a/src/main/java/org/dogwoodwinch/admission/ShareExchange.java
+++ b/src/main/java/org/dogwoodwinch/admission/ShareExchange.java
@@ -13,23 +13,36 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Keeps the owners' limits shared between the instances by notes on the peer board.
+ * Shares the owners' limits among the instances by messages on the peer board.
  *
- * <p>Each unit of a limit has a fixed home, so no agreement is needed to know whose it is; notes only move units for a
- * term from homes with little demand to instances with more. An instance that hears nobody keeps what is at home with
- * it, stops using what it borrowed when the terms end, and gets back what it lent a margin later.
+ * <p>Each unit of a limit is statically assigned to one instance, its home, so the instances need no agreement on the
+ * assignment. Messages only lend units for a limited term from homes with little demand to instances with more demand.
+ * An instance that receives no messages keeps its own home units, stops using borrowed units when their terms end, and
+ * regains the units that it lent one safety margin after their terms.
  *
- * <p>A home that restarts has forgotten what it lent. It uses none of its units until every other home has named this
- * new incarnation in a note (which also lists what that one still holds of the old incarnation, and is a promise to take
- * no more grants of it), or until the longest term has passed. Thread-safe: all methods hold this object's monitor.
+ * <p>A home loses its record of lent units when it restarts. It uses none of its home units until every other home has
+ * published a message with the new incarnation, or until the maximum term and the margin have passed. Such a message
+ * also lists the grants that its sender still holds from the previous incarnation, and its sender no longer accepts
+ * grants of that incarnation.
+ *
+ * <p>Thread-safe: all methods hold this object's monitor.
  */
 public final class ShareExchange {
 
     private static final String MESSAGE_KEY = "shares";
     private static final int MAX_LIMITS_PER_MESSAGE = 128;
+
+    /** Number of publish intervals for which the board retains a message. */
     private static final int RETENTION_INTERVALS = 50;
+
+    /** Time without use after which a borrowed grant is returned. */
     private static final long UNUSED_GRANT_MILLIS = 2_000;
+
     private static final long MIN_GRANT_CAP_UNITS = 4;
+
+    /**
+     * A grant covers at most the home units divided by this number, or {@link #MIN_GRANT_CAP_UNITS} if that is more.
+     */
     private static final long GRANT_CAP_DIVISOR = 4;
 
     private final ShareSettings settings;
@@ -47,12 +60,12 @@
     private long nextGrantId;
 
     /**
-     * Creates an exchange; {@link #start()} sets it going.
+     * Creates an exchange, which is inactive until {@link #start()} is called.
      *
-     * @param settings how limits are shared, not null
-     * @param board the notice board, not null
+     * @param settings how the limits are shared, not null
+     * @param board the board on which instances publish messages to each other, not null
      * @param time the clock, not null
-     * @param incarnation grows with each start of the home, such as the time of day at the start
+     * @param incarnation a number that grows with each start of this instance, such as the wall-clock time of the start
      */
     public ShareExchange(ShareSettings settings, PeerBoard board, TimeSource time, long incarnation) {
         this(settings, board, time, incarnation, GrantExpiryRule.FROM_BORROWER_STAMP, settings.restartWaitMillis());
@@ -69,23 +82,23 @@
         this.board = Objects.requireNonNull(board, "board");
         this.time = Objects.requireNonNull(time, "time");
         this.incarnation = incarnation;
-        this.grantExpiryRule = Objects.requireNonNull(grantExpiryRule, "grantTerm");
+        this.grantExpiryRule = Objects.requireNonNull(grantExpiryRule, "grantExpiryRule");
         this.startMillis = time.monotonicMillis();
         this.homeUnitsUnusableUntilMillis = startMillis + (settings.homeCount() == 1 ? 0 : restartWaitMillis);
     }
 
-    /** Subscribes, and publishes notes from now on. */
+    /** Subscribes to the messages of the peers and starts to publish messages periodically. */
     public synchronized void start() {
         board.subscribe(PeerTopic.DEMAND, this::onItem);
         publishAndRepeat();
     }
 
     /**
-     * Returns the ledger of a limit, made at need.
+     * Returns the allocation of a limit, which is created if it does not exist.
      *
-     * @param limitId names the limit, not null
-     * @param totalUnits the whole limit over all instances
-     * @return the ledger; use it under this object's monitor
+     * @param limitId the identifier of the limit, not null
+     * @param totalUnits the limit over all instances
+     * @return the allocation, to be used under this object's monitor
      */
     synchronized LimitAllocation allocation(String limitId, long totalUnits) {
         totalUnitsByLimit.put(limitId, totalUnits);
@@ -96,7 +109,7 @@
         return allocation;
     }
 
-    /** Publishes one note now. */
+    /** Returns unused borrowed units and publishes one message. */
     synchronized void publish() {
         long nowMillis = time.monotonicMillis();
         long unusedSinceMillis = nowMillis - UNUSED_GRANT_MILLIS;
@@ -139,7 +152,10 @@
                 heldGrants);
     }
 
-    /** Holds are never left out: a home that restarts relies on hearing of every one. */
+    /**
+     * Returns the allocations to include in a message. Allocations with borrowed grants are never omitted, because a
+     * home that restarts learns of its earlier grants only from these messages.
+     */
     private Collection<LimitAllocation> allocationsToPublish() {
         List<LimitAllocation> selected = new ArrayList<>();
         for (LimitAllocation allocation : allocations.values()) {
@@ -165,7 +181,7 @@
         }
     }
 
-    /** Takes one note. */
+    /** Processes one message, and ignores it if it is not newer than the last one of its sender. */
     synchronized void onMessage(LimitShareMessage message, long ageMillis) {
         if (message.homeIndex() == settings.homeIndex()) {
             onMessageWithOwnIndex(message, ageMillis);
@@ -181,8 +197,10 @@
     }
 
     /**
-     * Two live instances with one home index would use its units twice; each steps back until the other is silent for
-     * as long as a grant may last. A note written before this instance started is its predecessor's and says nothing.
+     * Stops using the home units when another live instance publishes with this home index, because both would use the
+     * same units. Each of the two resumes when it has received no message from the other for as long as a grant may
+     * last, or when every other home has acknowledged its incarnation again. A message written before this instance
+     * started comes from its previous incarnation and is ignored.
      */
     private void onMessageWithOwnIndex(LimitShareMessage message, long ageMillis) {
         long nowMillis = time.monotonicMillis();
--- a/src/main/java/org/dogwoodwinch/admission/ShareSettings.java
+++ b/src/main/java/org/dogwoodwinch/admission/ShareSettings.java
@@ -1,41 +1,42 @@
 package org.dogwoodwinch.admission;
 
 /**
- * How owners' limits are shared between the instances.
+ * Settings for sharing the owners' limits among the instances.
  *
- * @param homeIndex this instance's place among the homes, from zero; no two live instances may have the same
- * @param homeCount how many homes there are: the number of entry instances the operators run
- * @param longestTermMillis the longest time for which units are lent, in milliseconds
- * @param marginMillis what a lender adds to a term before it takes units back, for clocks that run at slightly
- *     different speeds, in milliseconds
- * @param publishMillis the time between notes to the peers, in milliseconds
+ * @param homeIndex the home index of this instance, from zero; no two live instances may have the same index
+ * @param homeCount the number of homes, which is the number of entry instances that the operators run
+ * @param longestTermMillis the maximum term for which units are lent, in milliseconds
+ * @param marginMillis time after the end of a term before the lender uses the units again, in milliseconds; it allows
+ *     for clocks that run at slightly different speeds
+ * @param publishMillis the interval between messages to the peers, in milliseconds
  */
 public record ShareSettings(
         int homeIndex, int homeCount, long longestTermMillis, long marginMillis, long publishMillis) {
 
-    /** The settings of an instance that runs alone: it has every limit to itself. */
+    /** The settings of a single instance, which has all units of every limit. */
     public static final ShareSettings ALONE = new ShareSettings(0, 1, 60_000, 1_000, 300);
 
     /**
-     * Checks the numbers.
+     * Validates the values.
      *
-     * @throws IllegalArgumentException if the index is not below the count, or a time is not more than zero
+     * @throws IllegalArgumentException if the index is not in [0, {@code homeCount}) or a time is not positive
      */
     public ShareSettings {
         if (homeIndex < 0 || homeIndex >= homeCount) {
-            throw new IllegalArgumentException("homeIndex must be from 0 to below homeCount: " + homeIndex);
+            throw new IllegalArgumentException("homeIndex must be at least 0 and less than homeCount: " + homeIndex);
         }
         if (longestTermMillis <= 0 || marginMillis <= 0 || publishMillis <= 0) {
-            throw new IllegalArgumentException("times must be more than zero");
+            throw new IllegalArgumentException("maximum term, margin and publish interval must be greater than 0 ms");
         }
     }
 
     /**
-     * Returns how many units of a limit have their home here.
+     * Returns the number of units of a limit whose home is this instance.
      *
-     * @param limitId names the limit, not null; it decides which homes get the units that do not divide evenly
-     * @param totalUnits the whole limit
-     * @return the units, so that all homes together have exactly the limit
+     * @param limitId the identifier of the limit, not null; it determines which homes get the units that cannot be
+     *     divided evenly
+     * @param totalUnits the limit over all instances
+     * @return the number of units; the sum over all homes is exactly the limit
      */
     public long homeUnits(String limitId, long totalUnits) {
         long remainderRank = Math.floorMod(homeIndex + (long) limitId.hashCode(), (long) homeCount);
@@ -43,9 +44,10 @@
     }
 
     /**
-     * Returns how long a restarted home waits for grants of its former life to end, where its peers do not answer.
+     * Returns the time for which a restarted home waits for the grants of its previous incarnation to expire if its
+     * peers do not acknowledge the new incarnation.
      *
-     * @return milliseconds
+     * @return the time, in milliseconds
      */
     public long restartWaitMillis() {
         return longestTermMillis + marginMillis;
--- a/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
+++ b/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.request.Work;
 
-/** One request on its way through admission; used under {@link ClassQueueAdmission}'s monitor. */
+/** A request that waits for admission. Not thread-safe: callers hold the monitor of {@link ClassQueueAdmission}. */
 final class WaitingRequest {
 
     private final CallerRequest request;
@@ -49,7 +49,7 @@
         return promptTokens() + maxTokens();
     }
 
-    /** Until when it may wait for its owner's limit. */
+    /** Returns the time until which the request may wait for its owner's limits. */
     long limitDeadlineMillis() {
         return limitDeadlineMillis;
     }
@@ -70,7 +70,7 @@
         workMillis = millis;
     }
 
-    boolean settled() {
+    boolean isSettled() {
         return settled;
     }
 
--- a/src/main/java/org/dogwoodwinch/admission/package-info.java
+++ b/src/main/java/org/dogwoodwinch/admission/package-info.java
@@ -1,2 +1,5 @@
-/** Owners' limits, deadlines and bounded queues. */
+/**
+ * Admission control: decides which requests start, wait in a bounded queue or are refused, and shares the owners'
+ * limits among the instances.
+ */
 package org.dogwoodwinch.admission;
--- a/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
@@ -75,16 +75,12 @@
         assertEquals(List.of("sooner", "later", "standard", "long"), outcomes);
     }
 
-    /**
-     * Urgent requests come without end and could take every start for themselves: the long read's caller would wait all
-     * night. The bound stated at {@link GroupQueues} must hold for any sizes: at most A * (1 - floor) / floor tokens of
-     * other work, and one request, start before a long read with A tokens in line.
-     */
+    /** Continuous urgent requests could starve a long read; the bound stated at {@link GroupQueues} must hold. */
     @Property(seed = "11", tries = 60)
     void longReadStartsWithinItsTokenBoundUnderContinuousUrgentLoad(
             @ForAll @IntRange(min = 1, max = 20_000) int longTokens,
             @ForAll @IntRange(min = 400, max = 4_000) int urgentTokens) {
-        // The tries of a property share one test object; each needs a clock and a record of its own.
+        // The tries of a property share one test object, but each needs its own clock and outcomes.
         new ClassQueueAdmissionTest().assertLongReadBound(longTokens, urgentTokens);
     }
 
@@ -102,7 +98,8 @@
             targetBusyAfterStart = true;
             time.advanceMillis(20);
             startedTokens = outcomes.stream().filter("u"::equals).count() * urgentTokens;
-            assertTrue(startedTokens <= maxOtherTokens, "started " + startedTokens + " bound " + maxOtherTokens);
+            assertTrue(
+                    startedTokens <= maxOtherTokens, "started " + startedTokens + " tokens, bound " + maxOtherTokens);
         }
     }
 
--- a/src/test/java/org/dogwoodwinch/admission/LimitShareSimulation.java
+++ b/src/test/java/org/dogwoodwinch/admission/LimitShareSimulation.java
@@ -12,7 +12,10 @@
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** Instances that share one limit over a board that loses, delays and doubles notes; one seed, one schedule. */
+/**
+ * Simulates instances that share one limit over a board that loses, delays, duplicates and reorders messages. The seed
+ * determines the whole schedule.
+ */
 final class LimitShareSimulation {
 
     static final int INSTANCE_COUNT = 6;
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Runs random steps; returns the first one after which more than the limit was in use, or -1. */
+    /** Runs steps with random faults; returns the first after which more units than the limit were in use, or -1. */
     int firstStepExceedingLimit(int steps) {
         runInitialSteps();
         faultsEnabled = true;
@@ -66,7 +69,7 @@
         instances.get(index).partitioned = true;
     }
 
-    /** Lets one instance alone ask for everything for a while; returns the most it had in use. */
+    /** Lets a single instance request all units for a while; returns the peak number that it had in use. */
     int peakUnitsWithSoleDemand(int index) {
         instances.forEach(instance -> instance.requestedUnits = 0);
         for (int i = 0; i < 150; i++) {
@@ -146,14 +149,14 @@
             exchange = new ShareExchange(settings, this, time, 1 + time.monotonicMillis(), grantExpiryRule, waitMillis);
         }
 
-        /** What the dead instance ran ends with it. */
+        /** Ends all requests of the instance and starts it with a new incarnation. */
         void restart() {
             unitsInUse.clear();
             pausedSteps = 0;
             start();
         }
 
-        /** Requests end by their deadline at the latest, whether or not the instance is paused. */
+        /** Ends random requests unless the instance is paused, and all requests that reached their deadline. */
         void finishRequests() {
             long nowMillis = time.monotonicMillis();
             for (UnitInUse unitInUse : List.copyOf(unitsInUse)) {
--- a/src/test/java/org/dogwoodwinch/admission/RecentlyStartedWorkTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/RecentlyStartedWorkTest.java
@@ -8,7 +8,7 @@
 
     private final RecentlyStartedWork work = new RecentlyStartedWork(500);
 
-    /** Six instances with equal queues: while nobody has told, the five others started what this one did. */
+    /** Without reports, each of the five other instances counts as having started the same work as this one. */
     @Test
     void eachOtherInstanceIsAssumedToHaveStartedTheSameWork() {
         work.recordStart(40, 1_000);
--- a/src/test/java/org/dogwoodwinch/admission/ShareExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/ShareExchangeTest.java
@@ -7,33 +7,31 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The sum of what all instances use of an owner's limit, under message loss, partitions, pauses and restarts. */
+/** Verifies that all instances together stay within a limit under message loss, partitions, pauses and restarts. */
 class ShareExchangeTest {
 
-    /**
-     * Six instances share an owner's limit. Notes are lost, delayed, doubled and reordered, instances are cut off,
-     * paused and restarted, while callers come to one instance now and to another then. An instance that used a unit
-     * which another one uses too would break the owner's limit; its engines would then run more than was agreed.
-     */
+    /** Two of the six instances that use the same unit at once, after any fault, would exceed the owner's limit. */
     @Property(seed = "6", tries = 250)
     void totalUnitsInUseNeverExceedTheLimit(@ForAll long seed) {
         LimitShareSimulation simulation = new LimitShareSimulation(seed, GrantExpiryRule.FROM_BORROWER_STAMP, true);
         assertEquals(-1, simulation.firstStepExceedingLimit(600));
     }
 
-    /** The check must be able to fail: a borrower that counts a term from the grant's arrival outlives its grant. */
+    /**
+     * A borrower that counts the term from the arrival of the grant uses the units after its lender has reclaimed them.
+     */
     @Test
     void countingATermFromArrivalOfTheGrantIsDetected() {
         assertTrue(exceedsLimitForSomeSeed((_echoStampMillis, nowMillis, termMillis) -> nowMillis + termMillis, true));
     }
 
-    /** A restarted home that uses its units at once, forgetting what its former life lent, is caught too. */
+    /** A restarted home that uses its units at once uses units that its previous incarnation lent. */
     @Test
     void usingHomeUnitsRightAfterARestartIsDetected() {
         assertTrue(exceedsLimitForSomeSeed(GrantExpiryRule.FROM_BORROWER_STAMP, false));
     }
 
-    /** Demand at one instance only: units follow it within seconds, so that little of the limit is wasted. */
+    /** Units that do not move within seconds to the only instance with demand would leave most of the limit unused. */
     @Test
     void unitsMoveToTheOnlyInstanceWithDemand() {
         LimitShareSimulation simulation = new LimitShareSimulation(1, GrantExpiryRule.FROM_BORROWER_STAMP, true);
@@ -42,7 +40,7 @@
         assertTrue(simulation.peakUnitsWithSoleDemand(3) >= LimitShareSimulation.LIMIT_UNITS * 9 / 10);
     }
 
-    /** Cut off from everyone, an instance still has what is at home with it, and no more. */
+    /** An instance without any peer must not lose its home units, nor keep borrowed ones. */
     @Test
     void partitionedInstanceKeepsExactlyItsHomeUnits() {
         LimitShareSimulation simulation = new LimitShareSimulation(2, GrantExpiryRule.FROM_BORROWER_STAMP, true);
