--- a/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
+++ b/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
@@ -23,12 +23,12 @@
     private final AdmissionPolicy policy;
     private final Map<WorkClass, Queue<WaitingRequest>> queues = new EnumMap<>(WorkClass.class);
     private final Map<WorkClass, Double> queuedWorkMillis = new EnumMap<>(WorkClass.class);
-    private final RecentlyStartedWork recentlyStarted;
+    private final StartedWork recentlyStarted;
     private double longReadCreditTokens;
 
     GroupQueues(AdmissionPolicy policy) {
         this.policy = policy;
-        this.recentlyStarted = new RecentlyStartedWork(policy.unheardMillis());
+        this.recentlyStarted = new StartedWork(policy.unheardMillis());
         Comparator<WaitingRequest> byDeadline =
                 Comparator.comparingLong(waiting -> waiting.request().deadlineMillis());
         queues.put(WorkClass.URGENT, new PriorityQueue<>(byDeadline));
--- a/src/main/java/org/dogwoodwinch/admission/RecentlyStartedWork.java
+++ b/src/main/java/org/dogwoodwinch/admission/StartedWork.java
@@ -13,7 +13,7 @@
  * as much work as this instance did since their last report. In a replay of three times the normal load, this raised
  * goodput in the first 40 s from 82 to 92 percent of the normal value.
  */
-final class RecentlyStartedWork {
+final class StartedWork {
 
     private final long reportIntervalMillis;
     private final Deque<StartRecord> recentStarts = new ArrayDeque<>();
@@ -24,7 +24,7 @@
      *
      * @param reportIntervalMillis maximum age of the peers' reports, in milliseconds
      */
-    RecentlyStartedWork(long reportIntervalMillis) {
+    StartedWork(long reportIntervalMillis) {
         this.reportIntervalMillis = reportIntervalMillis;
     }
 
--- a/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
@@ -75,7 +75,7 @@
         assertEquals(List.of("sooner", "later", "standard", "long"), outcomes);
     }
 
-    /** Continuous urgent requests could starve a long read; the bound stated at {@link GroupQueues} must hold. */
+    /** Urgent load could starve a long read of A tokens beyond A * (1 - floor) / floor tokens and one request. */
     @Property(seed = "11", tries = 60)
     void longReadStartsWithinItsTokenBoundUnderContinuousUrgentLoad(
             @ForAll @IntRange(min = 1, max = 20_000) int longTokens,
--- a/src/test/java/org/dogwoodwinch/admission/RecentlyStartedWorkTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/StartedWorkTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class RecentlyStartedWorkTest {
+class StartedWorkTest {
 
-    private final RecentlyStartedWork work = new RecentlyStartedWork(500);
+    private final StartedWork work = new StartedWork(500);
 
     /** Without reports, each of the five other instances counts as having started the same work as this one. */
     @Test
