--- a/src/main/java/org/dogwoodwinch/admission/Admission.java
+++ b/src/main/java/org/dogwoodwinch/admission/AdmissionController.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.time.Cancellable;
 
 /** Decides whether and when a request may start, from its owner's limits, its deadline and the work already queued. */
-public interface Admission {
+public interface AdmissionController {
 
     /**
      * Requests a permit. The listener receives exactly one decision, immediately or after a wait in a queue; it
--- a/src/main/java/org/dogwoodwinch/admission/CapacityEstimator.java
+++ b/src/main/java/org/dogwoodwinch/admission/CapacityEstimator.java
@@ -12,5 +12,5 @@
      * @param group the group's name, not null
      * @return the estimate, or empty if no target of the group accepts new work
      */
-    Optional<GroupCapacity> capacityOf(String group);
+    Optional<GroupCapacity> estimateCapacity(String group);
 }
--- a/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
+++ b/src/main/java/org/dogwoodwinch/admission/GroupQueues.java
@@ -28,7 +28,7 @@
 
     GroupQueues(AdmissionPolicy policy) {
         this.policy = policy;
-        this.recentlyStarted = new StartedWork(policy.unheardMillis());
+        this.recentlyStarted = new StartedWork(policy.peerReportIntervalMillis());
         Comparator<WaitingRequest> byDeadline =
                 Comparator.comparingLong(waiting -> waiting.request().deadlineMillis());
         queues.put(WorkClass.URGENT, new PriorityQueue<>(byDeadline));
@@ -86,16 +86,16 @@
         WaitingRequest longRead = head(WorkClass.LONG_READ);
         if (longRead != null
                 && longReadCreditTokens >= longRead.maxTotalTokens()
-                && targetWaitMillis <= policy.urgentWaitMillis()) {
+                && targetWaitMillis <= policy.urgentMaxTargetWaitMillis()) {
             return longRead;
         }
         if (head(WorkClass.URGENT) != null) {
-            return targetWaitMillis <= policy.urgentWaitMillis() ? head(WorkClass.URGENT) : null;
+            return targetWaitMillis <= policy.urgentMaxTargetWaitMillis() ? head(WorkClass.URGENT) : null;
         }
         if (head(WorkClass.STANDARD) != null) {
-            return targetWaitMillis <= policy.standardWaitMillis() ? head(WorkClass.STANDARD) : null;
+            return targetWaitMillis <= policy.standardMaxTargetWaitMillis() ? head(WorkClass.STANDARD) : null;
         }
-        return targetWaitMillis <= policy.longReadWaitMillis() ? longRead : null;
+        return targetWaitMillis <= policy.longReadMaxTargetWaitMillis() ? longRead : null;
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/admission/LimitScope.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitScope.java
@@ -7,7 +7,7 @@
 
 /**
  * Enforces the limits of one owner or one entry on this instance. Not thread-safe: callers hold the monitor of the
- * {@link ShareExchange}.
+ * {@link LimitShareExchange}.
  */
 final class LimitScope {
 
@@ -22,14 +22,14 @@
     private static final long MIN_RETRY_AFTER_MILLIS = 500;
 
     private final String name;
-    private final ShareExchange limitShares;
+    private final LimitShareExchange limitShares;
     private Limits limits;
     private TokenBucket bucket;
     private long unmetRequests;
     private long unmetTokens;
     private long unmetTermMillis;
 
-    LimitScope(String name, ShareExchange limitShares, Limits limits) {
+    LimitScope(String name, LimitShareExchange limitShares, Limits limits) {
         this.name = name;
         this.limitShares = limitShares;
         this.limits = limits;
--- a/src/main/java/org/dogwoodwinch/admission/ShareExchange.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareExchange.java
@@ -27,7 +27,7 @@
  *
  * <p>Thread-safe: all methods hold this object's monitor.
  */
-public final class ShareExchange {
+public final class LimitShareExchange {
 
     private static final String MESSAGE_KEY = "shares";
     private static final int MAX_LIMITS_PER_MESSAGE = 128;
@@ -45,7 +45,7 @@
      */
     private static final long GRANT_CAP_DIVISOR = 4;
 
-    private final ShareSettings settings;
+    private final LimitShareSettings settings;
     private final PeerBoard board;
     private final TimeSource time;
     private final long incarnation;
@@ -67,12 +67,12 @@
      * @param time the clock, not null
      * @param incarnation a number that grows with each start of this instance, such as the wall-clock time of the start
      */
-    public ShareExchange(ShareSettings settings, PeerBoard board, TimeSource time, long incarnation) {
+    public LimitShareExchange(LimitShareSettings settings, PeerBoard board, TimeSource time, long incarnation) {
         this(settings, board, time, incarnation, GrantExpiryRule.FROM_BORROWER_STAMP, settings.restartWaitMillis());
     }
 
-    ShareExchange(
-            ShareSettings settings,
+    LimitShareExchange(
+            LimitShareSettings settings,
             PeerBoard board,
             TimeSource time,
             long incarnation,
@@ -115,7 +115,7 @@
         long unusedSinceMillis = nowMillis - UNUSED_GRANT_MILLIS;
         for (LimitAllocation allocation : allocations.values()) {
             allocation.removeExpired(nowMillis);
-            allocation.returnUnusedSince(unusedSinceMillis, nowMillis + settings.longestTermMillis());
+            allocation.returnUnusedSince(unusedSinceMillis, nowMillis + settings.maxTermMillis());
         }
         board.publish(
                 PeerTopic.DEMAND,
@@ -126,11 +126,11 @@
 
     private void publishAndRepeat() {
         publish();
-        time.schedule(settings.publishMillis(), this::publishAndRepeat);
+        time.schedule(settings.publishIntervalMillis(), this::publishAndRepeat);
     }
 
     private long retentionMillis() {
-        return settings.publishMillis() * RETENTION_INTERVALS;
+        return settings.publishIntervalMillis() * RETENTION_INTERVALS;
     }
 
     private LimitShareMessage createMessage(long nowMillis) {
@@ -251,7 +251,7 @@
         if (heldGrant.state() == LimitShareMessage.HeldGrantState.RETURNED) {
             allocation.reclaim(key);
         } else if (heldGrant.lenderIncarnation() == incarnation) {
-            allocation.renew(key, message.stampMillis(), nowMillis, settings.marginMillis());
+            allocation.renew(key, message.stampMillis(), nowMillis, settings.clockDriftMarginMillis());
         } else {
             allocation.recordPreviousLoan(key, heldGrant.units(), nowMillis + settings.restartWaitMillis());
         }
@@ -262,7 +262,7 @@
             return;
         }
         long nowMillis = time.monotonicMillis();
-        long termMillis = Math.min(grant.termMillis(), settings.longestTermMillis());
+        long termMillis = Math.min(grant.termMillis(), settings.maxTermMillis());
         LimitAllocation.GrantKey key =
                 new LimitAllocation.GrantKey(message.homeIndex(), message.incarnation(), grant.grantId());
         allocations
@@ -281,8 +281,8 @@
         }
         long nowMillis = time.monotonicMillis();
         LimitAllocation allocation = allocation(borrowRequest.limitId(), totalUnits);
-        allocation.returnUnusedTo(message.homeIndex(), nowMillis + settings.longestTermMillis());
-        long termMillis = Math.max(1, Math.min(borrowRequest.termMillis(), settings.longestTermMillis()));
+        allocation.returnUnusedTo(message.homeIndex(), nowMillis + settings.maxTermMillis());
+        long termMillis = Math.max(1, Math.min(borrowRequest.termMillis(), settings.maxTermMillis()));
         long homeUnits = settings.homeUnits(borrowRequest.limitId(), totalUnits);
         long maxGrantUnits = Math.max(MIN_GRANT_CAP_UNITS, homeUnits / GRANT_CAP_DIVISOR);
         long otherHomes = Math.max(1, settings.homeCount() - 1);
@@ -296,6 +296,6 @@
                         units,
                         message.stampMillis(),
                         termMillis,
-                        nowMillis + termMillis + settings.marginMillis()));
+                        nowMillis + termMillis + settings.clockDriftMarginMillis()));
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/ShareSettings.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareSettings.java
@@ -5,27 +5,27 @@
  *
  * @param homeIndex the home index of this instance, from zero; no two live instances may have the same index
  * @param homeCount the number of homes, which is the number of entry instances that the operators run
- * @param longestTermMillis the maximum term for which units are lent, in milliseconds
- * @param marginMillis time after the end of a term before the lender uses the units again, in milliseconds; it allows
+ * @param maxTermMillis the maximum term for which units are lent, in milliseconds
+ * @param clockDriftMarginMillis time after the end of a term before the lender uses the units again, in milliseconds; it allows
  *     for clocks that run at slightly different speeds
- * @param publishMillis the interval between messages to the peers, in milliseconds
+ * @param publishIntervalMillis the interval between messages to the peers, in milliseconds
  */
-public record ShareSettings(
-        int homeIndex, int homeCount, long longestTermMillis, long marginMillis, long publishMillis) {
+public record LimitShareSettings(
+        int homeIndex, int homeCount, long maxTermMillis, long clockDriftMarginMillis, long publishIntervalMillis) {
 
     /** The settings of a single instance, which has all units of every limit. */
-    public static final ShareSettings ALONE = new ShareSettings(0, 1, 60_000, 1_000, 300);
+    public static final LimitShareSettings SINGLE_INSTANCE = new LimitShareSettings(0, 1, 60_000, 1_000, 300);
 
     /**
      * Validates the values.
      *
      * @throws IllegalArgumentException if the index is not in [0, {@code homeCount}) or a time is not positive
      */
-    public ShareSettings {
+    public LimitShareSettings {
         if (homeIndex < 0 || homeIndex >= homeCount) {
             throw new IllegalArgumentException("homeIndex must be at least 0 and less than homeCount: " + homeIndex);
         }
-        if (longestTermMillis <= 0 || marginMillis <= 0 || publishMillis <= 0) {
+        if (maxTermMillis <= 0 || clockDriftMarginMillis <= 0 || publishIntervalMillis <= 0) {
             throw new IllegalArgumentException("maximum term, margin and publish interval must be greater than 0 ms");
         }
     }
@@ -50,6 +50,6 @@
      * @return the time, in milliseconds
      */
     public long restartWaitMillis() {
-        return longestTermMillis + marginMillis;
+        return maxTermMillis + clockDriftMarginMillis;
     }
 }
--- a/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
+++ b/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
@@ -15,16 +15,16 @@
 
 /**
  * Enforces the limits of owners and entries within this instance's share of them. Thread-safe: all methods hold the
- * monitor of the {@link ShareExchange}.
+ * monitor of the {@link LimitShareExchange}.
  */
 final class OwnerLimits {
 
     private final CatalogueView catalogue;
-    private final ShareExchange limitShares;
+    private final LimitShareExchange limitShares;
     private final TimeSource time;
     private final Map<String, LimitScope> scopes = new HashMap<>();
 
-    OwnerLimits(CatalogueView catalogue, ShareExchange limitShares, TimeSource time) {
+    OwnerLimits(CatalogueView catalogue, LimitShareExchange limitShares, TimeSource time) {
         this.catalogue = Objects.requireNonNull(catalogue, "catalogue");
         this.limitShares = Objects.requireNonNull(limitShares, "limitShares");
         this.time = Objects.requireNonNull(time, "time");
--- a/src/main/java/org/dogwoodwinch/admission/ClassQueueAdmission.java
+++ b/src/main/java/org/dogwoodwinch/admission/QueueingAdmissionController.java
@@ -26,7 +26,7 @@
  *
  * <p>Thread-safe: decisions are made under this object's monitor, and listeners are called outside it.
  */
-public final class ClassQueueAdmission implements Admission {
+public final class QueueingAdmissionController implements AdmissionController {
 
     private static final long MIN_RETRY_AFTER_MILLIS = 200;
     private static final long MAX_RETRY_AFTER_MILLIS = 5_000;
@@ -53,10 +53,10 @@
      *     drain, not null
      * @param time the clock, not null
      */
-    public ClassQueueAdmission(
+    public QueueingAdmissionController(
             AdmissionPolicy policy,
             CatalogueView catalogue,
-            ShareExchange limitShares,
+            LimitShareExchange limitShares,
             CapacityEstimator capacityEstimator,
             IntSupplier liveInstanceCount,
             TimeSource time) {
@@ -65,7 +65,7 @@
         this.liveInstanceCount = Objects.requireNonNull(liveInstanceCount, "liveInstanceCount");
         this.time = Objects.requireNonNull(time, "time");
         this.ownerLimits = new OwnerLimits(catalogue, limitShares, time);
-        this.limitQueue = new LimitQueue(policy.limitQueueLength());
+        this.limitQueue = new LimitQueue(policy.limitQueueCapacity());
     }
 
     @Override
@@ -97,7 +97,7 @@
     private long limitDeadlineMillis(CallerRequest request, long nowMillis) {
         return request.entry().workClass() == WorkClass.LONG_READ
                 ? request.deadlineMillis()
-                : Math.min(request.deadlineMillis(), nowMillis + policy.limitWaitMillis());
+                : Math.min(request.deadlineMillis(), nowMillis + policy.maxLimitWaitMillis());
     }
 
     private void processArrival(WaitingRequest waiting, long nowMillis) {
@@ -140,7 +140,7 @@
             return;
         }
         capacityEstimator
-                .capacityOf(waiting.group())
+                .estimateCapacity(waiting.group())
                 .ifPresent(estimate ->
                         waiting.setWorkMillis(estimate.workMillis(waiting.promptTokens(), waiting.maxTokens())));
         queues.add(waiting);
@@ -159,14 +159,15 @@
         if (waiting.workClass() == WorkClass.LONG_READ) {
             return Optional.empty();
         }
-        Optional<GroupCapacity> estimate = capacityEstimator.capacityOf(waiting.group());
+        Optional<GroupCapacity> estimate = capacityEstimator.estimateCapacity(waiting.group());
         if (estimate.isEmpty()) {
             String detail = "no target of group " + waiting.group() + " accepts new work";
             return Optional.of(Refusal.notRun(RefusalReason.NO_TARGET, detail, NO_TARGET_RETRY_AFTER_MILLIS));
         }
         double waitMillis = estimateQueueWaitMillis(workAheadMillis, estimate.get());
         double neededMillis = waitMillis
-                + policy.refusalFactor() * estimate.get().completionMillis(waiting.promptTokens(), waiting.maxTokens());
+                + policy.completionSafetyFactor()
+                        * estimate.get().completionMillis(waiting.promptTokens(), waiting.maxTokens());
         if (neededMillis <= remainingMillis) {
             return Optional.empty();
         }
@@ -183,7 +184,7 @@
 
     private long estimateRetryAfterMillis(WaitingRequest waiting) {
         double queueMillis = capacityEstimator
-                .capacityOf(waiting.group())
+                .estimateCapacity(waiting.group())
                 .map(estimate ->
                         estimateQueueWaitMillis(queuesOf(waiting).workAheadMillis(waiting.workClass()), estimate))
                 .orElse(0.0);
@@ -282,7 +283,7 @@
         }
         String group = firstWaiting(queues).group();
         WaitingRequest next = capacityEstimator
-                .capacityOf(group)
+                .estimateCapacity(group)
                 .map(estimate -> queues.nextToStart(
                         estimate.promptWaitMillis() + unreportedPeerWorkMillis(queues, estimate, nowMillis)))
                 .orElse(null);
@@ -311,7 +312,7 @@
                 !limitQueue.isEmpty() || queuesByGroup.values().stream().anyMatch(queues -> !queues.isEmpty());
         if (anyWaiting && !sweepScheduled) {
             sweepScheduled = true;
-            time.schedule(policy.sweepMillis(), this::sweep);
+            time.schedule(policy.sweepIntervalMillis(), this::sweep);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
+++ b/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.request.Work;
 
-/** A request that waits for admission. Not thread-safe: callers hold the monitor of {@link ClassQueueAdmission}. */
+/** A request that waits for admission. Not thread-safe: callers hold the monitor of {@link QueueingAdmissionController}. */
 final class WaitingRequest {
 
     private final CallerRequest request;
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -5,8 +5,8 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.dogwoodwinch.admission.ClassQueueAdmission;
-import org.dogwoodwinch.admission.ShareExchange;
+import org.dogwoodwinch.admission.LimitShareExchange;
+import org.dogwoodwinch.admission.QueueingAdmissionController;
 import org.dogwoodwinch.authority.ClaimOrder;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
@@ -54,7 +54,7 @@
     private final ControlNode control;
     private final FleetView fleet;
     private final PeerLoadExchange loads;
-    private final ShareExchange shares;
+    private final LimitShareExchange shares;
     private final EnginePoller poller;
     private final LogClaimLedger claims;
     private final PeerParts peers;
@@ -111,7 +111,8 @@
                 context.newRandom(),
                 settings.instance().dataCentre());
         this.loads = new PeerLoadExchange(fleet, board, context.time(), incarnation, LOAD_EXCHANGE_MILLIS);
-        this.shares = new ShareExchange(PartSettings.shares(settings.admission()), board, context.time(), incarnation);
+        this.shares =
+                new LimitShareExchange(PartSettings.shares(settings.admission()), board, context.time(), incarnation);
         this.poller = new EnginePoller(
                 directory::latest,
                 this::heldBack,
@@ -134,7 +135,7 @@
                 new ClaimFold(settings.requests().keyMemoryMillis(), MOST_KEYS),
                 peers.exchange()::isAlive);
         this.handler = new RequestCoordinator(
-                new ClassQueueAdmission(
+                new QueueingAdmissionController(
                         PartSettings.admission(settings.admission()),
                         catalogue,
                         shares,
--- a/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.daemon;
 
 import org.dogwoodwinch.admission.AdmissionPolicy;
-import org.dogwoodwinch.admission.ShareSettings;
+import org.dogwoodwinch.admission.LimitShareSettings;
 import org.dogwoodwinch.authority.LeasePolicy;
 import org.dogwoodwinch.authority.OrderPolicy;
 import org.dogwoodwinch.control.ControlPolicies;
@@ -97,15 +97,15 @@
                 own.maxQueuedCount(),
                 own.maxQueuedCount(),
                 own.maxQueuedCount(),
-                standard.urgentWaitMillis(),
-                standard.standardWaitMillis(),
-                standard.longReadWaitMillis(),
+                standard.urgentMaxTargetWaitMillis(),
+                standard.standardMaxTargetWaitMillis(),
+                standard.longReadMaxTargetWaitMillis(),
                 own.longReadFloorRatio(),
-                standard.refusalFactor(),
-                standard.limitWaitMillis(),
-                standard.limitQueueLength(),
-                standard.unheardMillis(),
-                standard.sweepMillis());
+                standard.completionSafetyFactor(),
+                standard.maxLimitWaitMillis(),
+                standard.limitQueueCapacity(),
+                standard.peerReportIntervalMillis(),
+                standard.sweepIntervalMillis());
     }
 
     /**
@@ -114,13 +114,13 @@
      * @param own the admission settings, not null
      * @return the settings
      */
-    static ShareSettings shares(AdmissionSettings own) {
-        ShareSettings standard = ShareSettings.ALONE;
-        return new ShareSettings(
+    static LimitShareSettings shares(AdmissionSettings own) {
+        LimitShareSettings standard = LimitShareSettings.SINGLE_INSTANCE;
+        return new LimitShareSettings(
                 own.limitHomeIndex(),
                 own.limitHomesCount(),
-                standard.longestTermMillis(),
-                standard.marginMillis(),
-                standard.publishMillis());
+                standard.maxTermMillis(),
+                standard.clockDriftMarginMillis(),
+                standard.publishIntervalMillis());
     }
 }
--- a/src/main/java/org/dogwoodwinch/measure/requests/TrialRequests.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/TrialRequests.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.measure.requests;
 
 import java.util.Optional;
-import org.dogwoodwinch.admission.Admission;
+import org.dogwoodwinch.admission.AdmissionController;
 import org.dogwoodwinch.admission.AdmissionDecision;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
@@ -15,7 +15,7 @@
 
     static final long DEADLINE_MILLIS = 60_000;
 
-    static final Admission OPEN = (_request, decision) -> {
+    static final AdmissionController OPEN = (_request, decision) -> {
         decision.accept(new AdmissionDecision.Granted(_used -> {}));
         return () -> {};
     };
--- a/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.apache.commons.rng.simple.RandomSource;
-import org.dogwoodwinch.admission.Admission;
+import org.dogwoodwinch.admission.AdmissionController;
 import org.dogwoodwinch.admission.AdmissionDecision;
 import org.dogwoodwinch.admission.AdmissionPolicy;
-import org.dogwoodwinch.admission.ClassQueueAdmission;
-import org.dogwoodwinch.admission.ShareExchange;
-import org.dogwoodwinch.admission.ShareSettings;
+import org.dogwoodwinch.admission.LimitShareExchange;
+import org.dogwoodwinch.admission.LimitShareSettings;
+import org.dogwoodwinch.admission.QueueingAdmissionController;
 import org.dogwoodwinch.catalogue.Catalogue;
 import org.dogwoodwinch.catalogue.CatalogueView;
 import org.dogwoodwinch.external.ListedInstance;
@@ -40,7 +40,7 @@
     private final TimeSource time;
     private final FleetView fleet;
     private final Router router;
-    private final Admission admission;
+    private final AdmissionController admission;
     private final Map<String, Long> reportedTokens = new HashMap<>();
 
     ReplayInstance(int index, TraceHeader header, ReplayPolicy policy, ReplayFleet engines, ReplayWorld world) {
@@ -70,11 +70,11 @@
         return router;
     }
 
-    Admission admission() {
+    AdmissionController admission() {
         return admission;
     }
 
-    private Admission admission(TraceHeader header, ReplayPolicy policy, PeerBoard board) {
+    private AdmissionController admission(TraceHeader header, ReplayPolicy policy, PeerBoard board) {
         CatalogueView noLimits = new CatalogueView() {
             @Override
             public Optional<Catalogue> current() {
@@ -84,10 +84,10 @@
             @Override
             public void onChange(Consumer<Catalogue> _listener) {}
         };
-        return new ClassQueueAdmission(
+        return new QueueingAdmissionController(
                 AdmissionPolicy.STANDARD,
                 noLimits,
-                new ShareExchange(ShareSettings.ALONE, board, time, 1),
+                new LimitShareExchange(LimitShareSettings.SINGLE_INSTANCE, board, time, 1),
                 new FleetCapacityEstimator(fleet, policy.estimating(), time),
                 header::instances,
                 time);
--- a/src/main/java/org/dogwoodwinch/request/RequestContext.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestContext.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.dogwoodwinch.admission.Admission;
+import org.dogwoodwinch.admission.AdmissionController;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
@@ -12,7 +12,7 @@
 
 /** What all requests of one instance share; see {@link RequestCoordinator} for the parts. */
 record RequestContext(
-        Admission admission,
+        AdmissionController admission,
         Router router,
         TargetClients clients,
         Function<String, Optional<Target>> targets,
--- a/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Function;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.dogwoodwinch.admission.Admission;
+import org.dogwoodwinch.admission.AdmissionController;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
@@ -42,7 +42,7 @@
      * @param policies the decisions, {@link RequestPolicies#STANDARD} outside of tests, not null
      */
     public RequestCoordinator(
-            Admission admission,
+            AdmissionController admission,
             Router router,
             TargetClients clients,
             Function<String, Optional<Target>> targets,
--- a/src/main/java/org/dogwoodwinch/routing/FleetCapacityEstimator.java
+++ b/src/main/java/org/dogwoodwinch/routing/FleetCapacityEstimator.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public Optional<GroupCapacity> capacityOf(String group) {
+    public Optional<GroupCapacity> estimateCapacity(String group) {
         synchronized (fleet) {
             return fleet.group(group).flatMap(state -> cachedOrNew(group, state));
         }
--- a/src/test/java/org/dogwoodwinch/admission/ShareExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/LimitShareExchangeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Verifies that all instances together stay within a limit under message loss, partitions, pauses and restarts. */
-class ShareExchangeTest {
+class LimitShareExchangeTest {
 
     /** Two of the six instances that use the same unit at once, after any fault, would exceed the owner's limit. */
     @Property(seed = "6", tries = 250)
--- a/src/test/java/org/dogwoodwinch/admission/LimitShareSimulation.java
+++ b/src/test/java/org/dogwoodwinch/admission/LimitShareSimulation.java
@@ -132,7 +132,7 @@
     private final class SimulatedInstance implements PeerBoard {
 
         private final int index;
-        private ShareExchange exchange;
+        private LimitShareExchange exchange;
         private final List<UnitInUse> unitsInUse = new ArrayList<>();
         private int requestedUnits;
         private int pausedSteps;
@@ -144,9 +144,10 @@
         }
 
         private void start() {
-            ShareSettings settings = new ShareSettings(index, INSTANCE_COUNT, TERM_MILLIS, 500, 300);
+            LimitShareSettings settings = new LimitShareSettings(index, INSTANCE_COUNT, TERM_MILLIS, 500, 300);
             long waitMillis = waitsAfterRestart || time.monotonicMillis() == 0 ? settings.restartWaitMillis() : 0;
-            exchange = new ShareExchange(settings, this, time, 1 + time.monotonicMillis(), grantExpiryRule, waitMillis);
+            exchange = new LimitShareExchange(
+                    settings, this, time, 1 + time.monotonicMillis(), grantExpiryRule, waitMillis);
         }
 
         /** Ends all requests of the instance and starts it with a new incarnation. */
--- a/src/test/java/org/dogwoodwinch/admission/ClassQueueAdmissionTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
@@ -29,7 +29,7 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class ClassQueueAdmissionTest {
+class QueueingAdmissionControllerTest {
 
     private static final Limits MAX_TWO_CONCURRENT = new Limits(2, 0, 0, 0);
     private static final Limits HUNDRED_TOKENS_PER_SECOND = new Limits(0, 100, 0, 0);
@@ -43,7 +43,7 @@
 
     @Test
     void urgentRequestWithUnmeetableDeadlineIsRefusedAtOnceWithRetryAfter() {
-        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        QueueingAdmissionController admission = createAdmission(Limits.NONE);
         targetWaitMillis = 3_000;
         admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recordOutcome("u"));
         assertEquals(RefusalReason.DEADLINE_UNMEETABLE, refusals.get(0).reason());
@@ -53,7 +53,7 @@
 
     @Test
     void queuedRequestIsRefusedOnceItsDeadlineCannotBeMet() {
-        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        QueueingAdmissionController admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
         admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recordOutcome("u"));
         time.advanceMillis(1_900);
@@ -64,7 +64,7 @@
 
     @Test
     void requestsStartByClassAndUrgentOnesByDeadline() {
-        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        QueueingAdmissionController admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
         admission.admit(request("long", WorkClass.LONG_READ, 900_000, 10), recordOutcome("long"));
         admission.admit(request("standard", WorkClass.STANDARD, 20_000, 10), recordOutcome("standard"));
@@ -81,11 +81,11 @@
             @ForAll @IntRange(min = 1, max = 20_000) int longTokens,
             @ForAll @IntRange(min = 400, max = 4_000) int urgentTokens) {
         // The tries of a property share one test object, but each needs its own clock and outcomes.
-        new ClassQueueAdmissionTest().assertLongReadBound(longTokens, urgentTokens);
+        new QueueingAdmissionControllerTest().assertLongReadBound(longTokens, urgentTokens);
     }
 
     private void assertLongReadBound(int longTokens, int urgentTokens) {
-        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        QueueingAdmissionController admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
         admission.admit(request("long", WorkClass.LONG_READ, 90_000_000, longTokens), recordOutcome("long"));
         double floorRatio = AdmissionPolicy.STANDARD.longReadFloorRatio();
@@ -105,7 +105,7 @@
 
     @Test
     void concurrencyLimitHoldsAndAReleasedPermitStartsTheNextWaitingRequest() {
-        ClassQueueAdmission admission = createAdmission(MAX_TWO_CONCURRENT);
+        QueueingAdmissionController admission = createAdmission(MAX_TWO_CONCURRENT);
         for (int i = 0; i < 4; i++) {
             admission.admit(request("r" + i, WorkClass.URGENT, 9_000, 10), recordOutcome("r" + i));
         }
@@ -114,13 +114,13 @@
         permits.get(0).release(10);
         time.advanceMillis(40);
         assertEquals(List.of("r0", "r1", "r2"), outcomes);
-        time.advanceMillis(AdmissionPolicy.STANDARD.limitWaitMillis());
+        time.advanceMillis(AdmissionPolicy.STANDARD.maxLimitWaitMillis());
         assertEquals(RefusalReason.CONCURRENCY_LIMIT, refusals.get(0).reason());
     }
 
     @Test
     void tokenRateCountsTheEstimateAndIsCorrectedByActualUsage() {
-        ClassQueueAdmission admission = createAdmission(HUNDRED_TOKENS_PER_SECOND);
+        QueueingAdmissionController admission = createAdmission(HUNDRED_TOKENS_PER_SECOND);
         admission.admit(request("first", WorkClass.URGENT, 9_000, 200), recordOutcome("first"));
         admission.admit(request("second", WorkClass.URGENT, 9_000, 100), recordOutcome("second"));
         assertEquals(List.of("first"), outcomes);
@@ -135,7 +135,7 @@
 
     @Test
     void fullQueueRefusesAtOnce() {
-        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        QueueingAdmissionController admission = createAdmission(Limits.NONE);
         targetWaitMillis = 700;
         for (int i = 0; i <= AdmissionPolicy.STANDARD.longReadQueueCapacity(); i++) {
             admission.admit(request("l", WorkClass.LONG_READ, 900_000, 1), recordOutcome("l"));
@@ -145,7 +145,7 @@
 
     @Test
     void withoutTargetsUrgentRequestsAreRefusedAndLongReadsWait() {
-        ClassQueueAdmission admission = createAdmission(Limits.NONE);
+        QueueingAdmissionController admission = createAdmission(Limits.NONE);
         targetAvailable = false;
         admission.admit(request("u", WorkClass.URGENT, 9_000, 10), recordOutcome("u"));
         admission.admit(request("l", WorkClass.LONG_READ, 900_000, 10), recordOutcome("l"));
@@ -157,7 +157,7 @@
 
     @Test
     void cancelledRequestReleasesItsPermitAndReceivesNoDecision() {
-        ClassQueueAdmission admission = createAdmission(MAX_TWO_CONCURRENT);
+        QueueingAdmissionController admission = createAdmission(MAX_TWO_CONCURRENT);
         targetWaitMillis = 700;
         admission
                 .admit(request("a", WorkClass.URGENT, 9_000, 10), recordOutcome("a"))
@@ -187,7 +187,7 @@
                 });
     }
 
-    private ClassQueueAdmission createAdmission(Limits limits) {
+    private QueueingAdmissionController createAdmission(Limits limits) {
         outcomes.clear();
         Catalogue catalogue = catalogue(limits);
         CatalogueView view = new CatalogueView() {
@@ -206,10 +206,10 @@
             @Override
             public void subscribe(PeerTopic _topic, Consumer<PeerItem> _listener) {}
         };
-        return new ClassQueueAdmission(
+        return new QueueingAdmissionController(
                 AdmissionPolicy.STANDARD,
                 view,
-                new ShareExchange(ShareSettings.ALONE, boardWithoutPeers, time, 1),
+                new LimitShareExchange(LimitShareSettings.SINGLE_INSTANCE, boardWithoutPeers, time, 1),
                 _group -> targetAvailable
                         ? Optional.of(new GroupCapacity(4, targetWaitMillis, 8, 20, 1, 1))
                         : Optional.empty(),
