--- a/src/main/java/org/dogwoodwinch/request/AnswerKeeper.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
@@ -4,31 +4,31 @@
 import org.dogwoodwinch.target.Usage;
 
 /** Gathers an answer for the log, up to a bound: beyond it only the length is kept. Not thread-safe. */
-final class AnswerKeeper {
+final class AnswerBuffer {
 
     private final int maxBytes;
     private final StringBuilder text = new StringBuilder();
-    private long chars;
+    private long totalChars;
 
-    AnswerKeeper(int maxBytes) {
+    AnswerBuffer(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    void add(String piece) {
-        chars += piece.length();
-        if (chars <= maxBytes) {
+    void append(String piece) {
+        totalChars += piece.length();
+        if (totalChars <= maxBytes) {
             text.append(piece);
         }
     }
 
-    KeptAnswer keep(Usage usage, String finishReason) {
-        if (chars > maxBytes) {
-            return new KeptAnswer.TooLong(chars);
+    KeptAnswer toStoredAnswer(Usage usage, String finishReason) {
+        if (totalChars > maxBytes) {
+            return new KeptAnswer.TooLong(totalChars);
         }
         return bounded(new KeptAnswer.Generated(text.toString(), usage, finishReason));
     }
 
-    KeptAnswer keep(ServiceAnswer answer) {
+    KeptAnswer toStoredAnswer(ServiceAnswer answer) {
         return bounded(new KeptAnswer.Service(answer));
     }
 
--- a/src/main/java/org/dogwoodwinch/request/CallerAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.target.Usage;
 
 /** One request's answer on its way to the caller, with the figures that are taken of it. Not thread-safe. */
-final class CallerAnswer {
+final class AnswerDelivery {
 
     private final RequestContext context;
     private final CallerRequest request;
@@ -13,7 +13,7 @@
     private final AnswerProgress progress = new AnswerProgress();
     private long lastChunkMillis = -1;
 
-    CallerAnswer(RequestContext context, CallerRequest request, AnswerSink sink) {
+    AnswerDelivery(RequestContext context, CallerRequest request, AnswerSink sink) {
         this.context = context;
         this.request = request;
         this.sink = sink;
--- a/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
@@ -16,7 +16,7 @@
 
     /** What to do with a chunk. */
     enum Verdict {
-        /** It is the next piece: {@link #pending()} holds what to deliver. */
+        /** It is the next piece: {@link #pendingChunk()} holds what to deliver. */
         DELIVER,
         /** The caller has it already. */
         SKIP,
@@ -28,60 +28,60 @@
 
     private long nextSequence;
     private long deliveredChars;
-    private Hasher delivered = Hashing.sha256().newHasher();
+    private Hasher deliveredHasher = Hashing.sha256().newHasher();
     private boolean replaying;
     private long replaySequence;
     private long replayChars;
-    /** Compared with {@link #delivered}; computing its hash uses it up, so a twin goes on after the comparison. */
-    private Hasher replayed = Hashing.sha256().newHasher();
+    /** Compared with {@link #deliveredHasher}; computing its hash uses it up, so a twin goes on after the comparison. */
+    private Hasher replayedHasher = Hashing.sha256().newHasher();
 
-    private Hasher replayedTwin = Hashing.sha256().newHasher();
-    private AnswerChunk pending;
+    private Hasher replayedHasherCopy = Hashing.sha256().newHasher();
+    private AnswerChunk pendingChunk;
 
-    long delivered() {
+    long deliveredTokens() {
         return nextSequence;
     }
 
-    boolean replaying() {
+    boolean isReplaying() {
         return replaying;
     }
 
     /** Returns the sequence number wanted next from the stream that is being read. */
-    long nextWanted() {
+    long nextExpectedSequence() {
         return replaying ? replaySequence : nextSequence;
     }
 
-    AnswerChunk pending() {
-        return pending;
+    AnswerChunk pendingChunk() {
+        return pendingChunk;
     }
 
     /** A new run starts at token zero. */
-    void startAgain() {
+    void restart() {
         replaying = deliveredChars > 0;
         replaySequence = 0;
         replayChars = 0;
-        replayed = Hashing.sha256().newHasher();
-        replayedTwin = Hashing.sha256().newHasher();
+        replayedHasher = Hashing.sha256().newHasher();
+        replayedHasherCopy = Hashing.sha256().newHasher();
     }
 
     Verdict accept(AnswerChunk chunk) {
-        long wanted = nextWanted();
-        if (chunk.sequence() > wanted) {
+        long expected = nextExpectedSequence();
+        if (chunk.sequence() > expected) {
             return Verdict.GAP;
         }
-        if (chunk.sequence() < wanted) {
-            return chunk.sequence() + chunk.tokens() <= wanted ? Verdict.SKIP : Verdict.GAP;
+        if (chunk.sequence() < expected) {
+            return chunk.sequence() + chunk.tokens() <= expected ? Verdict.SKIP : Verdict.GAP;
         }
         return replaying ? acceptReplayed(chunk) : deliver(chunk, chunk.text());
     }
 
     private Verdict acceptReplayed(AnswerChunk chunk) {
         replaySequence += chunk.tokens();
-        long missingChars = deliveredChars - replayChars;
-        int withheld = (int) Math.min(missingChars, chunk.text().length());
+        long remainingChars = deliveredChars - replayChars;
+        int withheld = (int) Math.min(remainingChars, chunk.text().length());
         String prefix = chunk.text().substring(0, withheld);
-        replayed.putUnencodedChars(prefix);
-        replayedTwin.putUnencodedChars(prefix);
+        replayedHasher.putUnencodedChars(prefix);
+        replayedHasherCopy.putUnencodedChars(prefix);
         replayChars += withheld;
         if (replayChars < deliveredChars) {
             return Verdict.SKIP;
@@ -90,10 +90,10 @@
     }
 
     private Verdict finishReplay(AnswerChunk chunk, String rest) {
-        if (!delivered.hash().equals(replayed.hash())) {
+        if (!deliveredHasher.hash().equals(replayedHasher.hash())) {
             return Verdict.DIVERGED;
         }
-        delivered = replayedTwin;
+        deliveredHasher = replayedHasherCopy;
         replaying = false;
         int newTokens = (int) Math.max(1, replaySequence - nextSequence);
         if (rest.isEmpty()) {
@@ -106,9 +106,9 @@
     }
 
     private Verdict deliver(AnswerChunk chunk, String text) {
-        delivered.putUnencodedChars(text);
+        deliveredHasher.putUnencodedChars(text);
         deliveredChars += text.length();
-        pending = new AnswerChunk(chunk.attemptId(), nextSequence, chunk.tokens(), text);
+        pendingChunk = new AnswerChunk(chunk.attemptId(), nextSequence, chunk.tokens(), text);
         nextSequence += chunk.tokens();
         return Verdict.DELIVER;
     }
--- a/src/main/java/org/dogwoodwinch/request/AttemptLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
@@ -10,9 +10,9 @@
  * byte could be written; only the proof of its target ({@code TargetFailure.provesNotRun()}) takes that back. Whatever
  * path leads to a refusal, "not run" is then said only of a request that did not run. Not thread-safe.
  */
-public final class AttemptLedger {
+public final class AttemptTracker {
 
-    private final Set<String> possiblyRun = new HashSet<>();
+    private final Set<String> possiblyRunAttempts = new HashSet<>();
     private final Set<String> failedTargets = new HashSet<>();
     private int attempts;
 
@@ -22,7 +22,7 @@
      * @param attemptId names it, not null
      */
     public void onSend(String attemptId) {
-        possiblyRun.add(attemptId);
+        possiblyRunAttempts.add(attemptId);
         attempts++;
     }
 
@@ -32,7 +32,7 @@
      * @param attemptId names it, not null
      */
     public void onProvedNotRun(String attemptId) {
-        possiblyRun.remove(attemptId);
+        possiblyRunAttempts.remove(attemptId);
     }
 
     /**
@@ -50,7 +50,7 @@
      * @return not run only where each attempt is proved not to have run
      */
     public RunState runState() {
-        return possiblyRun.isEmpty() ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN;
+        return possiblyRunAttempts.isEmpty() ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN;
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/request/AnswerMatcher.java
+++ b/src/main/java/org/dogwoodwinch/request/ChunkMatcher.java
@@ -4,10 +4,10 @@
 
 /** Says whether a chunk belongs to an attempt. */
 @FunctionalInterface
-public interface AnswerMatcher {
+public interface ChunkMatcher {
 
     /** By the attempt's id, never by the order or the connection on which the chunk came. */
-    AnswerMatcher BY_ATTEMPT_ID = (attemptId, chunk) -> attemptId.equals(chunk.attemptId());
+    ChunkMatcher BY_ATTEMPT_ID = (attemptId, chunk) -> attemptId.equals(chunk.attemptId());
 
     /**
      * Decides.
--- a/src/main/java/org/dogwoodwinch/request/ClaimCodec.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimCodec.java
@@ -25,7 +25,7 @@
     static Optional<ClaimBatch> decode(String payload) {
         try {
             ClaimBatch batch = MAPPER.readValue(payload, ClaimBatch.class);
-            return batch.version() == ClaimBatch.VERSION && batch.writer() != null
+            return batch.version() == ClaimBatch.VERSION && batch.writerId() != null
                     ? Optional.of(batch)
                     : Optional.empty();
         } catch (JsonProcessingException _e) {
--- a/src/main/java/org/dogwoodwinch/request/ClaimFold.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimFold.java
@@ -35,7 +35,7 @@
     }
 
     void apply(long offset, ClaimRecord entry, long nowMillis) {
-        forget(nowMillis);
+        evictExpired(nowMillis);
         if (entry instanceof ClaimRecord.Claimed claimed) {
             StreamPointer pointer = new StreamPointer(targetNames.intern(claimed.target()), claimed.attemptId());
             entries.putIfAbsent(
@@ -56,7 +56,7 @@
             StreamPointer pointer = new StreamPointer(targetNames.intern(moved.target()), moved.attemptId());
             entries.put(
                     entry.keyHash(),
-                    held.with(new HeldClaim(held.claim().claimId(), pointer, HeldClaim.NO_OUTCOME, false)));
+                    held.withClaim(new HeldClaim(held.claim().claimId(), pointer, HeldClaim.NO_OUTCOME, false)));
         } else {
             // Counted anew from the answer: a resend after a long answer must still find it.
             entries.remove(entry.keyHash());
@@ -73,7 +73,7 @@
      * @return the claim that holds it, or empty where it is free
      */
     Optional<Entry> find(String keyHash, long nowMillis) {
-        forget(nowMillis);
+        evictExpired(nowMillis);
         return Optional.ofNullable(entries.get(keyHash));
     }
 
@@ -90,18 +90,18 @@
         return entries.size() >= maxKeys;
     }
 
-    private void forget(long nowMillis) {
-        Iterator<Entry> oldest = entries.values().iterator();
-        while (oldest.hasNext() && oldest.next().sinceMillis() <= nowMillis - keyMemoryMillis) {
-            oldest.remove();
+    private void evictExpired(long nowMillis) {
+        Iterator<Entry> byAge = entries.values().iterator();
+        while (byAge.hasNext() && byAge.next().recordedMillis() <= nowMillis - keyMemoryMillis) {
+            byAge.remove();
         }
     }
 
     /** A claim with what it was claimed for and since when it is counted. */
-    record Entry(HeldClaim claim, long fingerprint, long sinceMillis) {
+    record Entry(HeldClaim claim, long fingerprint, long recordedMillis) {
 
-        Entry with(HeldClaim newClaim) {
-            return new Entry(newClaim, fingerprint, sinceMillis);
+        Entry withClaim(HeldClaim newClaim) {
+            return new Entry(newClaim, fingerprint, recordedMillis);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
@@ -13,98 +13,98 @@
  *
  * <p>The first request may be a moment before its send, or its instance may be dead. The two look alike, so a stream
  * that is not there yet is asked for again within a bounded wait; then the caller is told that it may have run. All
- * methods run on the request's {@link SerialQueue}.
+ * methods run on the request's {@link SerialExecutor}.
  */
-final class ClaimJoin implements EngineAttempt.Events {
+final class ClaimJoin implements EngineAttempt.Listener {
 
     /** Hears how the join ended, once. */
-    interface Events {
+    interface Listener {
 
-        void onJoinedWhole(Usage usage);
+        void onAnswered(Usage usage);
 
         /** The first request is proved not to have run; the key may be claimed again. */
-        void onKeyFree();
+        void onKeyReleased();
 
         /** The answer cannot be had. */
-        void onLost();
+        void onAnswerUnavailable();
     }
 
-    private static final long LOOK_AGAIN_MILLIS = 100;
+    private static final long POLL_INTERVAL_MILLIS = 100;
 
     private final RequestContext context;
-    private final SerialQueue queue;
+    private final SerialExecutor executor;
     private final CallerRequest request;
-    private final CallerAnswer answer;
+    private final AnswerDelivery delivery;
     private final ClaimRequest claim;
-    private final Events events;
+    private final Listener listener;
 
     private Optional<EngineAttempt> attempt = Optional.empty();
-    private Cancellable nextLook = () -> {};
-    private long giveUpMillis;
-    private boolean reading = true;
-    private boolean joined;
-    private boolean over;
+    private Cancellable nextPoll = () -> {};
+    private long waitUntilMillis;
+    private boolean readingEnabled = true;
+    private boolean streamJoinTried;
+    private boolean finished;
 
     ClaimJoin(
             RequestContext context,
-            SerialQueue queue,
+            SerialExecutor executor,
             CallerRequest request,
-            CallerAnswer answer,
+            AnswerDelivery delivery,
             ClaimRequest claim,
-            Events events) {
+            Listener listener) {
         this.context = context;
-        this.queue = queue;
+        this.executor = executor;
         this.request = request;
-        this.answer = answer;
+        this.delivery = delivery;
         this.claim = claim;
-        this.events = events;
+        this.listener = listener;
     }
 
     void start(HeldClaim held) {
-        giveUpMillis = context.nowMillis() + context.settings().joinWaitMillis();
+        waitUntilMillis = context.nowMillis() + context.settings().joinWaitMillis();
         follow(held);
     }
 
-    void setReading(boolean wanted) {
-        reading = wanted;
-        attempt.ifPresent(each -> each.setReading(wanted));
+    void setReadingEnabled(boolean enabled) {
+        readingEnabled = enabled;
+        attempt.ifPresent(each -> each.setReadingEnabled(enabled));
     }
 
     void stop() {
-        over = true;
-        nextLook.cancel();
+        finished = true;
+        nextPoll.cancel();
         attempt.ifPresent(EngineAttempt::detach);
     }
 
     private void follow(HeldClaim held) {
         if (held.hasOutcome()) {
-            context.claims().read(held, kept -> queue.execute(() -> onRead(held, kept)));
-        } else if (held.running() && context.nowMillis() < giveUpMillis) {
+            context.claimStore().readAnswer(held, stored -> executor.execute(() -> onAnswerRead(held, stored)));
+        } else if (held.inProgress() && context.nowMillis() < waitUntilMillis) {
             // An engine may serve one reader of a stream: to join now would cut the first caller off.
-            lookLater();
+            schedulePoll();
         } else {
             joinStream(held);
         }
     }
 
-    private void onRead(HeldClaim held, Optional<KeptAnswer> kept) {
-        if (over) {
+    private void onAnswerRead(HeldClaim held, Optional<KeptAnswer> stored) {
+        if (finished) {
             return;
         }
-        if (kept.isEmpty()) {
-            lookLater();
+        if (stored.isEmpty()) {
+            schedulePoll();
             return;
         }
-        kept.get()
+        stored.get()
                 .match(
                         generated -> {
-                            deliverKept(held, generated);
+                            deliverStored(held, generated);
                             return null;
                         },
                         service -> {
-                            over = true;
-                            answer.completeService(service);
-                            events.onJoinedWhole(new Usage(0, 0, 0));
+                            finished = true;
+                            delivery.completeService(service);
+                            listener.onAnswered(new Usage(0, 0, 0));
                             return null;
                         },
                         _tooLong -> {
@@ -113,59 +113,59 @@
                         });
     }
 
-    private void deliverKept(HeldClaim held, KeptAnswer.Generated generated) {
-        over = true;
+    private void deliverStored(HeldClaim held, KeptAnswer.Generated generated) {
+        finished = true;
         int tokens = (int) Math.max(1, generated.usage().completionTokens());
-        answer.progress().startAgain();
-        AnswerChunk whole = new AnswerChunk(held.pointer().attemptId(), 0, tokens, generated.text());
-        AnswerProgress.Verdict verdict = answer.progress().accept(whole);
-        if (verdict == AnswerProgress.Verdict.DIVERGED || answer.progress().replaying()) {
-            events.onLost();
+        delivery.progress().restart();
+        AnswerChunk wholeAnswer = new AnswerChunk(held.pointer().attemptId(), 0, tokens, generated.text());
+        AnswerProgress.Verdict verdict = delivery.progress().accept(wholeAnswer);
+        if (verdict == AnswerProgress.Verdict.DIVERGED || delivery.progress().isReplaying()) {
+            listener.onAnswerUnavailable();
             return;
         }
         if (verdict == AnswerProgress.Verdict.DELIVER) {
-            answer.deliver(answer.progress().pending());
+            delivery.deliver(delivery.progress().pendingChunk());
         }
-        answer.complete(generated.usage(), generated.finishReason());
-        events.onJoinedWhole(generated.usage());
+        delivery.complete(generated.usage(), generated.finishReason());
+        listener.onAnswered(generated.usage());
     }
 
     private void joinStream(HeldClaim held) {
-        Optional<Target> target = context.targets().apply(held.pointer().target());
+        Optional<Target> target = context.targetLookup().apply(held.pointer().target());
         boolean generates = request.work() instanceof Work.Generate;
-        joined = true;
+        streamJoinTried = true;
         if (target.isEmpty() || !generates) {
-            lookLater();
+            schedulePoll();
             return;
         }
         EngineAttempt next = new EngineAttempt(
-                context, queue, request, answer.progress(), target.get(), held.pointer(), true, 0, this);
+                context, executor, request, delivery.progress(), target.get(), held.pointer(), true, 0, this);
         attempt = Optional.of(next);
-        next.setReading(reading);
+        next.setReadingEnabled(readingEnabled);
         next.join();
     }
 
-    private void lookLater() {
+    private void schedulePoll() {
         attempt = Optional.empty();
-        if (context.nowMillis() >= giveUpMillis && joined) {
-            over = true;
-            events.onLost();
+        if (context.nowMillis() >= waitUntilMillis && streamJoinTried) {
+            finished = true;
+            listener.onAnswerUnavailable();
             return;
         }
-        nextLook = context.time().schedule(LOOK_AGAIN_MILLIS, () -> queue.execute(this::look));
+        nextPoll = context.time().schedule(POLL_INTERVAL_MILLIS, () -> executor.execute(this::poll));
     }
 
-    private void look() {
-        if (over) {
+    private void poll() {
+        if (finished) {
             return;
         }
-        Optional<HeldClaim> held = context.claims().held(claim);
-        if (held.isEmpty() && answer.progress().delivered() == 0) {
-            over = true;
-            events.onKeyFree();
+        Optional<HeldClaim> held = context.claimStore().findHolder(claim);
+        if (held.isEmpty() && delivery.progress().deliveredTokens() == 0) {
+            finished = true;
+            listener.onKeyReleased();
         } else if (held.isEmpty()) {
-            over = true;
-            events.onLost();
+            finished = true;
+            listener.onAnswerUnavailable();
         } else {
             follow(held.get());
         }
@@ -173,24 +173,24 @@
 
     @Override
     public void onDelivered(AnswerChunk chunk) {
-        answer.deliver(chunk);
+        delivery.deliver(chunk);
     }
 
     @Override
-    public void onWhole(Usage usage, String finishReason) {
-        over = true;
-        answer.complete(usage, finishReason);
-        events.onJoinedWhole(usage);
+    public void onCompleted(Usage usage, String finishReason) {
+        finished = true;
+        delivery.complete(usage, finishReason);
+        listener.onAnswered(usage);
     }
 
     @Override
     public void onAttemptFailed(TargetFailure _failure, boolean _crashed) {
-        lookLater();
+        schedulePoll();
     }
 
     @Override
     public void onDiverged() {
-        over = true;
-        events.onLost();
+        finished = true;
+        listener.onAnswerUnavailable();
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
@@ -17,13 +17,13 @@
 
     private static final int MAX_RECORDS = 512;
 
-    private final String writer;
+    private final String writerId;
     private final Deque<ClaimRecord> queue = new ArrayDeque<>();
     private final Map<Long, List<ClaimRecord>> unconfirmed = new HashMap<>();
-    private long nextBatch;
+    private long nextBatchNumber;
 
-    ClaimOutbox(String writer) {
-        this.writer = writer;
+    ClaimOutbox(String writerId) {
+        this.writerId = writerId;
     }
 
     void add(ClaimRecord entry) {
@@ -35,33 +35,33 @@
     }
 
     /** Takes the next batch; the caller says afterwards what became of it. */
-    ClaimBatch next() {
+    ClaimBatch takeBatch() {
         List<ClaimRecord> records = new ArrayList<>();
         while (!queue.isEmpty() && records.size() < MAX_RECORDS) {
             records.add(queue.removeFirst());
         }
-        ClaimBatch batch = new ClaimBatch(ClaimBatch.VERSION, writer, nextBatch++, records);
+        ClaimBatch batch = new ClaimBatch(ClaimBatch.VERSION, writerId, nextBatchNumber++, records);
         // From now on: the stream can show the batch before the append's answer is there.
-        unconfirmed.put(batch.batch(), batch.records());
+        unconfirmed.put(batch.number(), batch.records());
         return batch;
     }
 
-    void putBack(List<ClaimRecord> records) {
+    void requeue(List<ClaimRecord> records) {
         for (int i = records.size() - 1; i >= 0; i--) {
             queue.addFirst(records.get(i));
         }
     }
 
     /** The batch is on the stream, or certainly is not and was put back. */
-    void onDecided(ClaimBatch batch) {
-        unconfirmed.remove(batch.batch());
+    void onResolved(ClaimBatch batch) {
+        unconfirmed.remove(batch.number());
     }
 
     /** Sends again what has not been seen. */
-    void retryUnconfirmed(long batch) {
-        List<ClaimRecord> records = unconfirmed.remove(batch);
+    void requeueUnconfirmed(long batchNumber) {
+        List<ClaimRecord> records = unconfirmed.remove(batchNumber);
         if (records != null) {
-            putBack(records);
+            requeue(records);
         }
     }
 
@@ -70,13 +70,13 @@
      *
      * @return false where it is on its way, or may be on the log
      */
-    boolean takeBack(String claimId) {
+    boolean removeQueuedClaim(String claimId) {
         return queue.removeIf(
                 entry -> entry instanceof ClaimRecord.Claimed && entry.claimId().equals(claimId));
     }
 
     /** Drops a claim from batches that would be sent again. */
-    void dropUnconfirmed(String claimId) {
+    void removeUnconfirmedClaim(String claimId) {
         unconfirmed.replaceAll((_batch, records) -> records.stream()
                 .filter(entry -> !(entry instanceof ClaimRecord.Claimed
                         && entry.claimId().equals(claimId)))
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutcome.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutcome.java
@@ -17,7 +17,7 @@
      *
      * @param claim the earlier claim
      */
-    record Earlier(HeldClaim claim) implements ClaimOutcome {}
+    record AlreadyClaimed(HeldClaim claim) implements ClaimOutcome {}
 
     /** The key was used for a different request. */
     record KeyReused() implements ClaimOutcome {}
@@ -33,23 +33,23 @@
     /**
      * Calls the function of this outcome's kind.
      *
-     * @param won for {@link Won}
-     * @param earlier for {@link Earlier}
+     * @param acquired for {@link Won}
+     * @param alreadyClaimed for {@link AlreadyClaimed}
      * @param keyReused for {@link KeyReused}
      * @param unavailable for {@link Unavailable}
      * @param <T> what the functions return
      * @return what the function returned
      */
     default <T> T match(
-            Function<Won, T> won,
-            Function<Earlier, T> earlier,
+            Function<Won, T> acquired,
+            Function<AlreadyClaimed, T> alreadyClaimed,
             Function<KeyReused, T> keyReused,
             Function<Unavailable, T> unavailable) {
         if (this instanceof Won value) {
-            return won.apply(value);
+            return acquired.apply(value);
         }
-        if (this instanceof Earlier value) {
-            return earlier.apply(value);
+        if (this instanceof AlreadyClaimed value) {
+            return alreadyClaimed.apply(value);
         }
         if (this instanceof KeyReused value) {
             return keyReused.apply(value);
--- a/src/main/java/org/dogwoodwinch/request/ClaimRecord.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimRecord.java
@@ -39,7 +39,7 @@
     record Completed(
             @JsonProperty("i") String claimId,
             @JsonProperty("k") String keyHash,
-            @JsonProperty("o") ClaimedAnswer answer)
+            @JsonProperty("o") StoredAnswerRecord answer)
             implements ClaimRecord {}
 
     /** The claimed request is proved not to have run; the key is free again. */
--- a/src/main/java/org/dogwoodwinch/request/ClaimRequest.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimRequest.java
@@ -32,9 +32,10 @@
      */
     public static ClaimRequest of(CallerRequest request, StreamPointer pointer) {
         String owner = request.entry().owner();
-        String scoped = owner.length() + ":" + owner + request.idempotencyKey().orElseThrow();
+        String scopedKey =
+                owner.length() + ":" + owner + request.idempotencyKey().orElseThrow();
         String hash =
-                Hashing.sha256().hashString(scoped, StandardCharsets.UTF_8).toString();
+                Hashing.sha256().hashString(scopedKey, StandardCharsets.UTF_8).toString();
         return new ClaimRequest(hash.substring(0, HASH_HEX_DIGITS), request.fingerprint(), pointer);
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/ClaimLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimStore.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** Claims of idempotency keys for calls that may not be repeated. Safe to call from many threads. */
-public interface ClaimLedger {
+public interface ClaimStore {
 
     /**
      * Claims a key.
@@ -20,7 +20,7 @@
      * @param claim the claim that found an earlier one, not null
      * @return the claim that holds the key, or empty where it was released
      */
-    Optional<HeldClaim> held(ClaimRequest claim);
+    Optional<HeldClaim> findHolder(ClaimRequest claim);
 
     /**
      * Records that a won claim's request goes to another target, its first one having proved that it did not run.
@@ -28,7 +28,7 @@
      * @param claimId the claim, not null
      * @param pointer the new stream, not null
      */
-    void moved(String claimId, StreamPointer pointer);
+    void recordMove(String claimId, StreamPointer pointer);
 
     /**
      * Records the outcome of a won claim's request.
@@ -43,14 +43,14 @@
      *
      * @param claimId the claim, not null
      */
-    void released(String claimId);
+    void release(String claimId);
 
     /**
      * Stops work on a won claim whose request may have run; its stream is left to whoever resends the key.
      *
      * @param claimId the claim, not null
      */
-    void abandoned(String claimId);
+    void abandon(String claimId);
 
     /**
      * Reads an outcome back.
@@ -58,5 +58,5 @@
      * @param claim a claim with an outcome, not null
      * @param answer takes the answer, or empty where the log does not answer or has lost it, not null
      */
-    void read(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer);
+    void readAnswer(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer);
 }
--- a/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
@@ -15,17 +15,17 @@
  * One attempt on one engine: reads its stream, joins it again where the connection breaks, and tells a whole answer from
  * a cut one.
  *
- * <p>All methods run on the request's {@link SerialQueue}. Each connection has a reader of its own; what a reader brings
+ * <p>All methods run on the request's {@link SerialExecutor}. Each connection has a reader of its own; what a reader brings
  * after it was replaced is dropped and counted.
  */
 final class EngineAttempt {
 
     /** Hears what becomes of the attempt. */
-    interface Events {
+    interface Listener {
 
         void onDelivered(AnswerChunk chunk);
 
-        void onWhole(Usage usage, String finishReason);
+        void onCompleted(Usage usage, String finishReason);
 
         void onAttemptFailed(TargetFailure failure, boolean crashed);
 
@@ -33,52 +33,52 @@
     }
 
     /** How many times as long as expected the first token may take before it counts as late. */
-    private static final int FIRST_TOKEN_LATENESS = 3;
+    private static final int FIRST_TOKEN_TOLERANCE_FACTOR = 3;
 
     private final RequestContext context;
-    private final SerialQueue queue;
+    private final SerialExecutor executor;
     private final CallerRequest request;
     private final AnswerProgress progress;
     private final Target target;
     private final StreamPointer pointer;
-    private final boolean shared;
-    private final long firstTokenMillis;
-    private final Events events;
+    private final boolean sharedStream;
+    private final long expectedFirstTokenMillis;
+    private final Listener listener;
 
     private Reader reader;
-    private boolean reading = true;
-    private boolean over;
-    private boolean progressed = true;
-    private boolean firstChunkSeen;
+    private boolean readingEnabled = true;
+    private boolean finished;
+    private boolean progressedSinceConnect = true;
+    private boolean firstChunkReceived;
     private long startedMillis;
-    private long lastHeardMillis;
+    private long lastReceivedMillis;
     private Cancellable stallTimer = () -> {};
 
     /**
      * Creates an attempt.
      *
-     * @param shared whether the stream is another request's, which this one must not cancel
-     * @param firstTokenMillis when the first token is expected, in milliseconds from the send: a long queue is no stall
+     * @param sharedStream whether the stream is another request's, which this one must not cancel
+     * @param expectedFirstTokenMillis when the first token is expected, in milliseconds from the send: a long queue is no stall
      */
     EngineAttempt(
             RequestContext context,
-            SerialQueue queue,
+            SerialExecutor executor,
             CallerRequest request,
             AnswerProgress progress,
             Target target,
             StreamPointer pointer,
-            boolean shared,
-            long firstTokenMillis,
-            Events events) {
+            boolean sharedStream,
+            long expectedFirstTokenMillis,
+            Listener listener) {
         this.context = context;
-        this.queue = queue;
+        this.executor = executor;
         this.request = request;
         this.progress = progress;
         this.target = target;
         this.pointer = pointer;
-        this.shared = shared;
-        this.firstTokenMillis = firstTokenMillis;
-        this.events = events;
+        this.sharedStream = sharedStream;
+        this.expectedFirstTokenMillis = expectedFirstTokenMillis;
+        this.listener = listener;
     }
 
     Target target() {
@@ -92,39 +92,39 @@
     /** Sends the attempt. */
     void start(GenerateCall call, RouteQuery query) {
         context.router().onSent(attemptId(), target, query);
-        Reader next = begin();
+        Reader next = openReader();
         next.stream = engine().generate(call, next);
-        next.pauseIfWanted();
+        next.pauseIfDisabled();
     }
 
     /** Joins a stream that another request started, from its first token. */
     void join() {
-        Reader next = begin();
-        next.stream = engine().resume(attemptId(), progress.nextWanted(), next);
-        next.pauseIfWanted();
+        Reader next = openReader();
+        next.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), next);
+        next.pauseIfDisabled();
     }
 
-    void setReading(boolean wanted) {
-        reading = wanted;
-        lastHeardMillis = context.nowMillis();
+    void setReadingEnabled(boolean enabled) {
+        readingEnabled = enabled;
+        lastReceivedMillis = context.nowMillis();
         if (reader != null) {
-            reader.applyReading();
+            reader.applyReadingState();
         }
     }
 
     /** Gives the attempt up; its engine stops it unless the stream is shared. */
     void cancel() {
-        end();
-        if (!shared) {
+        finish();
+        if (!sharedStream) {
             context.router().onCancelled(attemptId());
         }
-        reader.stop(!shared);
+        reader.stop(!sharedStream);
     }
 
     /** Stops listening and lets the engine finish, so that a resend can join the stream. */
     void detach() {
-        end();
-        if (!shared) {
+        finish();
+        if (!sharedStream) {
             context.router().onCancelled(attemptId());
         }
         reader.stop(false);
@@ -134,32 +134,32 @@
         return context.clients().engine(target);
     }
 
-    private Reader begin() {
+    private Reader openReader() {
         startedMillis = context.nowMillis();
-        lastHeardMillis = startedMillis;
+        lastReceivedMillis = startedMillis;
         reader = new Reader(null);
         armStallTimer();
         return reader;
     }
 
     private void armStallTimer() {
-        long waitMillis = allowedMillis() - (context.nowMillis() - lastHeardMillis);
-        stallTimer = context.time().schedule(Math.max(1, waitMillis), () -> queue.execute(this::checkStall));
+        long waitMillis = allowedSilenceMillis() - (context.nowMillis() - lastReceivedMillis);
+        stallTimer = context.time().schedule(Math.max(1, waitMillis), () -> executor.execute(this::checkStall));
     }
 
-    private long allowedMillis() {
-        long queueMillis = firstChunkSeen ? 0 : FIRST_TOKEN_LATENESS * firstTokenMillis;
+    private long allowedSilenceMillis() {
+        long queueMillis = firstChunkReceived ? 0 : FIRST_TOKEN_TOLERANCE_FACTOR * expectedFirstTokenMillis;
         return context.settings().stallMillis() + queueMillis;
     }
 
     private void checkStall() {
-        if (over) {
+        if (finished) {
             return;
         }
-        if (!reading) {
-            lastHeardMillis = context.nowMillis();
+        if (!readingEnabled) {
+            lastReceivedMillis = context.nowMillis();
         }
-        if (context.nowMillis() - lastHeardMillis < allowedMillis()) {
+        if (context.nowMillis() - lastReceivedMillis < allowedSilenceMillis()) {
             armStallTimer();
             return;
         }
@@ -169,138 +169,138 @@
                 stalled,
                 new TargetFailure.TimedOut(
                         "nothing came for " + context.settings().stallMillis() + " ms"));
-        if (!over) {
+        if (!finished) {
             armStallTimer();
         }
     }
 
-    private void onChunk(Reader from, AnswerChunk chunk) {
-        if (isLate(from) || !context.policies().matcher().matches(attemptId(), chunk)) {
+    private void onChunk(Reader source, AnswerChunk chunk) {
+        if (isStale(source) || !context.policies().chunkMatcher().matches(attemptId(), chunk)) {
             context.observer().onLateAnswer(request);
             return;
         }
-        hear();
+        markReceived();
         AnswerProgress.Verdict verdict = progress.accept(chunk);
         if (verdict == AnswerProgress.Verdict.DELIVER) {
-            progressed = true;
-            events.onDelivered(progress.pending());
+            progressedSinceConnect = true;
+            listener.onDelivered(progress.pendingChunk());
         } else if (verdict == AnswerProgress.Verdict.GAP) {
-            from.stop(false);
-            onFailure(from, new TargetFailure.Broken("token " + progress.nextWanted() + " is missing"));
+            source.stop(false);
+            onFailure(source, new TargetFailure.Broken("token " + progress.nextExpectedSequence() + " is missing"));
         } else if (verdict == AnswerProgress.Verdict.DIVERGED) {
             cancel();
-            events.onDiverged();
+            listener.onDiverged();
         }
     }
 
-    private void hear() {
-        lastHeardMillis = context.nowMillis();
-        if (!firstChunkSeen) {
-            firstChunkSeen = true;
-            if (!shared) {
-                context.router().onFirstToken(attemptId(), lastHeardMillis - startedMillis);
+    private void markReceived() {
+        lastReceivedMillis = context.nowMillis();
+        if (!firstChunkReceived) {
+            firstChunkReceived = true;
+            if (!sharedStream) {
+                context.router().onFirstToken(attemptId(), lastReceivedMillis - startedMillis);
             }
         }
     }
 
-    private void onComplete(Reader from, Usage usage, String finishReason) {
-        if (isLate(from)) {
+    private void onComplete(Reader source, Usage usage, String finishReason) {
+        if (isStale(source)) {
             context.observer().onLateAnswer(request);
             return;
         }
-        if (usage.completionTokens() > progress.nextWanted()) {
+        if (usage.completionTokens() > progress.nextExpectedSequence()) {
             // The engine generated more than arrived: a cut answer must not pass for whole.
-            onFailure(from, new TargetFailure.Broken("the end came before token " + progress.nextWanted()));
+            onFailure(source, new TargetFailure.Broken("the end came before token " + progress.nextExpectedSequence()));
             return;
         }
-        end();
-        if (progress.replaying()) {
-            events.onDiverged();
+        finish();
+        if (progress.isReplaying()) {
+            listener.onDiverged();
             return;
         }
-        if (!shared) {
+        if (!sharedStream) {
             context.router().onCompleted(attemptId(), usage);
         }
-        events.onWhole(usage, finishReason);
+        listener.onCompleted(usage, finishReason);
     }
 
-    private void onFailure(Reader from, TargetFailure failure) {
-        if (isLate(from)) {
+    private void onFailure(Reader source, TargetFailure failure) {
+        if (isStale(source)) {
             context.observer().onLateAnswer(request);
             return;
         }
-        if (from.cause != null && !isCut(failure)) {
+        if (source.interruption != null && !isInterruption(failure)) {
             // The stream could not be joined: what had cut it decides, for the request had been sent before.
-            fail(from.cause, crashShown(failure));
+            fail(source.interruption, indicatesCrash(failure));
             return;
         }
-        if (isCut(failure) && progressed) {
-            joinAgain(failure);
+        if (isInterruption(failure) && progressedSinceConnect) {
+            resumeStream(failure);
             return;
         }
         fail(failure, false);
     }
 
-    private static boolean isCut(TargetFailure failure) {
+    private static boolean isInterruption(TargetFailure failure) {
         return failure instanceof TargetFailure.Broken || failure instanceof TargetFailure.TimedOut;
     }
 
     /** An engine that is there no more, or is there without the stream, has crashed since. */
-    private static boolean crashShown(TargetFailure failure) {
+    private static boolean indicatesCrash(TargetFailure failure) {
         return failure instanceof TargetFailure.NotSent
                 || (failure instanceof TargetFailure.Refused refused && !refused.overloaded() && !refused.leaving());
     }
 
     /** Without progress since the last join there is no further one, or a stream that breaks at once is joined forever. */
-    private void joinAgain(TargetFailure cause) {
-        progressed = false;
-        lastHeardMillis = context.nowMillis();
+    private void resumeStream(TargetFailure interruption) {
+        progressedSinceConnect = false;
+        lastReceivedMillis = context.nowMillis();
         context.observer().onRetry(request, RetryReason.STREAM_RESUMED);
-        Reader next = new Reader(cause);
+        Reader next = new Reader(interruption);
         reader = next;
-        next.stream = engine().resume(attemptId(), progress.nextWanted(), next);
-        next.pauseIfWanted();
+        next.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), next);
+        next.pauseIfDisabled();
     }
 
     private void fail(TargetFailure failure, boolean crashed) {
-        end();
-        if (!shared) {
+        finish();
+        if (!sharedStream) {
             context.router().onFailed(attemptId(), failure);
         }
-        events.onAttemptFailed(failure, crashed);
+        listener.onAttemptFailed(failure, crashed);
     }
 
-    private boolean isLate(Reader from) {
-        return over || from != reader;
+    private boolean isStale(Reader source) {
+        return finished || source != reader;
     }
 
-    private void end() {
-        over = true;
+    private void finish() {
+        finished = true;
         stallTimer.cancel();
     }
 
     /** One connection's listener. */
     private final class Reader implements AnswerListener {
 
-        private final TargetFailure cause;
+        private final TargetFailure interruption;
         private AnswerStream stream;
 
         /** Creates a reader; {@code cause} is what cut the connection before, or null for the first. */
-        Reader(TargetFailure cause) {
-            this.cause = cause;
+        Reader(TargetFailure interruption) {
+            this.interruption = interruption;
         }
 
-        void pauseIfWanted() {
-            if (!reading) {
-                applyReading();
+        void pauseIfDisabled() {
+            if (!readingEnabled) {
+                applyReadingState();
             }
         }
 
-        void applyReading() {
-            if (stream == null || over) {
+        void applyReadingState() {
+            if (stream == null || finished) {
                 return;
             }
-            if (reading) {
+            if (readingEnabled) {
                 stream.resumeReading();
             } else {
                 stream.pauseReading();
@@ -320,17 +320,17 @@
 
         @Override
         public void onChunk(AnswerChunk chunk) {
-            queue.execute(() -> EngineAttempt.this.onChunk(this, chunk));
+            executor.execute(() -> EngineAttempt.this.onChunk(this, chunk));
         }
 
         @Override
         public void onComplete(Usage usage, String finishReason) {
-            queue.execute(() -> EngineAttempt.this.onComplete(this, usage, finishReason));
+            executor.execute(() -> EngineAttempt.this.onComplete(this, usage, finishReason));
         }
 
         @Override
         public void onFailure(TargetFailure failure) {
-            queue.execute(() -> EngineAttempt.this.onFailure(this, failure));
+            executor.execute(() -> EngineAttempt.this.onFailure(this, failure));
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/HeldClaim.java
+++ b/src/main/java/org/dogwoodwinch/request/HeldClaim.java
@@ -8,9 +8,9 @@
  * @param claimId names the claim, not null
  * @param pointer the stream of the request that it stands for, not null
  * @param outcomeOffset the offset of the record with the request's outcome; -1 while there is none
- * @param running whether its claimant is believed to be at work on it, so that its stream is not to be taken over yet
+ * @param inProgress whether its claimant is believed to be at work on it, so that its stream is not to be taken over yet
  */
-public record HeldClaim(String claimId, StreamPointer pointer, long outcomeOffset, boolean running) {
+public record HeldClaim(String claimId, StreamPointer pointer, long outcomeOffset, boolean inProgress) {
 
     /** The offset of an outcome that is not there yet. */
     public static final long NO_OUTCOME = -1;
@@ -35,17 +35,17 @@
      *
      * @return the name of one start of one instance
      */
-    public String claimant() {
+    public String writerId() {
         return claimId.substring(0, Math.max(0, claimId.lastIndexOf('.')));
     }
 
     /**
      * Returns this claim with what is believed of its claimant.
      *
-     * @param newRunning whether it is believed to be at work
+     * @param newInProgress whether it is believed to be at work
      * @return the copy
      */
-    public HeldClaim withRunning(boolean newRunning) {
-        return new HeldClaim(claimId, pointer, outcomeOffset, newRunning);
+    public HeldClaim withInProgress(boolean newInProgress) {
+        return new HeldClaim(claimId, pointer, outcomeOffset, newInProgress);
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
@@ -22,37 +22,37 @@
  * time is void: its request was refused as not run, so the claim is never acted on, and where it turns up on the log
  * later it is released. Until then others take it for a request that may have run, which errs on the safe side.
  */
-public final class LogClaimLedger implements ClaimLedger {
+public final class LogClaimLedger implements ClaimStore {
 
     /** The stream's name on the log. */
     public static final String STREAM = "claims";
 
-    private static final int READ_RECORDS = 500;
+    private static final int MAX_RECORDS_PER_READ = 500;
     private static final long READ_WAIT_MILLIS = 1_000;
     private static final long READ_RETRY_MILLIS = 200;
-    private static final long UNKNOWN_RETRY_MILLIS = 500;
+    private static final long UNKNOWN_APPEND_RETRY_MILLIS = 500;
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final int MAX_OPEN_KEYS = 65_536;
-    private static final int OUT_AFTER_FAILED_READS = 2;
+    private static final int MAX_ACTIVE_CLAIMS = 65_536;
+    private static final int UNAVAILABLE_AFTER_FAILED_READS = 2;
 
     private final LogService logService;
     private final TimeSource time;
-    private final String writer;
-    private final long claimMillis;
+    private final String writerId;
+    private final long claimTimeoutMillis;
     private final long batchWindowMillis;
-    private final ClaimFold fold;
+    private final ClaimFold index;
     private final Predicate<String> liveWriters;
     private final ClaimOutbox outbox;
-    private final Map<String, PendingClaim> pending = new HashMap<>();
+    private final Map<String, PendingClaim> pendingClaims = new HashMap<>();
 
     /** Won claims that are being worked on, with their keys; the oldest service calls that never answered drop out. */
-    private final Map<String, String> openKeys = new LinkedHashMap<>();
+    private final Map<String, String> activeClaimKeys = new LinkedHashMap<>();
 
     private long nextOffset;
-    private long nextClaim;
-    private int failedReads;
-    private boolean appending;
-    private boolean flushPlanned;
+    private long nextClaimNumber;
+    private int consecutiveFailedReads;
+    private boolean appendInProgress;
+    private boolean flushScheduled;
     private boolean stopped;
 
     /**
@@ -60,115 +60,116 @@
      *
      * @param logService the platform's log, not null
      * @param time the clock and timers, not null
-     * @param writer names this start of this instance and no other one, not null
-     * @param claimMillis how long a claim is waited for, in milliseconds
+     * @param writerId names this start of this instance and no other one, not null
+     * @param claimTimeoutMillis how long a claim is waited for, in milliseconds
      * @param batchWindowMillis how long the first claim of a batch waits for others, in milliseconds
-     * @param fold takes the stream, empty at first, not null; not used by others afterwards
+     * @param index takes the stream, empty at first, not null; not used by others afterwards
      * @param liveWriters whether another start of an instance is believed alive, by its name, not null
      */
     public LogClaimLedger(
             LogService logService,
             TimeSource time,
-            String writer,
-            long claimMillis,
+            String writerId,
+            long claimTimeoutMillis,
             long batchWindowMillis,
-            ClaimFold fold,
+            ClaimFold index,
             Predicate<String> liveWriters) {
         this.logService = Objects.requireNonNull(logService, "logService");
         this.time = Objects.requireNonNull(time, "time");
-        this.writer = Objects.requireNonNull(writer, "writer");
-        this.claimMillis = claimMillis;
+        this.writerId = Objects.requireNonNull(writerId, "writer");
+        this.claimTimeoutMillis = claimTimeoutMillis;
         this.batchWindowMillis = batchWindowMillis;
-        this.fold = Objects.requireNonNull(fold, "fold");
+        this.index = Objects.requireNonNull(index, "fold");
         this.liveWriters = Objects.requireNonNull(liveWriters, "liveWriters");
-        this.outbox = new ClaimOutbox(writer);
+        this.outbox = new ClaimOutbox(writerId);
     }
 
     /** Starts to read the stream from its oldest retained record. */
     public void start() {
-        readOn();
+        readNext();
     }
 
     /** Stops reading and appending; what is pending is refused. */
     public void stop() {
-        List<Runnable> calls;
+        List<Runnable> callbacks;
         synchronized (this) {
             stopped = true;
-            calls = voidAll("this instance is stopping");
+            callbacks = discardAll("this instance is stopping");
         }
-        calls.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
     }
 
     @Override
     public void claim(ClaimRequest claim, Consumer<ClaimOutcome> outcome) {
-        Optional<ClaimOutcome> known = claimNow(claim, outcome);
-        known.ifPresent(outcome);
+        Optional<ClaimOutcome> immediate = startClaim(claim, outcome);
+        immediate.ifPresent(outcome);
     }
 
-    private synchronized Optional<ClaimOutcome> claimNow(ClaimRequest claim, Consumer<ClaimOutcome> outcome) {
+    private synchronized Optional<ClaimOutcome> startClaim(ClaimRequest claim, Consumer<ClaimOutcome> outcome) {
         long nowMillis = time.monotonicMillis();
-        Optional<ClaimFold.Entry> held = fold.find(claim.keyHash(), nowMillis);
+        Optional<ClaimFold.Entry> held = index.find(claim.keyHash(), nowMillis);
         if (held.isPresent()) {
             return Optional.of(outcomeOf(claim, held.get()));
         }
-        if (stopped || failedReads >= OUT_AFTER_FAILED_READS) {
+        if (stopped || consecutiveFailedReads >= UNAVAILABLE_AFTER_FAILED_READS) {
             return Optional.of(new ClaimOutcome.Unavailable("the log is out", RETRY_AFTER_MILLIS));
         }
-        if (fold.isFull()) {
+        if (index.isFull()) {
             return Optional.of(new ClaimOutcome.Unavailable("too many keys are remembered", RETRY_AFTER_MILLIS));
         }
-        String claimId = writer + "." + nextClaim++;
-        PendingClaim added = new PendingClaim(claim, outcome, nowMillis + claimMillis);
-        pending.put(claimId, added);
+        String claimId = writerId + "." + nextClaimNumber++;
+        PendingClaim added = new PendingClaim(claim, outcome, nowMillis + claimTimeoutMillis);
+        pendingClaims.put(claimId, added);
         outbox.add(new ClaimRecord.Claimed(
                 claimId,
                 claim.keyHash(),
                 claim.fingerprint(),
                 claim.pointer().target(),
                 claim.pointer().attemptId()));
-        planFlush(batchWindowMillis);
-        time.schedule(claimMillis, () -> giveUp(claimId));
+        scheduleFlush(batchWindowMillis);
+        time.schedule(claimTimeoutMillis, () -> timeOut(claimId));
         return Optional.empty();
     }
 
     private ClaimOutcome outcomeOf(ClaimRequest claim, ClaimFold.Entry held) {
         return held.fingerprint() == claim.fingerprint()
-                ? new ClaimOutcome.Earlier(withClaimant(held.claim()))
+                ? new ClaimOutcome.AlreadyClaimed(withProgress(held.claim()))
                 : new ClaimOutcome.KeyReused();
     }
 
-    private HeldClaim withClaimant(HeldClaim claim) {
-        boolean own = claim.claimant().equals(writer);
-        return claim.withRunning(own ? openKeys.containsKey(claim.claimId()) : liveWriters.test(claim.claimant()));
+    private HeldClaim withProgress(HeldClaim claim) {
+        boolean own = claim.writerId().equals(writerId);
+        return claim.withInProgress(
+                own ? activeClaimKeys.containsKey(claim.claimId()) : liveWriters.test(claim.writerId()));
     }
 
-    private void giveUp(String claimId) {
-        PendingClaim given;
+    private void timeOut(String claimId) {
+        PendingClaim timedOut;
         synchronized (this) {
-            given = pending.get(claimId);
-            if (given == null) {
+            timedOut = pendingClaims.get(claimId);
+            if (timedOut == null) {
                 return;
             }
-            voidClaim(claimId);
+            discardClaim(claimId);
         }
-        given.outcome().accept(new ClaimOutcome.Unavailable("the log is slow", RETRY_AFTER_MILLIS));
+        timedOut.outcome().accept(new ClaimOutcome.Unavailable("the log is slow", RETRY_AFTER_MILLIS));
     }
 
     /** From here on the claim is nobody's: {@link #onOwnClaim} releases it where it turns up. */
-    private void voidClaim(String claimId) {
-        pending.remove(claimId);
-        outbox.takeBack(claimId);
-        outbox.dropUnconfirmed(claimId);
+    private void discardClaim(String claimId) {
+        pendingClaims.remove(claimId);
+        outbox.removeQueuedClaim(claimId);
+        outbox.removeUnconfirmedClaim(claimId);
     }
 
     @Override
-    public synchronized Optional<HeldClaim> held(ClaimRequest claim) {
-        return fold.find(claim.keyHash(), time.monotonicMillis()).map(entry -> withClaimant(entry.claim()));
+    public synchronized Optional<HeldClaim> findHolder(ClaimRequest claim) {
+        return index.find(claim.keyHash(), time.monotonicMillis()).map(entry -> withProgress(entry.claim()));
     }
 
     @Override
-    public synchronized void moved(String claimId, StreamPointer pointer) {
-        String keyHash = openKeys.get(claimId);
+    public synchronized void recordMove(String claimId, StreamPointer pointer) {
+        String keyHash = activeClaimKeys.get(claimId);
         if (keyHash != null) {
             append(new ClaimRecord.Moved(claimId, keyHash, pointer.target(), pointer.attemptId()));
         }
@@ -176,34 +177,34 @@
 
     @Override
     public synchronized void completed(String claimId, KeptAnswer answer) {
-        String keyHash = openKeys.remove(claimId);
+        String keyHash = activeClaimKeys.remove(claimId);
         if (keyHash != null) {
-            append(new ClaimRecord.Completed(claimId, keyHash, ClaimedAnswer.of(answer)));
+            append(new ClaimRecord.Completed(claimId, keyHash, StoredAnswerRecord.of(answer)));
         }
     }
 
     @Override
-    public synchronized void released(String claimId) {
-        String keyHash = openKeys.remove(claimId);
+    public synchronized void release(String claimId) {
+        String keyHash = activeClaimKeys.remove(claimId);
         if (keyHash != null) {
             append(new ClaimRecord.Released(claimId, keyHash));
         }
     }
 
     @Override
-    public synchronized void abandoned(String claimId) {
-        openKeys.remove(claimId);
+    public synchronized void abandon(String claimId) {
+        activeClaimKeys.remove(claimId);
     }
 
     @Override
-    public void read(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer) {
+    public void readAnswer(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer) {
         logService
                 .read(STREAM, claim.outcomeOffset(), 1, 0)
                 .whenComplete((result, _fault) ->
-                        answer.accept(Optional.ofNullable(result).flatMap(found -> answerIn(found, claim))));
+                        answer.accept(Optional.ofNullable(result).flatMap(found -> findAnswer(found, claim))));
     }
 
-    private static Optional<KeptAnswer> answerIn(ReadResult result, HeldClaim claim) {
+    private static Optional<KeptAnswer> findAnswer(ReadResult result, HeldClaim claim) {
         List<LogRecord> records = result.match(ReadResult.Records::records, _expired -> List.of(), _out -> List.of());
         return records.stream()
                 .filter(each -> each.offset() == claim.outcomeOffset())
@@ -211,7 +212,7 @@
                 .flatMap(batch -> batch.records().stream())
                 .filter(each -> each.claimId().equals(claim.claimId()))
                 .filter(ClaimRecord.Completed.class::isInstance)
-                .map(each -> ((ClaimRecord.Completed) each).answer().toKept())
+                .map(each -> ((ClaimRecord.Completed) each).answer().toStoredAnswer())
                 .findFirst();
     }
 
@@ -220,18 +221,18 @@
      *
      * @return the count
      */
-    public synchronized int keys() {
-        return fold.size();
+    public synchronized int keyCount() {
+        return index.size();
     }
 
     private void append(ClaimRecord entry) {
         outbox.add(entry);
-        planFlush(batchWindowMillis);
+        scheduleFlush(batchWindowMillis);
     }
 
-    private void planFlush(long delayMillis) {
-        if (!flushPlanned && !appending) {
-            flushPlanned = true;
+    private void scheduleFlush(long delayMillis) {
+        if (!flushScheduled && !appendInProgress) {
+            flushScheduled = true;
             time.schedule(delayMillis, this::flush);
         }
     }
@@ -240,12 +241,12 @@
     private void flush() {
         ClaimBatch batch;
         synchronized (this) {
-            flushPlanned = false;
-            if (appending || outbox.isEmpty()) {
+            flushScheduled = false;
+            if (appendInProgress || outbox.isEmpty()) {
                 return;
             }
-            appending = true;
-            batch = outbox.next();
+            appendInProgress = true;
+            batch = outbox.takeBatch();
         }
         logService
                 .append(STREAM, ClaimCodec.encode(batch))
@@ -254,63 +255,63 @@
     }
 
     private void onAppended(ClaimBatch batch, AppendResult result) {
-        List<Runnable> calls = new ArrayList<>();
+        List<Runnable> callbacks = new ArrayList<>();
         synchronized (this) {
-            appending = false;
-            long againMillis = batchWindowMillis;
+            appendInProgress = false;
+            long nextFlushMillis = batchWindowMillis;
             if (!(result instanceof AppendResult.Unknown)) {
-                outbox.onDecided(batch);
+                outbox.onResolved(batch);
             }
             if (result instanceof AppendResult.Refused refused) {
-                outbox.putBack(
-                        batch.records().stream().filter(this::stillWanted).toList());
-                againMillis = Math.max(batchWindowMillis, refused.retryAfterMillis());
-                calls.addAll(refuseUnmet(refused, time.monotonicMillis() + againMillis));
+                outbox.requeue(
+                        batch.records().stream().filter(this::isStillNeeded).toList());
+                nextFlushMillis = Math.max(batchWindowMillis, refused.retryAfterMillis());
+                callbacks.addAll(refuseExpiring(refused, time.monotonicMillis() + nextFlushMillis));
             } else if (result instanceof AppendResult.Unknown) {
-                time.schedule(UNKNOWN_RETRY_MILLIS, () -> retryUnknown(batch.batch()));
+                time.schedule(UNKNOWN_APPEND_RETRY_MILLIS, () -> retryUnknownAppend(batch.number()));
             }
             if (!outbox.isEmpty()) {
-                planFlush(againMillis);
+                scheduleFlush(nextFlushMillis);
             }
         }
-        calls.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
     }
 
-    private boolean stillWanted(ClaimRecord entry) {
-        return !(entry instanceof ClaimRecord.Claimed) || pending.containsKey(entry.claimId());
+    private boolean isStillNeeded(ClaimRecord entry) {
+        return !(entry instanceof ClaimRecord.Claimed) || pendingClaims.containsKey(entry.claimId());
     }
 
     /** A claim that cannot be appended before its time is up is refused at once: waiting would change nothing. */
-    private List<Runnable> refuseUnmet(AppendResult.Refused refused, long nextTryMillis) {
-        List<String> unmet = pending.entrySet().stream()
-                .filter(each -> each.getValue().giveUpMillis() <= nextTryMillis)
+    private List<Runnable> refuseExpiring(AppendResult.Refused refused, long nextAppendMillis) {
+        List<String> expiring = pendingClaims.entrySet().stream()
+                .filter(each -> each.getValue().deadlineMillis() <= nextAppendMillis)
                 .map(Map.Entry::getKey)
                 .toList();
-        return voidEach(unmet, refused.detail(), Math.max(RETRY_AFTER_MILLIS, refused.retryAfterMillis()));
+        return discardEach(expiring, refused.detail(), Math.max(RETRY_AFTER_MILLIS, refused.retryAfterMillis()));
     }
 
-    private List<Runnable> voidAll(String detail) {
-        return voidEach(List.copyOf(pending.keySet()), detail, RETRY_AFTER_MILLIS);
+    private List<Runnable> discardAll(String detail) {
+        return discardEach(List.copyOf(pendingClaims.keySet()), detail, RETRY_AFTER_MILLIS);
     }
 
-    private List<Runnable> voidEach(List<String> claimIds, String detail, long retryAfterMillis) {
-        List<Runnable> calls = new ArrayList<>();
+    private List<Runnable> discardEach(List<String> claimIds, String detail, long retryAfterMillis) {
+        List<Runnable> callbacks = new ArrayList<>();
         for (String claimId : claimIds) {
-            Consumer<ClaimOutcome> outcome = pending.get(claimId).outcome();
-            voidClaim(claimId);
-            calls.add(() -> outcome.accept(new ClaimOutcome.Unavailable(detail, retryAfterMillis)));
+            Consumer<ClaimOutcome> outcome = pendingClaims.get(claimId).outcome();
+            discardClaim(claimId);
+            callbacks.add(() -> outcome.accept(new ClaimOutcome.Unavailable(detail, retryAfterMillis)));
         }
-        return calls;
+        return callbacks;
     }
 
-    private synchronized void retryUnknown(long batch) {
-        outbox.retryUnconfirmed(batch);
+    private synchronized void retryUnknownAppend(long batchNumber) {
+        outbox.requeueUnconfirmed(batchNumber);
         if (!outbox.isEmpty()) {
-            planFlush(0);
+            scheduleFlush(0);
         }
     }
 
-    private void readOn() {
+    private void readNext() {
         long fromOffset;
         synchronized (this) {
             if (stopped) {
@@ -319,45 +320,45 @@
             fromOffset = nextOffset;
         }
         logService
-                .read(STREAM, fromOffset, READ_RECORDS, READ_WAIT_MILLIS)
+                .read(STREAM, fromOffset, MAX_RECORDS_PER_READ, READ_WAIT_MILLIS)
                 .whenComplete((result, fault) ->
                         onRead(result != null ? result : new ReadResult.Unavailable("read: " + fault)));
     }
 
     private void onRead(ReadResult result) {
-        List<Runnable> calls = new ArrayList<>();
+        List<Runnable> callbacks = new ArrayList<>();
         boolean failed;
         synchronized (this) {
             failed = result instanceof ReadResult.Unavailable;
             if (result instanceof ReadResult.Records records) {
-                records.records().forEach(each -> calls.addAll(fold(each)));
+                records.records().forEach(each -> callbacks.addAll(applyRecord(each)));
             } else if (result instanceof ReadResult.Expired expired) {
                 // What expired is older than the key memory, which the settings keep below the log's retention.
                 nextOffset = expired.firstRetainedOffset();
             }
-            failedReads = failed ? failedReads + 1 : 0;
-            if (failedReads >= OUT_AFTER_FAILED_READS) {
-                calls.addAll(voidAll("the log is out"));
+            consecutiveFailedReads = failed ? consecutiveFailedReads + 1 : 0;
+            if (consecutiveFailedReads >= UNAVAILABLE_AFTER_FAILED_READS) {
+                callbacks.addAll(discardAll("the log is out"));
             }
         }
-        calls.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
         if (failed) {
-            time.schedule(READ_RETRY_MILLIS, this::readOn);
+            time.schedule(READ_RETRY_MILLIS, this::readNext);
         } else {
-            readOn();
+            readNext();
         }
     }
 
-    private List<Runnable> fold(LogRecord found) {
+    private List<Runnable> applyRecord(LogRecord found) {
         nextOffset = found.offset() + 1;
         List<Runnable> calls = new ArrayList<>();
         ClaimCodec.decode(found.payload()).ifPresent(batch -> {
-            boolean own = batch.writer().equals(writer);
+            boolean own = batch.writerId().equals(writerId);
             if (own) {
-                outbox.onDecided(batch);
+                outbox.onResolved(batch);
             }
             for (ClaimRecord entry : batch.records()) {
-                fold.apply(found.offset(), entry, time.monotonicMillis());
+                index.apply(found.offset(), entry, time.monotonicMillis());
                 if (own && entry instanceof ClaimRecord.Claimed claimed) {
                     onOwnClaim(claimed).ifPresent(calls::add);
                 }
@@ -368,25 +369,25 @@
 
     private Optional<Runnable> onOwnClaim(ClaimRecord.Claimed claimed) {
         long nowMillis = time.monotonicMillis();
-        Optional<ClaimFold.Entry> held = fold.find(claimed.keyHash(), nowMillis);
+        Optional<ClaimFold.Entry> held = index.find(claimed.keyHash(), nowMillis);
         boolean first = held.isPresent() && held.get().claim().claimId().equals(claimed.claimId());
-        PendingClaim waiting = pending.remove(claimed.claimId());
+        PendingClaim waiting = pendingClaims.remove(claimed.claimId());
         if (waiting == null) {
-            if (first && !openKeys.containsKey(claimed.claimId())) {
+            if (first && !activeClaimKeys.containsKey(claimed.claimId())) {
                 append(new ClaimRecord.Released(claimed.claimId(), claimed.keyHash()));
             }
             return Optional.empty();
         }
-        if (first && nowMillis > waiting.giveUpMillis()) {
+        if (first && nowMillis > waiting.deadlineMillis()) {
             // This process was paused while it waited. Others may have forgotten the key since: the claim is void.
             append(new ClaimRecord.Released(claimed.claimId(), claimed.keyHash()));
             return Optional.of(() -> waiting.outcome()
                     .accept(new ClaimOutcome.Unavailable("the claim was read back too late", RETRY_AFTER_MILLIS)));
         }
         if (first) {
-            openKeys.put(claimed.claimId(), claimed.keyHash());
-            if (openKeys.size() > MAX_OPEN_KEYS) {
-                openKeys.remove(openKeys.keySet().iterator().next());
+            activeClaimKeys.put(claimed.claimId(), claimed.keyHash());
+            if (activeClaimKeys.size() > MAX_ACTIVE_CLAIMS) {
+                activeClaimKeys.remove(activeClaimKeys.keySet().iterator().next());
             }
             return Optional.of(() -> waiting.outcome().accept(new ClaimOutcome.Won(claimed.claimId())));
         }
@@ -395,5 +396,5 @@
         return Optional.of(() -> waiting.outcome().accept(lost));
     }
 
-    private record PendingClaim(ClaimRequest claim, Consumer<ClaimOutcome> outcome, long giveUpMillis) {}
+    private record PendingClaim(ClaimRequest claim, Consumer<ClaimOutcome> outcome, long deadlineMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/request/PrefillStep.java
+++ b/src/main/java/org/dogwoodwinch/request/PrefillStep.java
@@ -14,19 +14,20 @@
 /** Computes a prompt on one engine and exports its KV cache for another; reports on the request's queue, once. */
 final class PrefillStep implements AnswerListener {
 
-    private final SerialQueue queue;
+    private final SerialExecutor executor;
     private final EngineClient engine;
     private final String attemptId;
-    private final Consumer<TargetReply<KvReference>> done;
+    private final Consumer<TargetReply<KvReference>> onDone;
     private AnswerStream stream;
     private Usage usage = new Usage(0, 0, 0);
-    private boolean over;
+    private boolean finished;
 
-    PrefillStep(SerialQueue queue, EngineClient engine, String attemptId, Consumer<TargetReply<KvReference>> done) {
-        this.queue = queue;
+    PrefillStep(
+            SerialExecutor executor, EngineClient engine, String attemptId, Consumer<TargetReply<KvReference>> onDone) {
+        this.executor = executor;
         this.engine = engine;
         this.attemptId = attemptId;
-        this.done = done;
+        this.onDone = onDone;
     }
 
     void start(GenerateCall call) {
@@ -34,7 +35,7 @@
     }
 
     void cancel() {
-        over = true;
+        finished = true;
         if (stream != null) {
             stream.cancel();
         }
@@ -51,32 +52,32 @@
 
     @Override
     public void onComplete(Usage cost, String _finishReason) {
-        queue.execute(() -> {
+        executor.execute(() -> {
             usage = cost;
-            export();
+            exportKvCache();
         });
     }
 
     @Override
     public void onFailure(TargetFailure failure) {
-        queue.execute(() -> finish(new TargetReply.Failure<>(failure)));
+        executor.execute(() -> finish(new TargetReply.Failure<>(failure)));
     }
 
-    private void export() {
-        if (over) {
+    private void exportKvCache() {
+        if (finished) {
             return;
         }
         engine.exportKv(attemptId)
-                .whenComplete((reply, fault) -> queue.execute(() -> finish(
+                .whenComplete((reply, fault) -> executor.execute(() -> finish(
                         reply != null
                                 ? reply
                                 : new TargetReply.Failure<>(new TargetFailure.Failed("export: " + fault)))));
     }
 
     private void finish(TargetReply<KvReference> reply) {
-        if (!over) {
-            over = true;
-            done.accept(reply);
+        if (!finished) {
+            finished = true;
+            onDone.accept(reply);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/QuarantineEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/request/QuarantineEndpoint.java
@@ -22,15 +22,15 @@
     private static final int HEX_RADIX = 16;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private final SuspectBook book;
+    private final SuspectBook suspects;
 
     /**
      * Creates the endpoint.
      *
-     * @param book the suspects, not null
+     * @param suspects the suspects, not null
      */
-    public QuarantineEndpoint(SuspectBook book) {
-        this.book = Objects.requireNonNull(book, "book");
+    public QuarantineEndpoint(SuspectBook suspects) {
+        this.suspects = Objects.requireNonNull(suspects, "book");
     }
 
     /**
@@ -43,7 +43,7 @@
      */
     public Answer handle(String method, String path, String body) {
         if (method.equals("GET") && path.equals(PREFIX)) {
-            return json(OK, book.list());
+            return json(OK, suspects.listQuarantined());
         }
         if (method.equals("POST") && path.equals(LIFT_PATH)) {
             return lift(body);
@@ -54,7 +54,7 @@
     private Answer lift(String body) {
         try {
             String fingerprint = MAPPER.readValue(body, LiftRequest.class).fingerprint();
-            boolean lifted = book.lift(Long.parseUnsignedLong(fingerprint, HEX_RADIX));
+            boolean lifted = suspects.lift(Long.parseUnsignedLong(fingerprint, HEX_RADIX));
             return json(OK, new LiftAnswer(fingerprint, lifted));
         } catch (JsonProcessingException | NumberFormatException _e) {
             return json(BAD_REQUEST, new Problem("fingerprint must be sixteen hexadecimal digits"));
--- a/src/main/java/org/dogwoodwinch/request/RunningAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
@@ -13,14 +13,14 @@
 
 /**
  * One attempt from its send to its end: a call of a plain service, a generation on one engine, or a prefill on one
- * engine and the generation on another. All methods run on the request's {@link SerialQueue}.
+ * engine and the generation on another. All methods run on the request's {@link SerialExecutor}.
  */
-final class RunningAttempt implements EngineAttempt.Events {
+final class RequestAttempt implements EngineAttempt.Listener {
 
     /** Hears how the attempt ended, once. */
-    interface Events {
+    interface Listener {
 
-        void onWhole(KeptAnswer kept, Usage usage);
+        void onCompleted(KeptAnswer kept, Usage usage);
 
         void onFailed(Target target, TargetFailure failure);
 
@@ -31,41 +31,41 @@
     private static final Usage NO_USAGE = new Usage(0, 0, 0);
 
     private final RequestContext context;
-    private final SerialQueue queue;
+    private final SerialExecutor executor;
     private final CallerRequest request;
-    private final CallerAnswer answer;
-    private final AttemptLedger ledger;
+    private final AnswerDelivery delivery;
+    private final AttemptTracker attempts;
     private final Route.Chosen route;
     private final RouteQuery query;
     private final String attemptId;
-    private final Events events;
-    private final AnswerKeeper keeper;
+    private final Listener listener;
+    private final AnswerBuffer answerBuffer;
 
     private Optional<EngineAttempt> engineAttempt = Optional.empty();
     private Optional<PrefillStep> prefill = Optional.empty();
-    private boolean reading = true;
+    private boolean readingEnabled = true;
     private boolean stopped;
 
-    RunningAttempt(
+    RequestAttempt(
             RequestContext context,
-            SerialQueue queue,
+            SerialExecutor executor,
             CallerRequest request,
-            CallerAnswer answer,
-            AttemptLedger ledger,
+            AnswerDelivery delivery,
+            AttemptTracker attempts,
             Route.Chosen route,
             RouteQuery query,
             String attemptId,
-            Events events) {
+            Listener listener) {
         this.context = context;
-        this.queue = queue;
+        this.executor = executor;
         this.request = request;
-        this.answer = answer;
-        this.ledger = ledger;
+        this.delivery = delivery;
+        this.attempts = attempts;
         this.route = route;
         this.query = query;
         this.attemptId = attemptId;
-        this.events = events;
-        this.keeper = new AnswerKeeper(context.settings().maxKeptAnswerBytes());
+        this.listener = listener;
+        this.answerBuffer = new AnswerBuffer(context.settings().maxKeptAnswerBytes());
     }
 
     void start() {
@@ -81,9 +81,9 @@
                         });
     }
 
-    void setReading(boolean wanted) {
-        reading = wanted;
-        engineAttempt.ifPresent(each -> each.setReading(wanted));
+    void setReadingEnabled(boolean enabled) {
+        readingEnabled = enabled;
+        engineAttempt.ifPresent(each -> each.setReadingEnabled(enabled));
     }
 
     /** Stops the attempt; a service's call that was sent cannot be taken back, and its answer is still recorded. */
@@ -111,16 +111,16 @@
     private void startPrefill(Work.Generate work, Target target) {
         String prefillId = attemptId + PREFILL_SUFFIX;
         PrefillStep step = new PrefillStep(
-                queue,
+                executor,
                 context.clients().engine(target),
                 prefillId,
                 reply -> onPrefilled(work, target, prefillId, reply));
         prefill = Optional.of(step);
-        ledger.onSend(prefillId);
+        attempts.onSend(prefillId);
         context.observer().onAttempt(request, prefillId, target);
         context.router().onSent(prefillId, target, query);
-        step.start(WorkCalls.prefill(
-                request, work, context.models().apply(request.entry()), prefillId, context.nowMillis()));
+        step.start(TargetCalls.prefill(
+                request, work, context.modelLookup().apply(request.entry()), prefillId, context.nowMillis()));
     }
 
     private void onPrefilled(Work.Generate work, Target target, String prefillId, TargetReply<KvReference> reply) {
@@ -135,7 +135,7 @@
                 failure -> {
                     context.router().onFailed(prefillId, failure);
                     if (failure.provesNotRun()) {
-                        ledger.onProvedNotRun(prefillId);
+                        attempts.onProvedNotRun(prefillId);
                     }
                     endFailed(target, failure, failure instanceof TargetFailure.Broken);
                     return null;
@@ -144,34 +144,34 @@
 
     private void generate(Work.Generate work, Optional<KvReference> reference) {
         Target target = route.target();
-        ledger.onSend(attemptId);
+        attempts.onSend(attemptId);
         context.observer().onAttempt(request, attemptId, target);
         StreamPointer pointer = new StreamPointer(target.name(), attemptId);
         EngineAttempt attempt = new EngineAttempt(
                 context,
-                queue,
+                executor,
                 request,
-                answer.progress(),
+                delivery.progress(),
                 target,
                 pointer,
                 false,
                 route.expectedFirstTokenMillis(),
                 this);
         engineAttempt = Optional.of(attempt);
-        attempt.setReading(reading);
-        String model = context.models().apply(request.entry());
-        attempt.start(WorkCalls.generate(request, work, model, attemptId, context.nowMillis(), reference), query);
+        attempt.setReadingEnabled(readingEnabled);
+        String model = context.modelLookup().apply(request.entry());
+        attempt.start(TargetCalls.generate(request, work, model, attemptId, context.nowMillis(), reference), query);
     }
 
     private void callService(Work.Service work) {
         Target target = route.target();
-        ledger.onSend(attemptId);
+        attempts.onSend(attemptId);
         context.observer().onAttempt(request, attemptId, target);
         context.router().onSent(attemptId, target, query);
         context.clients()
                 .service(target)
-                .call(WorkCalls.service(request, work, attemptId, context.nowMillis()))
-                .whenComplete((reply, fault) -> queue.execute(() -> onServiceReply(
+                .call(TargetCalls.service(request, work, attemptId, context.nowMillis()))
+                .whenComplete((reply, fault) -> executor.execute(() -> onServiceReply(
                         reply != null
                                 ? reply
                                 : new TargetReply.Failure<>(new TargetFailure.Broken("call: " + fault)))));
@@ -186,9 +186,9 @@
                     context.router().onCompleted(attemptId, NO_USAGE);
                     context.quarantine().onEnded(request.fingerprint(), attemptId, true);
                     if (!stopped) {
-                        answer.completeService(serviceAnswer);
+                        delivery.completeService(serviceAnswer);
                     }
-                    events.onWhole(keeper.keep(serviceAnswer), NO_USAGE);
+                    listener.onCompleted(answerBuffer.toStoredAnswer(serviceAnswer), NO_USAGE);
                     return null;
                 },
                 failure -> {
@@ -200,15 +200,15 @@
 
     @Override
     public void onDelivered(AnswerChunk chunk) {
-        keeper.add(chunk.text());
-        answer.deliver(chunk);
+        answerBuffer.append(chunk.text());
+        delivery.deliver(chunk);
     }
 
     @Override
-    public void onWhole(Usage usage, String finishReason) {
+    public void onCompleted(Usage usage, String finishReason) {
         context.quarantine().onEnded(request.fingerprint(), attemptId, true);
-        answer.complete(usage, finishReason);
-        events.onWhole(keeper.keep(usage, finishReason), usage);
+        delivery.complete(usage, finishReason);
+        listener.onCompleted(answerBuffer.toStoredAnswer(usage, finishReason), usage);
     }
 
     @Override
@@ -219,18 +219,18 @@
     @Override
     public void onDiverged() {
         context.quarantine().onEnded(request.fingerprint(), attemptId, false);
-        events.onDiverged();
+        listener.onDiverged();
     }
 
     private void endFailed(Target target, TargetFailure failure, boolean crashed) {
         if (failure.provesNotRun()) {
-            ledger.onProvedNotRun(attemptId);
+            attempts.onProvedNotRun(attemptId);
         }
         if (crashed) {
             context.quarantine().onCrash(request.fingerprint(), attemptId, target.name());
         } else {
             context.quarantine().onEnded(request.fingerprint(), attemptId, false);
         }
-        events.onFailed(target, failure);
+        listener.onFailed(target, failure);
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
@@ -31,11 +31,11 @@
      * @param admission grants permits, not null
      * @param router chooses targets, not null
      * @param clients reaches targets, not null
-     * @param targets finds a target by its name, for joining streams that claims name, not null
-     * @param models finds the model that engines know an entry by, not null
+     * @param targetLookup finds a target by its name, for joining streams that claims name, not null
+     * @param modelLookup finds the model that engines know an entry by, not null
      * @param time the clock and timers, not null
      * @param random the source of chance for attempt ids and back-off, not null; not used by others afterwards
-     * @param claims the claims of idempotency keys, not null
+     * @param claimStore the claims of idempotency keys, not null
      * @param quarantine the suspects, not null
      * @param observer hears what becomes of requests, not null
      * @param settings what may be set, not null
@@ -45,28 +45,28 @@
             Admission admission,
             Router router,
             TargetClients clients,
-            Function<String, Optional<Target>> targets,
-            Function<CatalogueEntry, String> models,
+            Function<String, Optional<Target>> targetLookup,
+            Function<CatalogueEntry, String> modelLookup,
             TimeSource time,
             UniformRandomProvider random,
-            ClaimLedger claims,
+            ClaimStore claimStore,
             Quarantine quarantine,
             RequestObserver observer,
             RequestSettings settings,
             RequestPolicies policies) {
         Objects.requireNonNull(settings, "settings");
         // Two starts of one instance must not use one attempt id twice: an engine would join their streams.
-        String start = Long.toUnsignedString(random.nextLong(), ID_RADIX);
+        String incarnationId = Long.toUnsignedString(random.nextLong(), ID_RADIX);
         AtomicLong counter = new AtomicLong();
         this.context = new RequestContext(
                 Objects.requireNonNull(admission, "admission"),
                 Objects.requireNonNull(router, "router"),
                 Objects.requireNonNull(clients, "clients"),
-                Objects.requireNonNull(targets, "targets"),
-                Objects.requireNonNull(models, "models"),
+                Objects.requireNonNull(targetLookup, "targets"),
+                Objects.requireNonNull(modelLookup, "models"),
                 Objects.requireNonNull(time, "time"),
-                () -> start + "-" + Long.toString(counter.incrementAndGet(), ID_RADIX),
-                Objects.requireNonNull(claims, "claims"),
+                () -> incarnationId + "-" + Long.toString(counter.incrementAndGet(), ID_RADIX),
+                Objects.requireNonNull(claimStore, "claims"),
                 Objects.requireNonNull(quarantine, "quarantine"),
                 Objects.requireNonNull(observer, "observer"),
                 settings,
@@ -78,7 +78,7 @@
     @Override
     public RequestHandle submit(CallerRequest request, AnswerSink sink) {
         inFlight.incrementAndGet();
-        RequestRun run = new RequestRun(context, request, sink, inFlight::decrementAndGet);
+        RequestExecution run = new RequestExecution(context, request, sink, inFlight::decrementAndGet);
         run.start();
         return run;
     }
--- a/src/main/java/org/dogwoodwinch/request/RequestRun.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestExecution.java
@@ -13,85 +13,85 @@
 /**
  * One request's life: admitted, routed, claimed where its key demands it, attempted, and ended with one answer.
  *
- * <p>All of it runs on one {@link SerialQueue}. {@link AttemptLedger} alone decides the word of a refusal.
+ * <p>All of it runs on one {@link SerialExecutor}. {@link AttemptTracker} alone decides the word of a refusal.
  */
-final class RequestRun implements RequestHandle {
+final class RequestExecution implements RequestHandle {
 
-    private static final Cancellable NOTHING = () -> {};
+    private static final Cancellable NO_TIMER = () -> {};
 
     private final RequestContext context;
     private final CallerRequest request;
-    private final CallerAnswer answer;
+    private final AnswerDelivery delivery;
     private final Runnable onEnd;
-    private final SerialQueue queue = new SerialQueue(this::onFault);
-    private final AttemptLedger ledger = new AttemptLedger();
+    private final SerialExecutor executor = new SerialExecutor(this::onFault);
+    private final AttemptTracker attempts = new AttemptTracker();
 
-    private Cancellable admissionWait = NOTHING;
-    private Cancellable deadline = NOTHING;
-    private Cancellable backoff = NOTHING;
+    private Cancellable admissionWait = NO_TIMER;
+    private Cancellable deadlineTimer = NO_TIMER;
+    private Cancellable backoffTimer = NO_TIMER;
     private Optional<Permit> permit = Optional.empty();
-    private Optional<RunningAttempt> running = Optional.empty();
+    private Optional<RequestAttempt> currentAttempt = Optional.empty();
     private Optional<ClaimJoin> join = Optional.empty();
     private String claimId = "";
     private long usedTokens = -1;
-    private boolean reading = true;
-    private boolean over;
+    private boolean readingEnabled = true;
+    private boolean finished;
 
-    RequestRun(RequestContext context, CallerRequest request, AnswerSink sink, Runnable onEnd) {
+    RequestExecution(RequestContext context, CallerRequest request, AnswerSink sink, Runnable onEnd) {
         this.context = context;
         this.request = request;
-        this.answer = new CallerAnswer(context, request, sink);
+        this.delivery = new AnswerDelivery(context, request, sink);
         this.onEnd = onEnd;
     }
 
     void start() {
-        queue.execute(this::begin);
+        executor.execute(this::admit);
     }
 
     @Override
     public void pauseReading() {
-        queue.execute(() -> setReading(false));
+        executor.execute(() -> setReadingEnabled(false));
     }
 
     @Override
     public void resumeReading() {
-        queue.execute(() -> setReading(true));
+        executor.execute(() -> setReadingEnabled(true));
     }
 
     @Override
     public void cancel() {
-        queue.execute(() -> {
-            if (!over) {
+        executor.execute(() -> {
+            if (!finished) {
                 context.observer().onCancelled(request);
                 stopAttempts();
-                end();
+                finish();
             }
         });
     }
 
-    private void setReading(boolean wanted) {
-        reading = wanted;
-        running.ifPresent(attempt -> attempt.setReading(wanted));
-        join.ifPresent(each -> each.setReading(wanted));
+    private void setReadingEnabled(boolean enabled) {
+        readingEnabled = enabled;
+        currentAttempt.ifPresent(attempt -> attempt.setReadingEnabled(enabled));
+        join.ifPresent(each -> each.setReadingEnabled(enabled));
     }
 
     /** A broken invariant ends this request with an answer; the others go on. */
     private void onFault(RuntimeException fault) {
         context.observer().onFault(request, fault);
-        if (!over) {
+        if (!finished) {
             stopAttempts();
             giveUp(RefusalReason.INTERNAL, "an internal fault", 0);
         }
     }
 
-    private void begin() {
+    private void admit() {
         if (context.quarantine().standing(request.fingerprint()) == Quarantine.Standing.QUARANTINED) {
             refuseQuarantined();
             return;
         }
         long remainingMillis = request.remainingMillis(context.nowMillis());
-        deadline = context.time().schedule(remainingMillis, () -> queue.execute(this::onDeadline));
-        admissionWait = context.admission().admit(request, decision -> queue.execute(() -> onAdmission(decision)));
+        deadlineTimer = context.time().schedule(remainingMillis, () -> executor.execute(this::onDeadline));
+        admissionWait = context.admission().admit(request, decision -> executor.execute(() -> onAdmission(decision)));
     }
 
     private void onAdmission(AdmissionDecision decision) {
@@ -107,7 +107,7 @@
     }
 
     private void onGranted(Permit granted) {
-        if (over) {
+        if (finished) {
             // The deadline passed while the grant was on its way: nobody else would give the permit back.
             granted.release(0);
             return;
@@ -118,51 +118,51 @@
     }
 
     private void routeNext() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (context.quarantine().standing(request.fingerprint()) == Quarantine.Standing.QUARANTINED) {
             refuseQuarantined();
             return;
         }
-        RouteQuery asked = null;
+        RouteQuery lastQuery = null;
         Route route = null;
         for (RouteQuery query :
-                RouteQueries.of(request, context.quarantine(), ledger.failedTargets(), context.nowMillis())) {
+                RouteQueries.of(request, context.quarantine(), attempts.failedTargets(), context.nowMillis())) {
             if (!(route instanceof Route.Chosen)) {
-                asked = query;
+                lastQuery = query;
                 route = context.router().route(query);
             }
         }
-        RouteQuery routed = asked;
+        RouteQuery finalQuery = lastQuery;
         route.match(
                 chosen -> {
-                    onRoute(chosen, routed);
+                    onRoute(chosen, finalQuery);
                     return null;
                 },
-                none -> {
-                    onNoRoute(none);
+                noRoute -> {
+                    onNoRoute(noRoute);
                     return null;
                 });
     }
 
-    private void onNoRoute(Route.None none) {
-        RefusalReason reason = ledger.attempts() == 0 ? RefusalReason.NO_TARGET : RefusalReason.TARGET_FAILED;
-        giveUp(reason, none.detail(), none.retryAfterMillis());
+    private void onNoRoute(Route.None noRoute) {
+        RefusalReason reason = attempts.attempts() == 0 ? RefusalReason.NO_TARGET : RefusalReason.TARGET_FAILED;
+        giveUp(reason, noRoute.detail(), noRoute.retryAfterMillis());
     }
 
     private void onRoute(Route.Chosen chosen, RouteQuery query) {
         String attemptId = context.attemptIds().get();
         StreamPointer pointer = new StreamPointer(chosen.target().name(), attemptId);
         if (!claimId.isEmpty()) {
-            context.claims().moved(claimId, pointer);
+            context.claimStore().recordMove(claimId, pointer);
         }
         if (!needsClaim() || !claimId.isEmpty()) {
             send(chosen, query, attemptId);
             return;
         }
         ClaimRequest claim = ClaimRequest.of(request, pointer);
-        context.claims().claim(claim, outcome -> queue.execute(() -> onClaim(outcome, claim, chosen, query)));
+        context.claimStore().claim(claim, outcome -> executor.execute(() -> onClaim(outcome, claim, chosen, query)));
         if (!context.policies().awaitsClaim()) {
             send(chosen, query, attemptId);
         }
@@ -176,10 +176,10 @@
         if (!context.policies().awaitsClaim()) {
             return;
         }
-        if (over) {
+        if (finished) {
             // It was given up while the claim was on its way; nothing was sent, so a resend may run.
             if (outcome instanceof ClaimOutcome.Won won) {
-                context.claims().released(won.claimId());
+                context.claimStore().release(won.claimId());
             }
             return;
         }
@@ -207,28 +207,28 @@
 
     private void startJoin(ClaimRequest claim, HeldClaim held) {
         context.observer().onJoined(request);
-        ClaimJoin next = new ClaimJoin(context, queue, request, answer, claim, new ClaimJoin.Events() {
+        ClaimJoin next = new ClaimJoin(context, executor, request, delivery, claim, new ClaimJoin.Listener() {
             @Override
-            public void onJoinedWhole(Usage usage) {
+            public void onAnswered(Usage usage) {
                 usedTokens = 0;
                 context.observer().onCompleted(request, usage);
-                end();
+                finish();
             }
 
             @Override
-            public void onKeyFree() {
+            public void onKeyReleased() {
                 join = Optional.empty();
                 routeNext();
             }
 
             @Override
-            public void onLost() {
+            public void onAnswerUnavailable() {
                 refuse(Refusal.mayHaveRun(
                         RefusalReason.MAY_HAVE_RUN, "a request with this key was started and its answer is gone"));
             }
         });
         join = Optional.of(next);
-        next.setReading(reading);
+        next.setReadingEnabled(readingEnabled);
         next.start(held);
     }
 
@@ -237,23 +237,23 @@
             context.quarantine()
                     .onTrial(request.fingerprint(), attemptId, chosen.target().name());
         }
-        RunningAttempt next =
-                new RunningAttempt(context, queue, request, answer, ledger, chosen, query, attemptId, attemptEvents());
-        running = Optional.of(next);
-        next.setReading(reading);
+        RequestAttempt next = new RequestAttempt(
+                context, executor, request, delivery, attempts, chosen, query, attemptId, attemptListener());
+        currentAttempt = Optional.of(next);
+        next.setReadingEnabled(readingEnabled);
         next.start();
     }
 
-    private RunningAttempt.Events attemptEvents() {
-        return new RunningAttempt.Events() {
+    private RequestAttempt.Listener attemptListener() {
+        return new RequestAttempt.Listener() {
             @Override
-            public void onWhole(KeptAnswer kept, Usage usage) {
-                RequestRun.this.onWhole(kept, usage);
+            public void onCompleted(KeptAnswer stored, Usage usage) {
+                RequestExecution.this.onCompleted(stored, usage);
             }
 
             @Override
             public void onFailed(Target target, TargetFailure failure) {
-                RequestRun.this.onFailed(target, failure);
+                RequestExecution.this.onFailed(target, failure);
             }
 
             @Override
@@ -263,31 +263,31 @@
         };
     }
 
-    private void onWhole(KeptAnswer kept, Usage usage) {
+    private void onCompleted(KeptAnswer stored, Usage usage) {
         if (!claimId.isEmpty()) {
-            context.claims().completed(claimId, kept);
+            context.claimStore().completed(claimId, stored);
         }
-        if (over) {
+        if (finished) {
             return;
         }
         usedTokens = usage.promptTokens() + usage.completionTokens();
         context.observer().onCompleted(request, usage);
-        end();
+        finish();
     }
 
     private void onFailed(Target target, TargetFailure failure) {
-        ledger.onTargetFailed(target.name());
-        if (over) {
+        attempts.onTargetFailed(target.name());
+        if (finished) {
             settleClaim();
             return;
         }
-        running = Optional.empty();
+        currentAttempt = Optional.empty();
         context.policies()
                 .retry()
                 .decide(request.entry().repeatable(), failure)
                 .match(
                         retry -> {
-                            retryLater(retry.reason(), failure);
+                            scheduleRetry(retry.reason(), failure);
                             return null;
                         },
                         stop -> {
@@ -296,8 +296,8 @@
                         });
     }
 
-    private void retryLater(RetryReason reason, TargetFailure failure) {
-        if (ledger.attempts() >= context.settings().maxAttempts()) {
+    private void scheduleRetry(RetryReason reason, TargetFailure failure) {
+        if (attempts.attempts() >= context.settings().maxAttempts()) {
             giveUp(
                     RefusalReason.TARGET_FAILED,
                     failure.detail(),
@@ -311,18 +311,18 @@
                     context.settings().backoffMaxMillis());
             return;
         }
-        long delayMillis = context.backoff().delayMillis(ledger.attempts());
+        long delayMillis = context.backoff().delayMillis(attempts.attempts());
         if (delayMillis >= request.remainingMillis(context.nowMillis())) {
             giveUp(RefusalReason.DEADLINE_UNMEETABLE, failure.detail(), 0);
             return;
         }
         context.observer().onRetry(request, reason);
-        answer.progress().startAgain();
-        backoff = context.time().schedule(delayMillis, () -> queue.execute(this::routeNext));
+        delivery.progress().restart();
+        backoffTimer = context.time().schedule(delayMillis, () -> executor.execute(this::routeNext));
     }
 
     private void onDeadline() {
-        if (over) {
+        if (finished) {
             return;
         }
         stopAttempts();
@@ -334,31 +334,31 @@
     }
 
     private void giveUp(RefusalReason reason, String detail, long retryAfterMillis) {
-        boolean cut = answer.progress().delivered() > 0;
-        RunState runState = context.policies().runState().apply(ledger);
+        boolean cut = delivery.progress().deliveredTokens() > 0;
+        RunState runState = context.policies().runState().apply(attempts);
         refuse(new Refusal(cut ? RefusalReason.ANSWER_CUT : reason, runState, detail, "", retryAfterMillis));
     }
 
     private void refuse(Refusal refusal) {
-        if (over) {
+        if (finished) {
             return;
         }
         context.observer().onRefused(request, refusal);
-        answer.refuse(refusal);
-        end();
+        delivery.refuse(refusal);
+        finish();
     }
 
     /** A claimed stream runs on, so that a resend of its key can join it; any other is cancelled. */
     private void stopAttempts() {
-        running.ifPresent(attempt -> attempt.stop(claimId.isEmpty()));
+        currentAttempt.ifPresent(attempt -> attempt.stop(claimId.isEmpty()));
         join.ifPresent(ClaimJoin::stop);
     }
 
-    private void end() {
-        over = true;
+    private void finish() {
+        finished = true;
         admissionWait.cancel();
-        deadline.cancel();
-        backoff.cancel();
+        deadlineTimer.cancel();
+        backoffTimer.cancel();
         permit.ifPresent(each -> each.release(usedTokens));
         settleClaim();
         onEnd.run();
@@ -369,10 +369,10 @@
         if (claimId.isEmpty()) {
             return;
         }
-        if (ledger.runState() == RunState.NOT_RUN) {
-            context.claims().released(claimId);
+        if (attempts.runState() == RunState.NOT_RUN) {
+            context.claimStore().release(claimId);
         } else if (request.work() instanceof Work.Generate) {
-            context.claims().abandoned(claimId);
+            context.claimStore().abandon(claimId);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestPolicies.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestPolicies.java
@@ -9,20 +9,23 @@
  *
  * @param retry whether a failed attempt may be followed by another, not null
  * @param runState the word of a refusal, not null
- * @param matcher whether a chunk belongs to an attempt, not null
+ * @param chunkMatcher whether a chunk belongs to an attempt, not null
  * @param awaitsClaim whether a claim is read back before the request is sent
  */
 public record RequestPolicies(
-        RetryPolicy retry, Function<AttemptLedger, RunState> runState, AnswerMatcher matcher, boolean awaitsClaim) {
+        RetryPolicy retry,
+        Function<AttemptTracker, RunState> runState,
+        ChunkMatcher chunkMatcher,
+        boolean awaitsClaim) {
 
     /** The decisions in use. */
     public static final RequestPolicies STANDARD =
-            new RequestPolicies(RetryPolicy.STANDARD, AttemptLedger::runState, AnswerMatcher.BY_ATTEMPT_ID, true);
+            new RequestPolicies(RetryPolicy.STANDARD, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, true);
 
     /** Checks the parts. */
     public RequestPolicies {
         Objects.requireNonNull(retry, "retry");
         Objects.requireNonNull(runState, "runState");
-        Objects.requireNonNull(matcher, "matcher");
+        Objects.requireNonNull(chunkMatcher, "chunkMatcher");
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestSettings.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestSettings.java
@@ -33,7 +33,7 @@
         long quarantineMillis) {
 
     /** The part of the log's retention that must be left over when a key is forgotten. */
-    private static final double RETENTION_SHARE = 0.8;
+    private static final double MAX_RETENTION_FRACTION = 0.8;
 
     /** What holds where the settings say nothing. */
     public static final RequestSettings DEFAULT = new RequestSettings(
@@ -56,7 +56,7 @@
         require(stallMillis > 0 && claimMillis > 0, "stallMillis and claimMillis must be more than zero");
         require(keyMemoryMillis > 0, "keyMemoryMillis must be more than zero");
         require(
-                keyMemoryMillis <= logRetentionMillis * RETENTION_SHARE,
+                keyMemoryMillis <= logRetentionMillis * MAX_RETENTION_FRACTION,
                 "keyMemoryMillis must be at most four fifths of logRetentionMillis");
         require(maxKeptAnswerBytes >= 0, "maxKeptAnswerBytes must not be negative");
         require(joinWaitMillis >= 0, "joinWaitMillis must not be negative");
--- a/src/main/java/org/dogwoodwinch/request/RouteQueries.java
+++ b/src/main/java/org/dogwoodwinch/request/RouteQueries.java
@@ -22,21 +22,21 @@
     static List<RouteQuery> of(
             CallerRequest request, Quarantine quarantine, Set<String> failedTargets, long nowMillis) {
         Quarantine.Standing standing = quarantine.standing(request.fingerprint());
-        Set<String> trials = quarantine.trialTargets();
-        Set<String> besides = new HashSet<>(failedTargets);
-        besides.addAll(trials);
+        Set<String> trialTargets = quarantine.trialTargets();
+        Set<String> excluded = new HashSet<>(failedTargets);
+        excluded.addAll(trialTargets);
         List<RouteQuery> queries = new ArrayList<>();
-        boolean repeated = standing == Quarantine.Standing.REPEATED_SUSPECT;
+        boolean repeatedSuspect = standing == Quarantine.Standing.REPEATED_SUSPECT;
         // One trial at a time of those that saw one crash, or trials would take all targets of a small group.
-        if (repeated || (standing == Quarantine.Standing.SUSPECT && trials.isEmpty())) {
-            queries.add(WorkCalls.routeQuery(request, nowMillis, besides, true));
+        if (repeatedSuspect || (standing == Quarantine.Standing.SUSPECT && trialTargets.isEmpty())) {
+            queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, true));
         }
-        if (!repeated) {
-            queries.add(WorkCalls.routeQuery(request, nowMillis, besides, false));
+        if (!repeatedSuspect) {
+            queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, false));
         }
-        if (!repeated && request.entry().workClass() != WorkClass.URGENT) {
+        if (!repeatedSuspect && request.entry().workClass() != WorkClass.URGENT) {
             // Work that can wait may share a target with a suspect where no other is left; urgent work never does.
-            queries.add(WorkCalls.routeQuery(request, nowMillis, failedTargets, false));
+            queries.add(TargetCalls.routeQuery(request, nowMillis, failedTargets, false));
         }
         return queries;
     }
--- a/src/main/java/org/dogwoodwinch/request/SerialQueue.java
+++ b/src/main/java/org/dogwoodwinch/request/SerialExecutor.java
@@ -12,7 +12,7 @@
  * during callbacks, two requests could wait for each other; here no lock is held while a task runs, and a task that
  * brings another one is finished first.
  */
-final class SerialQueue {
+final class SerialExecutor {
 
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final AtomicInteger pending = new AtomicInteger();
@@ -24,7 +24,7 @@
      * @param onFault hears what a task throws; the tasks after it still run, or one fault would leave its caller without
      *     an end for good
      */
-    SerialQueue(Consumer<RuntimeException> onFault) {
+    SerialExecutor(Consumer<RuntimeException> onFault) {
         this.onFault = onFault;
     }
 
@@ -34,11 +34,11 @@
             return;
         }
         do {
-            runGuarded(tasks.remove());
+            runCatchingFaults(tasks.remove());
         } while (pending.decrementAndGet() != 0);
     }
 
-    private void runGuarded(Runnable task) {
+    private void runCatchingFaults(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/src/main/java/org/dogwoodwinch/request/ClaimedAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
@@ -16,7 +16,7 @@
  * @param second cached prompt tokens, or zero
  * @param third generated tokens, or zero
  */
-record ClaimedAnswer(
+record StoredAnswerRecord(
         @JsonProperty("k") String kind,
         @JsonProperty("x") String text,
         @JsonProperty("l") String label,
@@ -28,26 +28,26 @@
     private static final String SERVICE = "s";
     private static final String TOO_LONG = "l";
 
-    static ClaimedAnswer of(KeptAnswer answer) {
+    static StoredAnswerRecord of(KeptAnswer answer) {
         return answer.match(
-                generated -> new ClaimedAnswer(
+                generated -> new StoredAnswerRecord(
                         GENERATED,
                         generated.text(),
                         generated.finishReason(),
                         generated.usage().promptTokens(),
                         generated.usage().cachedPromptTokens(),
                         generated.usage().completionTokens()),
-                service -> new ClaimedAnswer(
+                service -> new StoredAnswerRecord(
                         SERVICE,
                         Base64.getEncoder().encodeToString(service.body().toByteArray()),
                         service.contentType(),
                         service.status(),
                         0,
                         0),
-                tooLong -> new ClaimedAnswer(TOO_LONG, "", "", tooLong.answerBytes(), 0, 0));
+                tooLong -> new StoredAnswerRecord(TOO_LONG, "", "", tooLong.answerBytes(), 0, 0));
     }
 
-    KeptAnswer toKept() {
+    KeptAnswer toStoredAnswer() {
         if (kind.equals(GENERATED)) {
             return new KeptAnswer.Generated(text, new Usage(first, second, third), label);
         }
--- a/src/main/java/org/dogwoodwinch/request/SuspectBook.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspectBook.java
@@ -22,14 +22,14 @@
 public final class SuspectBook implements Quarantine {
 
     private static final int MAX_SUSPECTS = 10_000;
-    private static final long TRIAL_MILLIS = 60_000;
+    private static final long MAX_TRIAL_MILLIS = 60_000;
 
     private final TimeSource time;
     private final long suspectMillis;
     private final long quarantineMillis;
-    private final Consumer<SuspicionNotice> publisher;
+    private final Consumer<SuspicionNotice> noticePublisher;
     private final Map<Long, Suspect> suspects = new LinkedHashMap<>();
-    private final Map<Long, Long> liftedMillis = new LinkedHashMap<>();
+    private final Map<Long, Long> liftedAtMillis = new LinkedHashMap<>();
     private final Map<String, Trial> ownTrials = new HashMap<>();
     private final Map<Long, Trial> peerTrials = new HashMap<>();
 
@@ -39,14 +39,14 @@
      * @param time the clock, not null
      * @param suspectMillis how long a suspicion lasts, in milliseconds
      * @param quarantineMillis how long a quarantine lasts, in milliseconds
-     * @param publisher tells the other instances, not null; called under this object's lock, so it must not call back
+     * @param noticePublisher tells the other instances, not null; called under this object's lock, so it must not call back
      */
     public SuspectBook(
-            TimeSource time, long suspectMillis, long quarantineMillis, Consumer<SuspicionNotice> publisher) {
+            TimeSource time, long suspectMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
         this.time = Objects.requireNonNull(time, "time");
         this.suspectMillis = suspectMillis;
         this.quarantineMillis = quarantineMillis;
-        this.publisher = Objects.requireNonNull(publisher, "publisher");
+        this.noticePublisher = Objects.requireNonNull(noticePublisher, "publisher");
     }
 
     @Override
@@ -74,30 +74,30 @@
 
     @Override
     public synchronized void onTrial(long fingerprint, String attemptId, String target) {
-        ownTrials.put(attemptId, new Trial(fingerprint, target, time.monotonicMillis() + TRIAL_MILLIS));
-        publisher.accept(new SuspicionNotice(SuspicionNotice.Kind.TRIAL, fingerprint, target, TRIAL_MILLIS));
+        ownTrials.put(attemptId, new Trial(fingerprint, target, time.monotonicMillis() + MAX_TRIAL_MILLIS));
+        noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.TRIAL, fingerprint, target, MAX_TRIAL_MILLIS));
     }
 
     @Override
     public synchronized void onCrash(long fingerprint, String attemptId, String target) {
         Trial trial = ownTrials.remove(attemptId);
-        boolean decisive = trial != null && !sharedWithOther(trial);
-        Suspect before = suspects.get(fingerprint);
-        int crashes = before == null ? 1 : before.crashes() + 1;
-        long forMillis = decisive ? quarantineMillis : suspectMillis;
-        put(fingerprint, new Suspect(crashes, decisive, time.monotonicMillis() + forMillis));
-        SuspicionNotice.Kind kind = decisive ? SuspicionNotice.Kind.QUARANTINED : SuspicionNotice.Kind.SUSPECT;
-        publisher.accept(new SuspicionNotice(kind, fingerprint, target, forMillis));
-        endTrial(trial);
+        boolean conclusive = trial != null && !ranBesideOtherSuspect(trial);
+        Suspect previous = suspects.get(fingerprint);
+        int crashes = previous == null ? 1 : previous.crashes() + 1;
+        long durationMillis = conclusive ? quarantineMillis : suspectMillis;
+        put(fingerprint, new Suspect(crashes, conclusive, time.monotonicMillis() + durationMillis));
+        SuspicionNotice.Kind kind = conclusive ? SuspicionNotice.Kind.QUARANTINED : SuspicionNotice.Kind.SUSPECT;
+        noticePublisher.accept(new SuspicionNotice(kind, fingerprint, target, durationMillis));
+        publishTrialEnd(trial);
     }
 
     @Override
     public synchronized void onEnded(long fingerprint, String attemptId, boolean completed) {
-        endTrial(ownTrials.remove(attemptId));
+        publishTrialEnd(ownTrials.remove(attemptId));
         Suspect suspect = suspects.get(fingerprint);
         if (completed && suspect != null && !suspect.quarantined()) {
             suspects.remove(fingerprint);
-            publisher.accept(new SuspicionNotice(SuspicionNotice.Kind.CLEARED, fingerprint, "", suspectMillis));
+            noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.CLEARED, fingerprint, "", suspectMillis));
         }
     }
 
@@ -108,12 +108,12 @@
      * @param ageMillis how old the notice is, in milliseconds
      */
     public synchronized void onPeerNotice(SuspicionNotice notice, long ageMillis) {
-        long toldMillis = time.monotonicMillis() - ageMillis;
-        long untilMillis = toldMillis + notice.remainingMillis();
+        long sentMillis = time.monotonicMillis() - ageMillis;
+        long untilMillis = sentMillis + notice.remainingMillis();
         long fingerprint = notice.fingerprint();
         switch (notice.kind()) {
-            case SUSPECT -> heardOf(fingerprint, toldMillis, untilMillis, false);
-            case QUARANTINED -> heardOf(fingerprint, toldMillis, untilMillis, true);
+            case SUSPECT -> applyPeerSuspicion(fingerprint, sentMillis, untilMillis, false);
+            case QUARANTINED -> applyPeerSuspicion(fingerprint, sentMillis, untilMillis, true);
             case TRIAL -> peerTrials.put(fingerprint, new Trial(fingerprint, notice.target(), untilMillis));
             case TRIAL_ENDED -> peerTrials.remove(fingerprint);
             case CLEARED -> {
@@ -123,7 +123,7 @@
             }
             case LIFTED -> {
                 suspects.remove(fingerprint);
-                rememberLifted(fingerprint, toldMillis);
+                recordLift(fingerprint, sentMillis);
             }
         }
     }
@@ -133,7 +133,7 @@
      *
      * @return the list, oldest first
      */
-    public synchronized List<QuarantinedRequest> list() {
+    public synchronized List<QuarantinedRequest> listQuarantined() {
         long nowMillis = time.monotonicMillis();
         return suspects.entrySet().stream()
                 .filter(each -> each.getValue().quarantined() && each.getValue().untilMillis() > nowMillis)
@@ -153,8 +153,8 @@
     public synchronized boolean lift(long fingerprint) {
         boolean wasQuarantined = standing(fingerprint) == Standing.QUARANTINED;
         suspects.remove(fingerprint);
-        rememberLifted(fingerprint, time.monotonicMillis());
-        publisher.accept(new SuspicionNotice(SuspicionNotice.Kind.LIFTED, fingerprint, "", quarantineMillis));
+        recordLift(fingerprint, time.monotonicMillis());
+        noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.LIFTED, fingerprint, "", quarantineMillis));
         return wasQuarantined;
     }
 
@@ -169,34 +169,34 @@
     }
 
     /** An older word of another instance must not bring back what an operator lifted since. */
-    private void heardOf(long fingerprint, long toldMillis, long untilMillis, boolean quarantined) {
-        Long lifted = liftedMillis.get(fingerprint);
-        if (lifted != null && toldMillis <= lifted) {
+    private void applyPeerSuspicion(long fingerprint, long sentMillis, long untilMillis, boolean quarantined) {
+        Long lifted = liftedAtMillis.get(fingerprint);
+        if (lifted != null && sentMillis <= lifted) {
             return;
         }
-        Suspect before = suspects.get(fingerprint);
-        if (before != null && before.quarantined() && !quarantined) {
+        Suspect previous = suspects.get(fingerprint);
+        if (previous != null && previous.quarantined() && !quarantined) {
             return;
         }
-        int crashes = before == null ? 1 : before.crashes() + 1;
+        int crashes = previous == null ? 1 : previous.crashes() + 1;
         put(fingerprint, new Suspect(crashes, quarantined, untilMillis));
     }
 
-    private boolean sharedWithOther(Trial trial) {
+    private boolean ranBesideOtherSuspect(Trial trial) {
         long nowMillis = time.monotonicMillis();
-        return ownTrials.values().stream().anyMatch(other -> isOther(trial, other, nowMillis))
-                || peerTrials.values().stream().anyMatch(other -> isOther(trial, other, nowMillis));
+        return ownTrials.values().stream().anyMatch(other -> isOtherOnSameTarget(trial, other, nowMillis))
+                || peerTrials.values().stream().anyMatch(other -> isOtherOnSameTarget(trial, other, nowMillis));
     }
 
-    private static boolean isOther(Trial trial, Trial other, long nowMillis) {
+    private static boolean isOtherOnSameTarget(Trial trial, Trial other, long nowMillis) {
         return other.target().equals(trial.target())
                 && other.fingerprint() != trial.fingerprint()
                 && other.untilMillis() > nowMillis;
     }
 
-    private void endTrial(Trial trial) {
+    private void publishTrialEnd(Trial trial) {
         if (trial != null) {
-            publisher.accept(
+            noticePublisher.accept(
                     new SuspicionNotice(SuspicionNotice.Kind.TRIAL_ENDED, trial.fingerprint(), trial.target(), 0));
         }
     }
@@ -209,10 +209,10 @@
         }
     }
 
-    private void rememberLifted(long fingerprint, long atMillis) {
-        liftedMillis.put(fingerprint, atMillis);
-        if (liftedMillis.size() > MAX_SUSPECTS) {
-            liftedMillis.remove(liftedMillis.keySet().iterator().next());
+    private void recordLift(long fingerprint, long atMillis) {
+        liftedAtMillis.put(fingerprint, atMillis);
+        if (liftedAtMillis.size() > MAX_SUSPECTS) {
+            liftedAtMillis.remove(liftedAtMillis.keySet().iterator().next());
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/request/WorkCalls.java
+++ b/src/main/java/org/dogwoodwinch/request/TargetCalls.java
@@ -9,13 +9,13 @@
 import org.dogwoodwinch.target.ServiceCall;
 
 /** Turns a caller's request into what routers and targets are asked. */
-final class WorkCalls {
+final class TargetCalls {
 
     private static final int URGENT_PRIORITY = 3;
     private static final int STANDARD_PRIORITY = 2;
     private static final int LONG_READ_PRIORITY = 1;
 
-    private WorkCalls() {}
+    private TargetCalls() {}
 
     static RouteQuery routeQuery(CallerRequest request, long nowMillis, Set<String> excluded, boolean alone) {
         String group = request.entry().group();
--- a/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
+++ b/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** Claims where there is no log: each is refused as not run, which is safe and truthful. */
-public final class UnreachableClaims implements ClaimLedger {
+public final class UnreachableClaims implements ClaimStore {
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
@@ -17,24 +17,24 @@
     }
 
     @Override
-    public Optional<HeldClaim> held(ClaimRequest _claim) {
+    public Optional<HeldClaim> findHolder(ClaimRequest _claim) {
         return Optional.empty();
     }
 
     @Override
-    public void moved(String _claimId, StreamPointer _pointer) {}
+    public void recordMove(String _claimId, StreamPointer _pointer) {}
 
     @Override
     public void completed(String _claimId, KeptAnswer _answer) {}
 
     @Override
-    public void abandoned(String _claimId) {}
+    public void abandon(String _claimId) {}
 
     @Override
-    public void released(String _claimId) {}
+    public void release(String _claimId) {}
 
     @Override
-    public void read(HeldClaim _claim, Consumer<Optional<KeptAnswer>> answer) {
+    public void readAnswer(HeldClaim _claim, Consumer<Optional<KeptAnswer>> answer) {
         answer.accept(Optional.empty());
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/AnswerProgressTest.java
+++ b/src/test/java/org/dogwoodwinch/request/AnswerProgressTest.java
@@ -10,7 +10,7 @@
     private final AnswerProgress progress = new AnswerProgress();
 
     @Test
-    void skipsWhatItHasAndNoticesGaps() {
+    void skipsDeliveredTokensAndReportsGaps() {
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(0, "a")));
         assertEquals(AnswerProgress.Verdict.SKIP, progress.accept(chunk(0, "a")));
         assertEquals(AnswerProgress.Verdict.GAP, progress.accept(chunk(2, "c")));
@@ -19,24 +19,24 @@
 
     /** A second run begins with the same text in other pieces: the caller gets only the rest. */
     @Test
-    void withholdsAnEqualPrefixWhateverItsPieces() {
+    void withholdsTheDeliveredPrefixWhateverItsChunks() {
         progress.accept(chunk(0, "ab"));
         progress.accept(chunk(1, "cd"));
-        progress.startAgain();
+        progress.restart();
         assertEquals(AnswerProgress.Verdict.SKIP, progress.accept(chunk(0, "abc")));
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(1, "def")));
-        assertEquals("ef", progress.pending().text());
+        assertEquals("ef", progress.pendingChunk().text());
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(2, "g")));
-        progress.startAgain();
+        progress.restart();
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(0, "abcdefgh")));
-        assertEquals("h", progress.pending().text());
+        assertEquals("h", progress.pendingChunk().text());
     }
 
     /** A second run begins with another text: sewn together, the answer would be nobody's. */
     @Test
-    void noticesADifferentPrefix() {
+    void reportsDivergenceWhenTheNewRunBeginsDifferently() {
         progress.accept(chunk(0, "ab"));
-        progress.startAgain();
+        progress.restart();
         assertEquals(AnswerProgress.Verdict.DIVERGED, progress.accept(chunk(0, "ax")));
     }
 
--- a/src/test/java/org/dogwoodwinch/request/FaultyLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
@@ -23,20 +23,21 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** One instance's connections to one engine, which break, lose, delay, double and cross what they carry. */
-final class FaultyLink implements EngineClient {
+final class FaultyEngineLink implements EngineClient {
 
-    private final VirtualTimeSource world;
+    private final VirtualTimeSource worldTime;
     private final ProcessClock process;
     private final StandInEngine engine;
     private final UniformRandomProvider random;
     private final List<Connection> open = new ArrayList<>();
     private int sendsToLose;
     private int answersToLose;
-    private boolean cut;
-    private boolean messy;
+    private boolean disconnected;
+    private boolean unreliable;
 
-    FaultyLink(VirtualTimeSource world, ProcessClock process, StandInEngine engine, UniformRandomProvider random) {
-        this.world = world;
+    FaultyEngineLink(
+            VirtualTimeSource worldTime, ProcessClock process, StandInEngine engine, UniformRandomProvider random) {
+        this.worldTime = worldTime;
         this.process = process;
         this.engine = engine;
         this.random = random;
@@ -50,19 +51,19 @@
         answersToLose = count;
     }
 
-    void setMessy(boolean wanted) {
-        messy = wanted;
+    void setUnreliable(boolean enabled) {
+        unreliable = enabled;
     }
 
-    void setCut(boolean wanted) {
-        cut = wanted;
-        if (wanted) {
-            breakAll();
+    void setDisconnected(boolean enabled) {
+        disconnected = enabled;
+        if (enabled) {
+            breakConnections();
         }
     }
 
     /** The connections break; the engine runs on. */
-    void breakAll() {
+    void breakConnections() {
         List<Connection> broken = new ArrayList<>(open);
         open.clear();
         for (Connection connection : broken) {
@@ -74,7 +75,7 @@
     @Override
     public AnswerStream generate(GenerateCall call, AnswerListener listener) {
         Connection connection = new Connection(call.attemptId(), listener);
-        if (cut) {
+        if (disconnected) {
             connection.fail(new TargetFailure.NotSent("no connection"));
             return connection;
         }
@@ -83,17 +84,17 @@
             connection.fail(new TargetFailure.Broken("reset while sending"));
             return connection;
         }
-        return connection.carry(engine.generate(call, connection));
+        return connection.attach(engine.generate(call, connection));
     }
 
     @Override
     public AnswerStream resume(String attemptId, long fromSequence, AnswerListener listener) {
         Connection connection = new Connection(attemptId, listener);
-        if (cut) {
+        if (disconnected) {
             connection.fail(new TargetFailure.NotSent("no connection"));
             return connection;
         }
-        return connection.carry(engine.resume(attemptId, fromSequence, connection));
+        return connection.attach(engine.resume(attemptId, fromSequence, connection));
     }
 
     @Override
@@ -134,8 +135,8 @@
             this.listener = listener;
         }
 
-        AnswerStream carry(AnswerStream carried) {
-            stream = carried;
+        AnswerStream attach(AnswerStream engineStream) {
+            stream = engineStream;
             open.add(this);
             if (answersToLose > 0) {
                 answersToLose--;
@@ -148,7 +149,7 @@
 
         void fail(TargetFailure failure) {
             ended = true;
-            world.schedule(1, () -> process.deliver(() -> listener.onFailure(failure)));
+            worldTime.schedule(1, () -> process.deliver(() -> listener.onFailure(failure)));
         }
 
         @Override
@@ -157,10 +158,10 @@
                 return;
             }
             deliver(() -> listener.onChunk(chunk));
-            if (messy && random.nextInt(4) == 0) {
+            if (unreliable && random.nextInt(4) == 0) {
                 deliver(() -> listener.onChunk(chunk));
             }
-            if (messy && random.nextInt(4) == 0) {
+            if (unreliable && random.nextInt(4) == 0) {
                 Connection other = open.get(random.nextInt(open.size()));
                 deliver(() -> other.listener.onChunk(chunk));
             }
@@ -185,8 +186,8 @@
         }
 
         private void deliver(Runnable call) {
-            long delayMillis = messy ? random.nextInt(40) : 1;
-            world.schedule(delayMillis, () -> process.deliver(call));
+            long delayMillis = unreliable ? random.nextInt(40) : 1;
+            worldTime.schedule(delayMillis, () -> process.deliver(call));
         }
 
         @Override
--- a/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
@@ -12,58 +12,58 @@
 
     private static final long TIMEOUT_MILLIS = 300;
 
-    private final VirtualTimeSource world;
+    private final VirtualTimeSource worldTime;
     private final ProcessClock process;
     private final LogService service;
-    private boolean cut;
-    private boolean oneWay;
+    private boolean disconnected;
+    private boolean requestsArrive;
 
-    FaultyLogLink(VirtualTimeSource world, ProcessClock process, LogService service) {
-        this.world = world;
+    FaultyLogLink(VirtualTimeSource worldTime, ProcessClock process, LogService service) {
+        this.worldTime = worldTime;
         this.process = process;
         this.service = service;
     }
 
     /** Cuts the link; one way only, what is sent still arrives and its answer is lost. */
-    void setCut(boolean wanted, boolean wantedOneWay) {
-        cut = wanted;
-        oneWay = wantedOneWay;
+    void setDisconnected(boolean enabled, boolean stillArrives) {
+        disconnected = enabled;
+        requestsArrive = stillArrives;
     }
 
     @Override
     public CompletionStage<AppendResult> append(String stream, String payload) {
         CompletableFuture<AppendResult> answer = new CompletableFuture<>();
-        if (cut) {
-            if (oneWay) {
-                world.schedule(
+        if (disconnected) {
+            if (requestsArrive) {
+                worldTime.schedule(
                         50,
                         () -> service.append(stream, payload)
                                 .toCompletableFuture()
                                 .isDone());
             }
-            later(TIMEOUT_MILLIS, () -> answer.complete(new AppendResult.Unknown("no answer")));
+            schedule(TIMEOUT_MILLIS, () -> answer.complete(new AppendResult.Unknown("no answer")));
             return answer;
         }
         service.append(stream, payload)
-                .whenComplete((result, _fault) ->
-                        later(0, () -> answer.complete(cut ? new AppendResult.Unknown("no answer") : result)));
+                .whenComplete((result, _fault) -> schedule(
+                        0, () -> answer.complete(disconnected ? new AppendResult.Unknown("no answer") : result)));
         return answer;
     }
 
     @Override
     public CompletionStage<ReadResult> read(String stream, long fromOffset, int maxRecords, long waitMillis) {
         CompletableFuture<ReadResult> answer = new CompletableFuture<>();
-        if (cut) {
-            later(TIMEOUT_MILLIS, () -> answer.complete(new ReadResult.Unavailable("no answer")));
+        if (disconnected) {
+            schedule(TIMEOUT_MILLIS, () -> answer.complete(new ReadResult.Unavailable("no answer")));
             return answer;
         }
         service.read(stream, fromOffset, maxRecords, waitMillis)
-                .whenComplete((result, _fault) ->
-                        later(0, () -> answer.complete(cut ? new ReadResult.Unavailable("no answer") : result)));
+                .whenComplete((result, _fault) -> schedule(
+                        0, () -> answer.complete(disconnected ? new ReadResult.Unavailable("no answer") : result)));
         return answer;
     }
 
-    private void later(long delayMillis, Runnable task) {
-        world.schedule(delayMillis, () -> process.deliver(task));
+    private void schedule(long delayMillis, Runnable task) {
+        worldTime.schedule(delayMillis, () -> process.deliver(task));
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
+++ b/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
@@ -14,7 +14,7 @@
 
 class LogClaimLedgerTest {
 
-    private static final long CLAIM_MILLIS = 2_000;
+    private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
     private static final long KEY_MEMORY_MILLIS = 600_000;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
@@ -25,29 +25,31 @@
 
     /** A caller sends one key to two instances at once: the log's order decides, and just one of them may send it. */
     @Test
-    void oneOfTwoRacingClaimsWins() {
+    void exactlyOneOfTwoConcurrentClaimsIsAcquired() {
         first.claim(claim("key", 1), outcomes::add);
         second.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
         assertEquals(
                 1,
-                outcomes.stream().filter(ClaimOutcome.Earlier.class::isInstance).count());
+                outcomes.stream()
+                        .filter(ClaimOutcome.AlreadyClaimed.class::isInstance)
+                        .count());
     }
 
     /** The answer of the append is lost, though the record is there: reading back decides. */
     @Test
-    void aLostAppendAnswerStillWins() {
+    void claimIsAcquiredWhenTheAppendReplyIsLost() {
         memoryLog.loseAnswers(1);
         first.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(3_000);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
         assertEquals(1, memoryLog.appendCount());
     }
 
     /** The log is out when the claim is made: the caller is refused at once, and the claim never lands. */
     @Test
-    void aRefusedAppendIsRefusedAtOnceAndNeverLands() {
+    void claimIsRefusedAtOnceAndNeverAppendedWhenTheLogRefuses() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
         time.advanceMillis(1_500);
         first.claim(claim("key", 1), outcomes::add);
@@ -57,7 +59,7 @@
         assertEquals(0, memoryLog.appendCount());
         first.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
     }
 
     /**
@@ -65,7 +67,7 @@
      * record at last it releases the key, and does not send the request; a resend may then run.
      */
     @Test
-    void aClaimThatLandsLateIsReleased() {
+    void claimReadBackAfterItsTimeoutIsReleased() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
         time.advanceMillis(10);
         memoryLog.setMode(MemoryLog.Mode.UP);
@@ -77,14 +79,14 @@
         assertInstanceOf(ClaimOutcome.Unavailable.class, outcomes.get(0));
         memoryLog.setMode(MemoryLog.Mode.UP);
         time.advanceMillis(10_000);
-        assertEquals(0, won());
+        assertEquals(0, acquiredCount());
         second.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
     }
 
     @Test
-    void aKeyOfAnotherRequestIsReported() {
+    void keyOfADifferentRequestIsReportedAsReused() {
         first.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         second.claim(claim("key", 2), outcomes::add);
@@ -93,49 +95,50 @@
     }
 
     @Test
-    void aCompletedClaimGivesItsAnswerToAResend() {
+    void resendReadsTheAnswerOfACompletedClaim() {
         first.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         KeptAnswer answer = new KeptAnswer.Generated("checked", new Usage(3, 0, 1), "stop");
         first.completed(((ClaimOutcome.Won) outcomes.get(0)).claimId(), answer);
         time.advanceMillis(100);
         second.claim(claim("key", 1), outcomes::add);
-        HeldClaim held = ((ClaimOutcome.Earlier) outcomes.get(1)).claim();
+        HeldClaim held = ((ClaimOutcome.AlreadyClaimed) outcomes.get(1)).claim();
         List<KeptAnswer> kept = new ArrayList<>();
-        second.read(held, found -> kept.add(found.orElseThrow()));
+        second.readAnswer(held, found -> kept.add(found.orElseThrow()));
         time.advanceMillis(10);
         assertEquals(List.of(answer), kept);
     }
 
     /** A thousand claims within a moment take a handful of appends: the log takes a few hundred a second from all. */
     @Test
-    void claimsShareAppends() {
+    void thousandClaimsAreAppendedInAtMostThreeBatches() {
         for (int i = 0; i < 1_000; i++) {
             first.claim(claim("key" + i, 1), outcomes::add);
         }
         time.advanceMillis(1_000);
-        assertEquals(1_000, won());
+        assertEquals(1_000, acquiredCount());
         assertTrue(memoryLog.appendCount() <= 3, memoryLog.appendCount() + " appends");
     }
 
     @Test
-    void aKeyIsForgottenAfterItsMemory() {
+    void keyIsEvictedAfterItsRetention() {
         first.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(KEY_MEMORY_MILLIS + 1_000);
         first.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(2, won());
-        assertEquals(1, first.keys());
+        assertEquals(2, acquiredCount());
+        assertEquals(1, first.keyCount());
     }
 
     private LogClaimLedger ledger(String writer) {
-        ClaimFold fold = new ClaimFold(KEY_MEMORY_MILLIS, 10_000);
-        LogClaimLedger ledger = new LogClaimLedger(memoryLog, time, writer, CLAIM_MILLIS, 5, fold, _writer -> false);
+        ClaimFold index = new ClaimFold(KEY_MEMORY_MILLIS, 10_000);
+        LogClaimLedger ledger =
+                new LogClaimLedger(memoryLog, time, writer, CLAIM_TIMEOUT_MILLIS, 5, index, _writer -> false);
         ledger.start();
         return ledger;
     }
 
-    private long won() {
+    private long acquiredCount() {
         return outcomes.stream().filter(ClaimOutcome.Won.class::isInstance).count();
     }
 
--- a/src/test/java/org/dogwoodwinch/request/ProcessClock.java
+++ b/src/test/java/org/dogwoodwinch/request/ProcessClock.java
@@ -6,32 +6,32 @@
 import org.dogwoodwinch.time.TimeSource;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** The clock of one process of a {@link RequestWorld}: what falls due while it is paused happens afterwards, in order. */
+/** The clock of one process of a {@link RequestSimulation}: what falls due while it is paused happens afterwards, in order. */
 final class ProcessClock implements TimeSource {
 
-    private final VirtualTimeSource world;
-    private final Deque<Runnable> held = new ArrayDeque<>();
+    private final VirtualTimeSource worldTime;
+    private final Deque<Runnable> deferredTasks = new ArrayDeque<>();
     private boolean paused;
     private boolean dead;
 
-    ProcessClock(VirtualTimeSource world) {
-        this.world = world;
+    ProcessClock(VirtualTimeSource worldTime) {
+        this.worldTime = worldTime;
     }
 
     @Override
     public long monotonicNanos() {
-        return world.monotonicNanos();
+        return worldTime.monotonicNanos();
     }
 
     @Override
     public long wallMillis() {
-        return world.wallMillis();
+        return worldTime.wallMillis();
     }
 
     @Override
     public Cancellable schedule(long delayMillis, Runnable task) {
         boolean[] cancelled = new boolean[1];
-        Cancellable timer = world.schedule(
+        Cancellable timer = worldTime.schedule(
                 delayMillis,
                 () -> deliver(() -> {
                     if (!cancelled[0]) {
@@ -46,7 +46,7 @@
 
     void deliver(Runnable task) {
         if (paused) {
-            held.add(task);
+            deferredTasks.add(task);
         } else if (!dead) {
             task.run();
         }
@@ -58,14 +58,14 @@
 
     void resume() {
         paused = false;
-        while (!paused && !held.isEmpty()) {
-            deliver(held.remove());
+        while (!paused && !deferredTasks.isEmpty()) {
+            deliver(deferredTasks.remove());
         }
     }
 
     void kill() {
         dead = true;
         paused = false;
-        held.clear();
+        deferredTasks.clear();
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/QuarantineEndpointTest.java
+++ b/src/test/java/org/dogwoodwinch/request/QuarantineEndpointTest.java
@@ -10,13 +10,13 @@
 
     private static final long FINGERPRINT = -2;
 
-    private final SuspectBook book = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
-    private final QuarantineEndpoint endpoint = new QuarantineEndpoint(book);
+    private final SuspectBook suspects = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
+    private final QuarantineEndpoint endpoint = new QuarantineEndpoint(suspects);
 
     @Test
-    void listsAndLifts() {
-        book.onTrial(FINGERPRINT, "a", "engine-0");
-        book.onCrash(FINGERPRINT, "a", "engine-0");
+    void listsQuarantinedRequestsAndLiftsThem() {
+        suspects.onTrial(FINGERPRINT, "a", "engine-0");
+        suspects.onCrash(FINGERPRINT, "a", "engine-0");
         assertEquals(
                 "[{\"fingerprint\":\"fffffffffffffffe\",\"crashes\":1,\"remainingMillis\":60000}]",
                 endpoint.handle("GET", "/quarantine", "").body());
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void refusesWhatIsMalformed() {
+    void refusesMalformedBodiesAndUnknownMethods() {
         assertEquals(400, endpoint.handle("POST", "/quarantine/lift", "{}").status());
         assertEquals(400, endpoint.handle("POST", "/quarantine/lift", "x").status());
         assertEquals(404, endpoint.handle("DELETE", "/quarantine", "").status());
--- a/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
@@ -22,11 +22,11 @@
     private final RequestFixture.Caller caller = new RequestFixture.Caller();
 
     @Test
-    void deliversTheWholeAnswerOnce() {
+    void deliversTheWholeAnswerExactlyOnce() {
         submit(fixture.generate(PROMPT, true, ""));
         fixture.time.advanceMillis(10_000);
         assertWhole();
-        assertEquals(1, fixture.executed.size());
+        assertEquals(1, fixture.executedPrompts.size());
     }
 
     /**
@@ -35,7 +35,7 @@
      * run begins with the same text.
      */
     @Test
-    void runsARepeatableRequestAgainAfterACrash() {
+    void rerunsARepeatableRequestOnAnotherEngineAfterACrash() {
         submit(fixture.generate(PROMPT, true, ""));
         fixture.time.advanceMillis(150);
         assertTrue(caller.nextSequence > 0 && !caller.complete);
@@ -47,12 +47,12 @@
 
     /** The engine is down: not a byte was written, so even a call that may run once only goes to the next one. */
     @Test
-    void sendsANonRepeatableRequestOnAfterProofThatItDidNotRun() {
+    void retriesANonRepeatableRequestThatProvablyDidNotRun() {
         fixture.engines.get("engine-0").crash();
         submit(fixture.generate(PROMPT, false, ""));
         fixture.time.advanceMillis(1_500);
         assertWhole();
-        assertEquals(1, fixture.executed.size());
+        assertEquals(1, fixture.executedPrompts.size());
     }
 
     /**
@@ -66,18 +66,18 @@
         fixture.engines.get("engine-0").crash();
         fixture.time.advanceMillis(10_000);
         assertEquals(RunState.MAY_HAVE_RUN, caller.refusal.orElseThrow().run());
-        assertEquals(1, fixture.executed.size());
+        assertEquals(1, fixture.executedPrompts.size());
     }
 
     /** Every engine is down: each proved that nothing ran, so the refusal says so. */
     @Test
-    void saysNotRunWhereEachTargetProvedIt() {
+    void refusesAsNotRunWhenEveryTargetProvedIt() {
         fixture.engines.values().forEach(StandInEngine::crash);
         submit(fixture.generate(PROMPT, false, ""));
         fixture.time.advanceMillis(2_900);
         assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().run());
         assertEquals(RefusalReason.TARGET_FAILED, caller.refusal.orElseThrow().reason());
-        assertEquals(0, fixture.executed.size());
+        assertEquals(0, fixture.executedPrompts.size());
     }
 
     /**
@@ -85,7 +85,7 @@
      * the word is may-have-run: the reply that would tell is lost.
      */
     @Test
-    void sendsANonRepeatableServiceCallOnce() {
+    void sendsANonRepeatableServiceCallOnlyOnce() {
         int[] calls = new int[1];
         fixture.service = _call -> {
             calls[0]++;
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void passesAServiceAnswerOn() {
+    void forwardsAServiceAnswer() {
         ServiceAnswer answer = new ServiceAnswer(200, "text/plain", Bytes.ofUtf8("checked"));
         fixture.service = _call -> CompletableFuture.completedFuture(new TargetReply.Answer<>(answer));
         submit(fixture.serviceCall("script", false, ""));
@@ -108,7 +108,7 @@
 
     /** Targets refuse for load: the caller hears at once when to come back, and no other target gets the extra load. */
     @Test
-    void doesNotRetryOnOverload() {
+    void doesNotRetryWhenTheTargetIsOverloaded() {
         int[] calls = new int[1];
         fixture.service = _call -> {
             calls[0]++;
@@ -125,7 +125,7 @@
 
     /** All targets fail for a while: retries stop when the budget is spent, so a storm cannot build up. */
     @Test
-    void stopsRetryingWhenTheBudgetIsSpent() {
+    void stopsRetryingWhenTheRetryBudgetIsSpent() {
         int[] calls = new int[1];
         fixture.service = _call -> {
             calls[0]++;
@@ -154,13 +154,13 @@
             coordinator.submit(fixture.generate("[crash]", true, ""), caller);
             fixture.time.advanceMillis(5_000);
         }
-        assertEquals(2, fixture.executed.size());
+        assertEquals(2, fixture.executedPrompts.size());
         assertEquals(RefusalReason.QUARANTINED, caller.refusal.orElseThrow().reason());
     }
 
     /** The caller leaves: the engine's stream is cancelled, and nothing more goes to the caller. */
     @Test
-    void cancelsTheStreamWhenTheCallerLeaves() {
+    void cancelsTheStreamWhenTheCallerDisconnects() {
         RequestHandle handle = submit(fixture.generate(PROMPT, true, ""));
         fixture.time.advanceMillis(100);
         String before = caller.text.toString();
@@ -171,9 +171,9 @@
     }
 
     @Test
-    void dropsChunksOfAnotherAttempt() {
+    void doesNotMatchChunksOfAnotherAttempt() {
         AnswerChunk crossed = new AnswerChunk("another", 0, 1, "x");
-        assertTrue(!RequestPolicies.STANDARD.matcher().matches("mine", crossed));
+        assertTrue(!RequestPolicies.STANDARD.chunkMatcher().matches("mine", crossed));
     }
 
     private RequestHandle submit(CallerRequest request) {
--- a/src/test/java/org/dogwoodwinch/request/RequestFixture.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestFixture.java
@@ -39,7 +39,7 @@
     final VirtualTimeSource time = new VirtualTimeSource(0);
     final Map<String, StandInEngine> engines = new LinkedHashMap<>();
     final Map<String, Target> targets = new LinkedHashMap<>();
-    final List<String> executed = new ArrayList<>();
+    final List<String> executedPrompts = new ArrayList<>();
     final List<RetryReason> retries = new ArrayList<>();
     int lateAnswers;
     ServiceClient service = _call -> {
@@ -47,7 +47,7 @@
     };
     RequestSettings settings = RequestSettings.DEFAULT;
     RequestPolicies policies = RequestPolicies.STANDARD;
-    ClaimLedger claims = new UnreachableClaims();
+    ClaimStore claims = new UnreachableClaims();
     Quarantine quarantine = Quarantine.NONE;
 
     RequestFixture(int engineCount) {
@@ -64,7 +64,7 @@
                 name, name, configuration, StandInEngineOptions.STANDARD, time, new StandInEngineObserver() {
                     @Override
                     public void onExecuted(String _engine, String _attemptId, String prompt) {
-                        executed.add(prompt);
+                        executedPrompts.add(prompt);
                     }
 
                     @Override
--- a/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
@@ -26,79 +26,80 @@
  */
 class RequestHistoryTest {
 
-    private static final long CALM_MILLIS = 40_000;
-    private static final long LEAST_AT_STAKE = 1_000;
+    private static final long SETTLE_MILLIS = 40_000;
+    private static final long MIN_CHECKED = 1_000;
 
-    private static final long[] AT_STAKE = new long[3];
+    private static final long[] CHECKED_COUNTS = new long[3];
 
     @Property(tries = 2_000, seed = "50131", generation = GenerationMode.RANDOMIZED, shrinking = ShrinkingMode.OFF)
-    void holdsUnderGeneratedSchedules(
-            @ForAll("schedules") List<RequestDisturbance> schedule, @ForAll("seeds") long seed) {
+    void propertiesHoldUnderGeneratedSchedules(
+            @ForAll("schedules") List<ScenarioStep> schedule, @ForAll("seeds") long seed) {
         HistoryVerdict verdict = run(schedule, seed, RequestPolicies.STANDARD);
         assertTrue(verdict.held(), () -> schedule + " seed " + seed + "\n" + verdict.toText());
-        for (int i = 0; i < AT_STAKE.length; i++) {
-            AT_STAKE[i] += verdict.results().get(i).checked();
+        for (int i = 0; i < CHECKED_COUNTS.length; i++) {
+            CHECKED_COUNTS[i] += verdict.results().get(i).checked();
         }
     }
 
     /** Schedules in which nothing was refused or sent twice would prove nothing. */
     @AfterContainer
-    static void eachPropertyWasAtStake() {
-        for (long checked : AT_STAKE) {
-            assertTrue(checked >= LEAST_AT_STAKE, () -> "at stake: " + Arrays.toString(AT_STAKE));
+    static void eachPropertyWasCheckedOftenEnough() {
+        for (long checked : CHECKED_COUNTS) {
+            assertTrue(checked >= MIN_CHECKED, () -> "at stake: " + Arrays.toString(CHECKED_COUNTS));
         }
     }
 
     /** The first answer of a call that may run once is lost, and the mutant sends it again. */
     @Property(tries = 1, seed = "7001", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void aRetryAfterBytesWereWrittenIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
+    void detectsARetryAfterBytesWereWritten(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
         RetryPolicy retriesAll = (_repeatable, failure) -> RetryPolicy.STANDARD.decide(true, failure);
-        assertNoticed(
-                schedules, new RequestPolicies(retriesAll, AttemptLedger::runState, AnswerMatcher.BY_ATTEMPT_ID, true));
+        assertDetected(
+                schedules, new RequestPolicies(retriesAll, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, true));
     }
 
     /** Two instances get one key, and the mutant sends before the log has said which of them was first. */
     @Property(tries = 1, seed = "7002", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void aSendBeforeTheClaimIsReadBackIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
-        assertNoticed(
+    void detectsASendBeforeTheClaimIsReadBack(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
+        assertDetected(
                 schedules,
-                new RequestPolicies(RetryPolicy.STANDARD, AttemptLedger::runState, AnswerMatcher.BY_ATTEMPT_ID, false));
+                new RequestPolicies(RetryPolicy.STANDARD, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, false));
     }
 
     /** Connections cross, and the mutant takes what comes for its own. */
     @Property(tries = 1, seed = "7003", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void matchingByOrderIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
-        assertNoticed(
+    void detectsMatchingChunksByConnection(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
+        assertDetected(
                 schedules,
-                new RequestPolicies(RetryPolicy.STANDARD, AttemptLedger::runState, (_attemptId, _chunk) -> true, true));
+                new RequestPolicies(
+                        RetryPolicy.STANDARD, AttemptTracker::runState, (_attemptId, _chunk) -> true, true));
     }
 
     /** An answer is lost after the run, and the mutant says "not run" of whatever it refuses. */
     @Property(tries = 1, seed = "7004", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void alwaysSayingNotRunIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
-        assertNoticed(
+    void detectsRefusalsThatAlwaysSayNotRun(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
+        assertDetected(
                 schedules,
                 new RequestPolicies(
-                        RetryPolicy.STANDARD, _ledger -> RunState.NOT_RUN, AnswerMatcher.BY_ATTEMPT_ID, true));
+                        RetryPolicy.STANDARD, _ledger -> RunState.NOT_RUN, ChunkMatcher.BY_ATTEMPT_ID, true));
     }
 
-    private static void assertNoticed(List<List<RequestDisturbance>> schedules, RequestPolicies mutant) {
-        boolean noticed = schedules.stream()
+    private static void assertDetected(List<List<ScenarioStep>> schedules, RequestPolicies mutant) {
+        boolean detected = schedules.stream()
                 .anyMatch(schedule -> !run(schedule, 7, mutant).held());
-        assertTrue(noticed, "the mutant passed a hundred schedules");
+        assertTrue(detected, "the mutant passed a hundred schedules");
     }
 
-    private static HistoryVerdict run(List<RequestDisturbance> schedule, long seed, RequestPolicies policies) {
-        RequestWorld world = new RequestWorld(seed, policies);
+    private static HistoryVerdict run(List<ScenarioStep> schedule, long seed, RequestPolicies policies) {
+        RequestSimulation simulation = new RequestSimulation(seed, policies);
         int number = 0;
-        for (RequestDisturbance each : schedule) {
-            world.advance(each.afterMillis());
-            each.happen(world, number++);
+        for (ScenarioStep each : schedule) {
+            simulation.advanceMillis(each.afterMillis());
+            each.apply(simulation, number++);
         }
-        world.advance(CALM_MILLIS);
+        simulation.advanceMillis(SETTLE_MILLIS);
         return HistoryChecks.standard()
                 .judge(
-                        world.history(),
+                        simulation.history(),
                         org.dogwoodwinch.history.Property.WHOLE_ANSWER_TO_ITS_CALLER,
                         org.dogwoodwinch.history.Property.NOT_RUN_IS_TRUE,
                         org.dogwoodwinch.history.Property.AT_MOST_ONCE);
@@ -110,21 +111,21 @@
     }
 
     @Provide
-    Arbitrary<List<List<RequestDisturbance>>> hundredSchedules() {
+    Arbitrary<List<List<ScenarioStep>>> hundredSchedules() {
         return schedules().list().ofSize(100);
     }
 
     @Provide
-    Arbitrary<List<RequestDisturbance>> schedules() {
-        Arbitrary<RequestDisturbance.Kind> kinds = Arbitraries.frequencyOf(
-                Tuple.of(1, Arbitraries.of(RequestDisturbance.Kind.values())),
-                Tuple.of(1, Arbitraries.of(RequestDisturbance.requestKinds())));
+    Arbitrary<List<ScenarioStep>> schedules() {
+        Arbitrary<ScenarioStep.Kind> kinds = Arbitraries.frequencyOf(
+                Tuple.of(1, Arbitraries.of(ScenarioStep.Kind.values())),
+                Tuple.of(1, Arbitraries.of(ScenarioStep.requestKinds())));
         return Combinators.combine(
                         kinds,
                         Arbitraries.longs().between(0, 600),
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.integers().between(0, 7))
-                .as(RequestDisturbance::new)
+                .as(ScenarioStep::new)
                 .list()
                 .ofMinSize(4)
                 .ofMaxSize(14);
--- a/src/test/java/org/dogwoodwinch/request/RequestWorld.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
@@ -38,7 +38,7 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Three instances before three engines and a plain service, with callers that send again, in virtual time. */
-final class RequestWorld {
+final class RequestSimulation {
 
     static final int INSTANCES = 3;
     static final int ENGINES = 3;
@@ -52,14 +52,14 @@
     final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     final MemoryLog memoryLog = new MemoryLog(time, MemoryLogLimits.STANDARD);
     final Map<String, StandInEngine> engines = new LinkedHashMap<>();
-    final List<WorldInstance> instances = new ArrayList<>();
+    final List<SimulatedInstance> instances = new ArrayList<>();
     final Map<String, Target> targets = new LinkedHashMap<>();
     final UniformRandomProvider random;
     final RequestPolicies policies;
     private final MemoryRecorder recorder = new MemoryRecorder();
     private int nextCall;
 
-    RequestWorld(long seed, RequestPolicies policies) {
+    RequestSimulation(long seed, RequestPolicies policies) {
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.policies = policies;
         HistoryEngineObserver observer = new HistoryEngineObserver(time, recorder);
@@ -76,12 +76,12 @@
             targets.put(name, new Target(name, "127.0.0.1", 9_100 + i, "kakkanad", SERVICE_GROUP));
         }
         for (int i = 0; i < INSTANCES; i++) {
-            instances.add(new WorldInstance(this, "entry-" + i));
+            instances.add(new SimulatedInstance(this, "entry-" + i));
         }
-        advance(500);
+        advanceMillis(500);
     }
 
-    void advance(long millis) {
+    void advanceMillis(long millis) {
         time.advanceMillis(millis);
     }
 
@@ -89,7 +89,7 @@
         return recorder.history();
     }
 
-    void began(FaultKind kind, String subject, long durationMillis) {
+    void recordFault(FaultKind kind, String subject, long durationMillis) {
         Fault fault = new Fault(kind, subject, time.monotonicMillis(), durationMillis);
         recorder.record(new FleetEvent.FaultBegan(time.wallMillis(), fault));
         time.schedule(durationMillis, () -> recorder.record(new FleetEvent.FaultEnded(time.wallMillis(), fault)));
@@ -106,13 +106,14 @@
     }
 
     /** A caller sends a request, and sends it again elsewhere while that is safe for it. */
-    void request(String requestId, boolean service, boolean repeatable, boolean keyed) {
+    void submitRequest(String requestId, boolean service, boolean repeatable, boolean keyed) {
         String text = "work [request=" + requestId + "] [tokens=" + (5 + random.nextInt(40)) + "]";
         send(requestId, text, service, repeatable, keyed, 1);
     }
 
-    private void send(String requestId, String text, boolean service, boolean repeatable, boolean keyed, int sends) {
-        WorldInstance instance = instances.get(random.nextInt(INSTANCES));
+    private void send(
+            String requestId, String text, boolean service, boolean repeatable, boolean keyed, int sendCount) {
+        SimulatedInstance instance = instances.get(random.nextInt(INSTANCES));
         if (!instance.isUp()) {
             return;
         }
@@ -140,26 +141,27 @@
                 text.hashCode(),
                 nowMillis,
                 nowMillis + DEADLINE_MILLIS);
-        WorldCaller caller = new WorldCaller(callId, again -> {
-            if (again && keyed && sends < MAX_SENDS) {
+        SimulatedCaller caller = new SimulatedCaller(callId, resend -> {
+            if (resend && keyed && sendCount < MAX_SENDS) {
                 time.schedule(
-                        100 + random.nextInt(2_000), () -> send(requestId, text, service, repeatable, true, sends + 1));
+                        100 + random.nextInt(2_000),
+                        () -> send(requestId, text, service, repeatable, true, sendCount + 1));
             }
         });
         instance.submit(request, caller);
     }
 
     /** Takes one call's answer and records how it ended, at the caller. */
-    final class WorldCaller implements AnswerSink {
+    final class SimulatedCaller implements AnswerSink {
 
         private final String callId;
-        private final Consumer<Boolean> afterwards;
+        private final Consumer<Boolean> onEnd;
         private final StringBuilder text = new StringBuilder();
         private boolean ended;
 
-        WorldCaller(String callId, Consumer<Boolean> afterwards) {
+        SimulatedCaller(String callId, Consumer<Boolean> onEnd) {
             this.callId = callId;
-            this.afterwards = afterwards;
+            this.onEnd = onEnd;
         }
 
         void onConnectionLost() {
@@ -190,11 +192,11 @@
             end(new RequestEvent.Refused(time.wallMillis(), callId, refusal.reason(), refusal.run()), true);
         }
 
-        private void end(RequestEvent event, boolean again) {
+        private void end(RequestEvent event, boolean resend) {
             if (!ended) {
                 ended = true;
                 recorder.record(event);
-                afterwards.accept(again);
+                onEnd.accept(resend);
             }
         }
     }
--- a/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
@@ -10,7 +10,7 @@
 
 class RouteQueriesTest {
 
-    private final SuspectBook book = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
+    private final SuspectBook suspects = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
     private final CallerRequest request = new RequestFixture(1).generate("prompt", true, "");
 
     /**
@@ -18,24 +18,24 @@
      * they still run, and only a request that was in a second crash is kept for a target of its own.
      */
     @Test
-    void onlyASecondCrashBindsARequestToRunAlone() {
-        assertEquals(List.of(false, false), alone());
-        book.onCrash(request.fingerprint(), "a", "engine-0");
-        assertEquals(List.of(true, false, false), alone());
-        book.onCrash(request.fingerprint(), "b", "engine-1");
-        assertEquals(List.of(true), alone());
+    void requestMustRunAloneOnlyAfterASecondCrash() {
+        assertEquals(List.of(false, false), aloneFlags());
+        suspects.onCrash(request.fingerprint(), "a", "engine-0");
+        assertEquals(List.of(true, false, false), aloneFlags());
+        suspects.onCrash(request.fingerprint(), "b", "engine-1");
+        assertEquals(List.of(true), aloneFlags());
     }
 
     @Test
-    void keepsOffTheTargetOfATrialWhereItCan() {
-        book.onTrial(request.fingerprint() + 1, "a", "engine-0");
-        List<RouteQuery> queries = RouteQueries.of(request, book, Set.of("engine-1"), 0);
+    void avoidsTargetsOfTrialsWhenPossible() {
+        suspects.onTrial(request.fingerprint() + 1, "a", "engine-0");
+        List<RouteQuery> queries = RouteQueries.of(request, suspects, Set.of("engine-1"), 0);
         assertEquals(Set.of("engine-0", "engine-1"), queries.get(0).excludedTargets());
         assertEquals(Set.of("engine-1"), queries.get(1).excludedTargets());
     }
 
-    private List<Boolean> alone() {
-        return RouteQueries.of(request, book, Set.of(), 0).stream()
+    private List<Boolean> aloneFlags() {
+        return RouteQueries.of(request, suspects, Set.of(), 0).stream()
                 .map(RouteQuery::alone)
                 .toList();
     }
--- a/src/test/java/org/dogwoodwinch/request/SerialQueueTest.java
+++ b/src/test/java/org/dogwoodwinch/request/SerialExecutorTest.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SerialQueueTest {
+class SerialExecutorTest {
 
     private final List<String> ran = new ArrayList<>();
 
     @Test
-    void aTaskThatBringsAnotherIsFinishedFirst() {
-        SerialQueue queue = new SerialQueue(_fault -> {});
-        queue.execute(() -> {
-            queue.execute(() -> ran.add("inner"));
+    void taskFinishesBeforeATaskThatItSubmits() {
+        SerialExecutor executor = new SerialExecutor(_fault -> {});
+        executor.execute(() -> {
+            executor.execute(() -> ran.add("inner"));
             ran.add("outer");
         });
         assertEquals(List.of("outer", "inner"), ran);
@@ -22,12 +22,12 @@
 
     /** A task throws: the fault is told, and the tasks after it still run, so that the caller gets its end. */
     @Test
-    void aFaultDoesNotStopTheQueue() {
-        SerialQueue queue = new SerialQueue(fault -> ran.add(fault.getMessage()));
-        queue.execute(() -> {
+    void laterTasksRunAfterATaskThrows() {
+        SerialExecutor executor = new SerialExecutor(fault -> ran.add(fault.getMessage()));
+        executor.execute(() -> {
             throw new IllegalStateException("fault");
         });
-        queue.execute(() -> ran.add("next"));
+        executor.execute(() -> ran.add("next"));
         assertEquals(List.of("fault", "next"), ran);
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/WorldInstance.java
+++ b/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
@@ -22,13 +22,13 @@
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.target.Usage;
 
-/** One instance of a {@link RequestWorld}: its process is paused, killed and started anew, its links break. */
-final class WorldInstance implements TargetClients {
+/** One instance of a {@link RequestSimulation}: its process is paused, killed and started anew, its links break. */
+final class SimulatedInstance implements TargetClients {
 
-    private final RequestWorld world;
+    private final RequestSimulation simulation;
     private final String name;
-    private final Map<String, FaultyLink> links = new LinkedHashMap<>();
-    private final List<RequestWorld.WorldCaller> callers = new ArrayList<>();
+    private final Map<String, FaultyEngineLink> links = new LinkedHashMap<>();
+    private final List<RequestSimulation.SimulatedCaller> callers = new ArrayList<>();
     private ProcessClock process;
     private FaultyLogLink logLink;
     private RequestCoordinator coordinator;
@@ -36,8 +36,8 @@
     private int starts;
     private boolean up;
 
-    WorldInstance(RequestWorld world, String name) {
-        this.world = world;
+    SimulatedInstance(RequestSimulation simulation, String name) {
+        this.simulation = simulation;
         this.name = name;
         start();
     }
@@ -52,11 +52,11 @@
 
     private void start() {
         up = true;
-        process = new ProcessClock(world.time);
-        logLink = new FaultyLogLink(world.time, process, world.memoryLog);
+        process = new ProcessClock(simulation.time);
+        logLink = new FaultyLogLink(simulation.time, process, simulation.memoryLog);
         links.clear();
-        world.engines.forEach(
-                (target, engine) -> links.put(target, new FaultyLink(world.time, process, engine, world.random)));
+        simulation.engines.forEach((target, engine) ->
+                links.put(target, new FaultyEngineLink(simulation.time, process, engine, simulation.random)));
         RequestSettings settings = RequestSettings.DEFAULT;
         LogClaimLedger ledger = new LogClaimLedger(
                 logLink,
@@ -74,22 +74,23 @@
                 },
                 new RandomRouter(),
                 this,
-                target -> Optional.ofNullable(world.targets.get(target)),
+                target -> Optional.ofNullable(simulation.targets.get(target)),
                 CatalogueEntry::group,
                 process,
-                world.random,
+                simulation.random,
                 ledger,
                 new SuspectBook(process, 600_000, 3_600_000, _notice -> {}),
                 RequestObserver.NONE,
                 settings,
-                world.policies);
+                simulation.policies);
     }
 
     private boolean isAlive(String writer) {
-        return world.instances.stream().anyMatch(each -> each.up && writer.equals(each.name + "~" + (each.starts - 1)));
+        return simulation.instances.stream()
+                .anyMatch(each -> each.up && writer.equals(each.name + "~" + (each.starts - 1)));
     }
 
-    void submit(CallerRequest request, RequestWorld.WorldCaller caller) {
+    void submit(CallerRequest request, RequestSimulation.SimulatedCaller caller) {
         callers.add(caller);
         process.deliver(() -> coordinator.submit(request, caller));
     }
@@ -98,40 +99,40 @@
         if (up) {
             up = false;
             process.kill();
-            links.values().forEach(FaultyLink::breakAll);
-            List<RequestWorld.WorldCaller> lost = List.copyOf(callers);
+            links.values().forEach(FaultyEngineLink::breakConnections);
+            List<RequestSimulation.SimulatedCaller> lost = List.copyOf(callers);
             callers.clear();
-            lost.forEach(RequestWorld.WorldCaller::onConnectionLost);
-            world.time.schedule(2_000, this::start);
+            lost.forEach(RequestSimulation.SimulatedCaller::onConnectionLost);
+            simulation.time.schedule(2_000, this::start);
         }
     }
 
     void pause(long millis) {
         ProcessClock paused = process;
         paused.pause();
-        world.time.schedule(millis, paused::resume);
+        simulation.time.schedule(millis, paused::resume);
     }
 
-    void cutLog(long millis, boolean oneWay) {
+    void disconnectLog(long millis, boolean oneWay) {
         FaultyLogLink link = logLink;
-        link.setCut(true, oneWay);
-        world.time.schedule(millis, () -> link.setCut(false, false));
+        link.setDisconnected(true, oneWay);
+        simulation.time.schedule(millis, () -> link.setDisconnected(false, false));
     }
 
-    void cutEngine(String engine, long millis) {
-        FaultyLink link = links.get(engine);
-        link.setCut(true);
-        world.time.schedule(millis, () -> link.setCut(false));
+    void disconnectEngine(String engine, long millis) {
+        FaultyEngineLink link = links.get(engine);
+        link.setDisconnected(true);
+        simulation.time.schedule(millis, () -> link.setDisconnected(false));
     }
 
-    void makeMessy(long millis) {
-        List<FaultyLink> messy = List.copyOf(links.values());
-        messy.forEach(link -> link.setMessy(true));
-        world.time.schedule(millis, () -> messy.forEach(link -> link.setMessy(false)));
+    void makeDeliveryUnreliable(long millis) {
+        List<FaultyEngineLink> affected = List.copyOf(links.values());
+        affected.forEach(link -> link.setUnreliable(true));
+        simulation.time.schedule(millis, () -> affected.forEach(link -> link.setUnreliable(false)));
     }
 
     void breakConnections() {
-        links.values().forEach(FaultyLink::breakAll);
+        links.values().forEach(FaultyEngineLink::breakConnections);
     }
 
     void loseSends(int count) {
@@ -159,7 +160,7 @@
         boolean lost = serviceAnswersToLose > 0;
         serviceAnswersToLose = Math.max(0, serviceAnswersToLose - 1);
         TargetReply<ServiceAnswer> broken = new TargetReply.Failure<>(new TargetFailure.Broken("reset"));
-        return world.runService(target.name(), call).thenCompose(answer -> {
+        return simulation.runService(target.name(), call).thenCompose(answer -> {
             caller.deliver(() -> reply.complete(lost ? broken : answer));
             return reply;
         });
@@ -170,13 +171,13 @@
 
         @Override
         public Route route(RouteQuery query) {
-            List<Target> allowed = world.targets.values().stream()
+            List<Target> allowed = simulation.targets.values().stream()
                     .filter(target -> target.group().equals(query.group()))
                     .filter(target -> !query.excludedTargets().contains(target.name()))
                     .toList();
             return allowed.isEmpty()
                     ? new Route.None("no target is left", 500)
-                    : new Route.Chosen(allowed.get(world.random.nextInt(allowed.size())), Optional.empty(), 0);
+                    : new Route.Chosen(allowed.get(simulation.random.nextInt(allowed.size())), Optional.empty(), 0);
         }
 
         @Override
