--- a/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
@@ -3,7 +3,10 @@
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.Usage;
 
-/** Gathers an answer for the log, up to a bound: beyond it only the length is kept. Not thread-safe. */
+/**
+ * Collects the answer of one request for storage on the log. Once the answer exceeds the size limit, only its length is
+ * stored. Not thread-safe.
+ */
 final class AnswerBuffer {
 
     private final int maxBytes;
--- a/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
@@ -4,7 +4,10 @@
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.Usage;
 
-/** One request's answer on its way to the caller, with the figures that are taken of it. Not thread-safe. */
+/**
+ * Delivers the answer of one request to the caller's sink and reports the latency of its chunks to the observer. Not
+ * thread-safe.
+ */
 final class AnswerDelivery {
 
     private final RequestContext context;
--- a/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
@@ -5,24 +5,24 @@
 import org.dogwoodwinch.target.AnswerChunk;
 
 /**
- * How far one answer has gone out to its caller, and what of an incoming chunk is new.
+ * Tracks how much of one answer has been delivered to the caller and determines which part of an incoming chunk is new.
  *
- * <p>While one stream is read, token sequence numbers decide. When a repeatable request runs again from the start on
- * another target, what went out already is withheld, and only if the new run begins with exactly the same text: an
- * answer sewn together from two different runs would look whole and be nobody's answer. Only a hash and a length of the
- * delivered text are kept, so that long answers cost no memory. Not thread-safe.
+ * <p>Within one stream, token sequence numbers identify what is new. When a repeatable request is rerun from the start on
+ * another target, the text that was already delivered is skipped, but only if the new run begins with exactly the same
+ * text: an answer combined from two different runs would look complete although neither run produced it. Only a hash and
+ * the length of the delivered text are stored, so that memory use does not grow with the answer. Not thread-safe.
  */
 final class AnswerProgress {
 
-    /** What to do with a chunk. */
+    /** How to handle a received chunk. */
     enum Verdict {
-        /** It is the next piece: {@link #pendingChunk()} holds what to deliver. */
+        /** The chunk continues the answer; {@link #pendingChunk()} holds the part to deliver. */
         DELIVER,
-        /** The caller has it already. */
+        /** The caller already received the chunk. */
         SKIP,
-        /** Something before it is missing. */
+        /** At least one token before the chunk is missing, or the chunk overlaps delivered tokens only partly. */
         GAP,
-        /** The new run's text differs from what went out. */
+        /** The text of the new run differs from the text that was delivered. */
         DIVERGED
     }
 
@@ -32,7 +32,10 @@
     private boolean replaying;
     private long replaySequence;
     private long replayChars;
-    /** Compared with {@link #deliveredHasher}; computing its hash uses it up, so a twin goes on after the comparison. */
+    /**
+     * Hashes the rerun's prefix for the comparison with {@link #deliveredHasher}. A Hasher cannot be used after its hash
+     * is computed, so a copy that was fed the same text continues after the comparison.
+     */
     private Hasher replayedHasher = Hashing.sha256().newHasher();
 
     private Hasher replayedHasherCopy = Hashing.sha256().newHasher();
@@ -46,7 +49,7 @@
         return replaying;
     }
 
-    /** Returns the sequence number wanted next from the stream that is being read. */
+    /** Returns the next sequence number that is expected from the stream being read. */
     long nextExpectedSequence() {
         return replaying ? replaySequence : nextSequence;
     }
@@ -55,7 +58,7 @@
         return pendingChunk;
     }
 
-    /** A new run starts at token zero. */
+    /** Prepares for a rerun that starts at token zero. */
     void restart() {
         replaying = deliveredChars > 0;
         replaySequence = 0;
--- a/src/main/java/org/dogwoodwinch/request/AnswerSink.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerSink.java
@@ -5,39 +5,39 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * Takes one request's answer to its caller.
+ * Receives the answer of one request and forwards it to the caller.
  *
- * <p>Chunks come in order of sequence, each token once. Exactly one of the other calls ends the answer: a refusal after
- * chunks tells the caller that the answer was cut.
+ * <p>Chunks arrive in sequence order, each token exactly once. Exactly one of the other methods is called last and ends
+ * the answer; a refusal after chunks means that the answer was truncated.
  */
 public interface AnswerSink {
 
     /**
-     * Takes a piece of a generated answer.
+     * Receives the next chunk of a generated answer.
      *
-     * @param chunk the piece, not null
+     * @param chunk the chunk, not null
      */
     void onChunk(AnswerChunk chunk);
 
     /**
-     * The generated answer is whole.
+     * Called when the generated answer is complete.
      *
-     * @param usage what it cost, not null
-     * @param finishReason why it ended, not null
+     * @param usage the tokens used, not null
+     * @param finishReason the reason for which the generation ended, not null
      */
     void onComplete(Usage usage, String finishReason);
 
     /**
-     * The plain service answered.
+     * Called when a plain service has answered.
      *
      * @param answer the answer, not null
      */
     void onServiceAnswer(ServiceAnswer answer);
 
     /**
-     * The request is given up on.
+     * Called when the request is refused or fails.
      *
-     * @param refusal why, not null
+     * @param refusal the reason and whether the request may have run, not null
      */
     void onRefused(Refusal refusal);
 }
--- a/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
+++ b/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
@@ -4,11 +4,12 @@
 import java.util.Set;
 
 /**
- * What is known of one request's attempts: which may have reached a target, and which targets failed.
+ * Tracks the attempts of one request: which of them may have run on a target, and which targets failed.
  *
- * <p>The word of a refusal comes from here alone. An attempt counts as possibly run from the moment before its first
- * byte could be written; only the proof of its target ({@code TargetFailure.provesNotRun()}) takes that back. Whatever
- * path leads to a refusal, "not run" is then said only of a request that did not run. Not thread-safe.
+ * <p>This class is the only source of the run state that a refusal reports. An attempt counts as possibly run from before
+ * its first byte can be written; only proof from the target ({@code TargetFailure.provesNotRun()}) reverses that. On
+ * every path that leads to a refusal, "not run" is therefore reported only for a request that did not run. Not
+ * thread-safe.
  */
 public final class AttemptTracker {
 
@@ -17,9 +18,9 @@
     private int attempts;
 
     /**
-     * An attempt is about to be written.
+     * Records that an attempt is about to be sent.
      *
-     * @param attemptId names it, not null
+     * @param attemptId the attempt's id, not null
      */
     public void onSend(String attemptId) {
         possiblyRunAttempts.add(attemptId);
@@ -27,18 +28,18 @@
     }
 
     /**
-     * An attempt is proved not to have run.
+     * Records proof that an attempt did not run.
      *
-     * @param attemptId names it, not null
+     * @param attemptId the attempt's id, not null
      */
     public void onProvedNotRun(String attemptId) {
         possiblyRunAttempts.remove(attemptId);
     }
 
     /**
-     * A target failed and is not asked again by this request.
+     * Records a failed target, which this request does not use again.
      *
-     * @param target its name, not null
+     * @param target the target's name, not null
      */
     public void onTargetFailed(String target) {
         failedTargets.add(target);
@@ -47,14 +48,14 @@
     /**
      * Returns whether the request may have run.
      *
-     * @return not run only where each attempt is proved not to have run
+     * @return {@link RunState#NOT_RUN} only if every attempt is proved not to have run
      */
     public RunState runState() {
         return possiblyRunAttempts.isEmpty() ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN;
     }
 
     /**
-     * Returns how many attempts were sent.
+     * Returns the number of attempts sent.
      *
      * @return the count, zero or more
      */
@@ -65,7 +66,7 @@
     /**
      * Returns the targets that failed.
      *
-     * @return their names, in a copy
+     * @return a copy of the set of their names
      */
     public Set<String> failedTargets() {
         return Set.copyOf(failedTargets);
--- a/src/main/java/org/dogwoodwinch/request/CallerRequest.java
+++ b/src/main/java/org/dogwoodwinch/request/CallerRequest.java
@@ -5,15 +5,16 @@
 import org.dogwoodwinch.catalogue.CatalogueEntry;
 
 /**
- * One authenticated, well-formed request.
+ * An authenticated, validated request of a caller.
  *
- * @param requestId names the request; the caller gets it back, not null
- * @param entry the catalogue entry it is for, as of its arrival, not null
- * @param work what is to be done, not null
- * @param idempotencyKey the caller's own key, scoped to the owner; empty where it sent none, not null
- * @param fingerprint a hash of entry and work: equal for a resend, whatever its key or instance
- * @param arrivedMillis when it arrived, in monotonic milliseconds of this instance
- * @param deadlineMillis when its answer is worth nothing any more, in monotonic milliseconds of this instance
+ * @param requestId the id of the request, which is returned to the caller, not null
+ * @param entry the catalogue entry that the request addresses, as it was on arrival, not null
+ * @param work the operation to perform, not null
+ * @param idempotencyKey the caller's idempotency key, scoped to the owner; empty if none was sent, not null
+ * @param fingerprint a hash of entry and operation, equal for every resend of the request regardless of its key or of
+ *     the instance that receives it
+ * @param arrivedMillis the arrival time, in monotonic milliseconds of this instance
+ * @param deadlineMillis the time after which the answer is useless, in monotonic milliseconds of this instance
  */
 public record CallerRequest(
         String requestId,
@@ -24,7 +25,7 @@
         long arrivedMillis,
         long deadlineMillis) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public CallerRequest {
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(entry, "entry");
@@ -33,10 +34,10 @@
     }
 
     /**
-     * Returns what is left of the deadline.
+     * Returns the time left until the deadline.
      *
-     * @param nowMillis the monotonic time now, in milliseconds
-     * @return milliseconds, zero where the deadline has passed
+     * @param nowMillis the current monotonic time, in milliseconds
+     * @return the remaining time in milliseconds, zero if the deadline has passed
      */
     public long remainingMillis(long nowMillis) {
         return Math.max(0, deadlineMillis - nowMillis);
--- a/src/main/java/org/dogwoodwinch/request/ChunkMatcher.java
+++ b/src/main/java/org/dogwoodwinch/request/ChunkMatcher.java
@@ -2,19 +2,19 @@
 
 import org.dogwoodwinch.target.AnswerChunk;
 
-/** Says whether a chunk belongs to an attempt. */
+/** Decides whether a received chunk belongs to an attempt. */
 @FunctionalInterface
 public interface ChunkMatcher {
 
-    /** By the attempt's id, never by the order or the connection on which the chunk came. */
+    /** Matches by attempt id, never by the order in which chunks arrive or the connection that carries them. */
     ChunkMatcher BY_ATTEMPT_ID = (attemptId, chunk) -> attemptId.equals(chunk.attemptId());
 
     /**
-     * Decides.
+     * Returns whether the chunk belongs to the attempt.
      *
-     * @param attemptId the attempt that is listened to, not null
-     * @param chunk what came, not null
-     * @return whether the chunk is the attempt's
+     * @param attemptId the id of the attempt whose answer is being read, not null
+     * @param chunk the received chunk, not null
+     * @return true if the chunk is part of the attempt's answer
      */
     boolean matches(String attemptId, AnswerChunk chunk);
 }
--- a/src/main/java/org/dogwoodwinch/request/ClaimBatch.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimBatch.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * What one append to the claims stream carries.
+ * The content of one append to the claims stream.
  *
- * @param version the format, {@link #VERSION}
- * @param writerId names one start of one instance, not null
- * @param number the batch's number at its writer
- * @param records the records, not null
+ * @param version the format version, {@link #VERSION}
+ * @param writerId identifies one start of one instance, not null
+ * @param number the sequence number of the batch at its writer
+ * @param records the records; null is read as an empty list
  */
 record ClaimBatch(
         @JsonProperty("v") int version,
@@ -17,7 +17,7 @@
         @JsonProperty("b") long number,
         @JsonProperty("r") List<ClaimRecord> records) {
 
-    /** The format that this code writes and reads. */
+    /** The format version that this code writes and reads. */
     static final int VERSION = 1;
 
     ClaimBatch {
--- a/src/main/java/org/dogwoodwinch/request/ClaimCodec.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimCodec.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Optional;
 
-/** Writes and reads the claims stream. */
+/** Encodes and decodes the batches of the claims stream as JSON. */
 final class ClaimCodec {
 
     private static final ObjectMapper MAPPER =
@@ -17,11 +17,11 @@
         try {
             return MAPPER.writeValueAsString(batch);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a claim batch cannot be written", e);
+            throw new IllegalStateException("claim batch could not be serialized as JSON", e);
         }
     }
 
-    /** Reads a record; empty where it is not ours or of another version, which every instance skips alike. */
+    /** Decodes a batch; empty if the payload is malformed or of another version, which every instance skips alike. */
     static Optional<ClaimBatch> decode(String payload) {
         try {
             ClaimBatch batch = MAPPER.readValue(payload, ClaimBatch.class);
--- a/src/main/java/org/dogwoodwinch/request/ClaimFold.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimFold.java
@@ -8,11 +8,13 @@
 import java.util.Optional;
 
 /**
- * What the claims stream says of each key: the first claim in log order holds it until it is released or forgotten.
+ * In-memory index of the claims stream by idempotency key. The first claim of a key in log order holds the key until the
+ * claim is released or expires.
  *
- * <p>Instances forget by their own clocks, from when they read the claim; one that reads late only remembers longer. Two
- * claims within the key memory can never both be first on the same instance's fold, and only a claim's own instance acts
- * on it. Answers stay on the log: the fold keeps their offset. Not thread-safe.
+ * <p>Each instance expires claims by its own clock, counted from when it read the claim; an instance that reads late only
+ * retains the claim longer. Within the key retention, two claims can never both be first in the index of the same
+ * instance, and only the instance that made a claim acts on it. Answers stay on the log; the index stores their offsets.
+ * Not thread-safe.
  */
 public final class ClaimFold {
 
@@ -20,14 +22,15 @@
     private final int maxKeys;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-    /** Thousands of claims name a few targets; each name is kept once. */
+    /** Thousands of claims refer to a few targets, so each target name is stored once. */
     private final Interner<String> targetNames = Interners.newWeakInterner();
 
     /**
-     * Creates an empty fold.
+     * Creates an empty index.
      *
-     * @param keyMemoryMillis how long a key is remembered, in milliseconds
-     * @param maxKeys how many keys make it full; a full fold still follows the log, but no claim is made on it
+     * @param keyMemoryMillis how long a key is retained, in milliseconds
+     * @param maxKeys the number of keys at which the index is full; a full index still applies records of the log, but
+     *     no new claim may be made against it
      */
     public ClaimFold(long keyMemoryMillis, int maxKeys) {
         this.keyMemoryMillis = keyMemoryMillis;
@@ -58,7 +61,7 @@
                     entry.keyHash(),
                     held.withClaim(new HeldClaim(held.claim().claimId(), pointer, HeldClaim.NO_OUTCOME, false)));
         } else {
-            // Counted anew from the answer: a resend after a long answer must still find it.
+            // Restarts the retention at the answer, so that a resend after a long answer still finds it.
             entries.remove(entry.keyHash());
             HeldClaim done = new HeldClaim(held.claim().claimId(), held.claim().pointer(), offset, false);
             entries.put(entry.keyHash(), new Entry(done, held.fingerprint(), nowMillis));
@@ -66,11 +69,11 @@
     }
 
     /**
-     * Looks a key up.
+     * Returns the claim that holds a key.
      *
-     * @param keyHash the key, not null
-     * @param nowMillis the monotonic time now, in milliseconds
-     * @return the claim that holds it, or empty where it is free
+     * @param keyHash the hash of the key, not null
+     * @param nowMillis the current monotonic time, in milliseconds
+     * @return the claim that holds the key, or empty if the key is free
      */
     Optional<Entry> find(String keyHash, long nowMillis) {
         evictExpired(nowMillis);
@@ -78,7 +81,7 @@
     }
 
     /**
-     * Returns how many keys are remembered.
+     * Returns the number of retained keys, including expired ones that have not been evicted yet.
      *
      * @return the count
      */
@@ -97,7 +100,7 @@
         }
     }
 
-    /** A claim with what it was claimed for and since when it is counted. */
+    /** A claim, the fingerprint of the request that it was made for, and the start of its retention. */
     record Entry(HeldClaim claim, long fingerprint, long recordedMillis) {
 
         Entry withClaim(HeldClaim newClaim) {
--- a/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
@@ -8,24 +8,24 @@
 import org.dogwoodwinch.time.Cancellable;
 
 /**
- * Gives a resend the answer of the request that holds its key: from the log where it is kept, else from the engine's
- * stream. It never sends the request.
+ * Answers a resend with the answer of the earlier request that holds its idempotency key: from the log if the answer is
+ * stored there, otherwise from the engine's stream. The request itself is never sent.
  *
- * <p>The first request may be a moment before its send, or its instance may be dead. The two look alike, so a stream
- * that is not there yet is asked for again within a bounded wait; then the caller is told that it may have run. All
- * methods run on the request's {@link SerialExecutor}.
+ * <p>The earlier request may be about to be sent, or its instance may have failed; the two cannot be told apart. A stream
+ * that does not exist yet is therefore polled for a bounded time, after which the caller is refused with "may have run".
+ * All methods run on the request's {@link SerialExecutor}.
  */
 final class ClaimJoin implements EngineAttempt.Listener {
 
-    /** Hears how the join ended, once. */
+    /** Receives the result of the join, exactly once. */
     interface Listener {
 
         void onAnswered(Usage usage);
 
-        /** The first request is proved not to have run; the key may be claimed again. */
+        /** The earlier request is proved not to have run; the key may be claimed again. */
         void onKeyReleased();
 
-        /** The answer cannot be had. */
+        /** The earlier request's answer cannot be retrieved. */
         void onAnswerUnavailable();
     }
 
@@ -80,7 +80,7 @@
         if (held.hasOutcome()) {
             context.claimStore().readAnswer(held, stored -> executor.execute(() -> onAnswerRead(held, stored)));
         } else if (held.inProgress() && context.nowMillis() < waitUntilMillis) {
-            // An engine may serve one reader of a stream: to join now would cut the first caller off.
+            // An engine may serve only one reader per stream: joining now would disconnect the first caller.
             schedulePoll();
         } else {
             joinStream(held);
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
@@ -8,10 +8,11 @@
 import java.util.Map;
 
 /**
- * Records on their way to the claims stream, and batches that are not known to be on it. Not thread-safe.
+ * Queues records for the claims stream and tracks batches whose append is not confirmed yet. Not thread-safe.
  *
- * <p>A batch whose answer was lost is neither given up nor sent again at once: its records go back into the queue only
- * where the stream, read past that point, does not show it. A second landing is harmless, the fold ignores it.
+ * <p>If the reply to an append is lost, the batch is neither dropped nor appended again at once: its records are queued
+ * again later, and only if the batch has not been read back from the stream by then. A duplicate append is harmless,
+ * because {@link ClaimFold} ignores it.
  */
 final class ClaimOutbox {
 
@@ -34,14 +35,14 @@
         return queue.isEmpty();
     }
 
-    /** Takes the next batch; the caller says afterwards what became of it. */
+    /** Removes the next batch from the queue; the caller must report the result of its append afterwards. */
     ClaimBatch takeBatch() {
         List<ClaimRecord> records = new ArrayList<>();
         while (!queue.isEmpty() && records.size() < MAX_RECORDS) {
             records.add(queue.removeFirst());
         }
         ClaimBatch batch = new ClaimBatch(ClaimBatch.VERSION, writerId, nextBatchNumber++, records);
-        // From now on: the stream can show the batch before the append's answer is there.
+        // Registered before the append, because the batch can be read back before the reply to the append arrives.
         unconfirmed.put(batch.number(), batch.records());
         return batch;
     }
@@ -52,12 +53,12 @@
         }
     }
 
-    /** The batch is on the stream, or certainly is not and was put back. */
+    /** Called when the batch is known to be on the stream, or is known not to be and its records are queued again. */
     void onResolved(ClaimBatch batch) {
         unconfirmed.remove(batch.number());
     }
 
-    /** Sends again what has not been seen. */
+    /** Queues the records of a batch again unless the batch was confirmed in the meantime. */
     void requeueUnconfirmed(long batchNumber) {
         List<ClaimRecord> records = unconfirmed.remove(batchNumber);
         if (records != null) {
@@ -66,16 +67,16 @@
     }
 
     /**
-     * Takes back a claim that has not been appended yet.
+     * Removes a claim from the queue if it is not part of a batch yet.
      *
-     * @return false where it is on its way, or may be on the log
+     * @return false if the claim is being appended or may already be on the log
      */
     boolean removeQueuedClaim(String claimId) {
         return queue.removeIf(
                 entry -> entry instanceof ClaimRecord.Claimed && entry.claimId().equals(claimId));
     }
 
-    /** Drops a claim from batches that would be sent again. */
+    /** Removes a claim from the unconfirmed batches, so that it is not appended again. */
     void removeUnconfirmedClaim(String claimId) {
         unconfirmed.replaceAll((_batch, records) -> records.stream()
                 .filter(entry -> !(entry instanceof ClaimRecord.Claimed
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutcome.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutcome.java
@@ -2,13 +2,13 @@
 
 import java.util.function.Function;
 
-/** What became of claiming an idempotency key. */
+/** The outcome of claiming an idempotency key. */
 public sealed interface ClaimOutcome {
 
     /**
-     * The claim was read back as the first of its key: this instance alone may send the request.
+     * The claim was read back as the first of its key: only this instance may send the request.
      *
-     * @param claimId names the claim
+     * @param claimId the claim's id
      */
     record Won(String claimId) implements ClaimOutcome {}
 
@@ -23,22 +23,22 @@
     record KeyReused() implements ClaimOutcome {}
 
     /**
-     * The claim was not read back in time; it is void, and is released where it turns up on the log after all.
+     * The claim was not read back in time. It is invalid, and is released if it appears on the log later.
      *
-     * @param detail why
-     * @param retryAfterMillis when another try makes sense, in milliseconds
+     * @param detail the cause, for people
+     * @param retryAfterMillis the delay after which a retry is useful, in milliseconds
      */
     record Unavailable(String detail, long retryAfterMillis) implements ClaimOutcome {}
 
     /**
-     * Calls the function of this outcome's kind.
+     * Applies the function that corresponds to the type of this outcome.
      *
      * @param acquired for {@link Won}
      * @param alreadyClaimed for {@link AlreadyClaimed}
      * @param keyReused for {@link KeyReused}
      * @param unavailable for {@link Unavailable}
-     * @param <T> what the functions return
-     * @return what the function returned
+     * @param <T> the result type of the functions
+     * @return the result of the function applied
      */
     default <T> T match(
             Function<Won, T> acquired,
--- a/src/main/java/org/dogwoodwinch/request/ClaimRecord.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimRecord.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** One entry of the claims stream; names are short because hundreds share an append. */
+/** A record of the claims stream. The JSON names are short because hundreds of records share one append. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = ClaimRecord.Claimed.class, name = "c"),
@@ -18,7 +18,7 @@
 
     String keyHash();
 
-    /** A key is claimed for a request that is to be sent to a stream. */
+    /** A key is claimed for a request that is about to be sent to a target. */
     record Claimed(
             @JsonProperty("i") String claimId,
             @JsonProperty("k") String keyHash,
@@ -27,7 +27,7 @@
             @JsonProperty("a") String attemptId)
             implements ClaimRecord {}
 
-    /** The claimed request goes to another stream; the first is proved not to have run. */
+    /** The claimed request is sent to another target; the previous attempt is proved not to have run. */
     record Moved(
             @JsonProperty("i") String claimId,
             @JsonProperty("k") String keyHash,
@@ -35,14 +35,14 @@
             @JsonProperty("a") String attemptId)
             implements ClaimRecord {}
 
-    /** The claimed request has its answer. */
+    /** The claimed request has been answered. */
     record Completed(
             @JsonProperty("i") String claimId,
             @JsonProperty("k") String keyHash,
             @JsonProperty("o") StoredAnswerRecord answer)
             implements ClaimRecord {}
 
-    /** The claimed request is proved not to have run; the key is free again. */
+    /** The claimed request is proved not to have run; its key is free again. */
     record Released(
             @JsonProperty("i") String claimId,
             @JsonProperty("k") String keyHash) implements ClaimRecord {}
--- a/src/main/java/org/dogwoodwinch/request/ClaimRequest.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimRequest.java
@@ -5,30 +5,31 @@
 import java.util.Objects;
 
 /**
- * What is claimed.
+ * A request to claim an idempotency key.
  *
- * @param keyHash the owner's name and the caller's key, hashed so that two owners' keys never meet, not null
+ * @param keyHash the hash of the owner's name and the caller's key; the owner is included so that equal keys of two
+ *     owners do not collide, not null
  * @param fingerprint the request's fingerprint; one key belongs to one fingerprint
- * @param pointer where the request is to be sent, not null
+ * @param pointer the stream that the request will be sent to, not null
  */
 public record ClaimRequest(String keyHash, long fingerprint, StreamPointer pointer) {
 
-    /** 128 bits: enough that no two keys of one key memory meet, short enough to batch hundreds in an append. */
+    /** 128 bits: collisions among the retained keys are negligible, and hundreds of hashes fit into one append. */
     private static final int HASH_HEX_DIGITS = 32;
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public ClaimRequest {
         Objects.requireNonNull(keyHash, "keyHash");
         Objects.requireNonNull(pointer, "pointer");
     }
 
     /**
-     * Makes the claim of a request.
+     * Creates the claim for a request.
      *
      * @param request a request with an idempotency key, not null
-     * @param pointer where it is to be sent, not null
+     * @param pointer the stream that the request will be sent to, not null
      * @return the claim
-     * @throws java.util.NoSuchElementException if the request has no key
+     * @throws java.util.NoSuchElementException if the request has no idempotency key
      */
     public static ClaimRequest of(CallerRequest request, StreamPointer pointer) {
         String owner = request.entry().owner();
--- a/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
@@ -12,15 +12,15 @@
 import org.dogwoodwinch.time.Cancellable;
 
 /**
- * One attempt on one engine: reads its stream, joins it again where the connection breaks, and tells a whole answer from
- * a cut one.
+ * One attempt on one engine. It reads the engine's stream, resumes the stream after a broken connection, and detects
+ * truncated answers.
  *
- * <p>All methods run on the request's {@link SerialExecutor}. Each connection has a reader of its own; what a reader brings
- * after it was replaced is dropped and counted.
+ * <p>All methods run on the request's {@link SerialExecutor}. Each connection has its own reader; events of a reader that
+ * has been replaced are dropped and counted.
  */
 final class EngineAttempt {
 
-    /** Hears what becomes of the attempt. */
+    /** Receives the chunks and the result of the attempt. */
     interface Listener {
 
         void onDelivered(AnswerChunk chunk);
@@ -32,7 +32,7 @@
         void onDiverged();
     }
 
-    /** How many times as long as expected the first token may take before it counts as late. */
+    /** The multiple of the expected time to the first token that is tolerated in addition to the stall timeout. */
     private static final int FIRST_TOKEN_TOLERANCE_FACTOR = 3;
 
     private final RequestContext context;
@@ -57,8 +57,9 @@
     /**
      * Creates an attempt.
      *
-     * @param sharedStream whether the stream is another request's, which this one must not cancel
-     * @param expectedFirstTokenMillis when the first token is expected, in milliseconds from the send: a long queue is no stall
+     * @param sharedStream whether the stream belongs to another request, so that this attempt must not cancel it
+     * @param expectedFirstTokenMillis the expected time from the send to the first token, in milliseconds; time spent in
+     *     a long queue does not count as a stall
      */
     EngineAttempt(
             RequestContext context,
@@ -89,7 +90,7 @@
         return pointer.attemptId();
     }
 
-    /** Sends the attempt. */
+    /** Sends the call to the engine. */
     void start(GenerateCall call, RouteQuery query) {
         context.router().onSent(attemptId(), target, query);
         Reader next = openReader();
@@ -97,7 +98,7 @@
         next.pauseIfDisabled();
     }
 
-    /** Joins a stream that another request started, from its first token. */
+    /** Joins a stream that another request started, at the next token that was not delivered yet. */
     void join() {
         Reader next = openReader();
         next.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), next);
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Gives the attempt up; its engine stops it unless the stream is shared. */
+    /** Ends the attempt and cancels the generation on the engine unless the stream is shared. */
     void cancel() {
         finish();
         if (!sharedStream) {
@@ -121,7 +122,7 @@
         reader.stop(!sharedStream);
     }
 
-    /** Stops listening and lets the engine finish, so that a resend can join the stream. */
+    /** Ends the attempt and lets the engine finish, so that a resend can join the stream. */
     void detach() {
         finish();
         if (!sharedStream) {
@@ -167,8 +168,8 @@
         stalled.stop(false);
         onFailure(
                 stalled,
-                new TargetFailure.TimedOut(
-                        "nothing came for " + context.settings().stallMillis() + " ms"));
+                new TargetFailure.TimedOut("engine sent nothing for more than "
+                        + context.settings().stallMillis() + " ms"));
         if (!finished) {
             armStallTimer();
         }
@@ -186,7 +187,10 @@
             listener.onDelivered(progress.pendingChunk());
         } else if (verdict == AnswerProgress.Verdict.GAP) {
             source.stop(false);
-            onFailure(source, new TargetFailure.Broken("token " + progress.nextExpectedSequence() + " is missing"));
+            onFailure(
+                    source,
+                    new TargetFailure.Broken(
+                            "stream has a gap: token " + progress.nextExpectedSequence() + " is missing"));
         } else if (verdict == AnswerProgress.Verdict.DIVERGED) {
             cancel();
             listener.onDiverged();
@@ -209,8 +213,9 @@
             return;
         }
         if (usage.completionTokens() > progress.nextExpectedSequence()) {
-            // The engine generated more than arrived: a cut answer must not pass for whole.
-            onFailure(source, new TargetFailure.Broken("the end came before token " + progress.nextExpectedSequence()));
+            // The engine generated more tokens than were received: the answer is truncated and must not count as
+            // complete.
+            onFailure(source, new TargetFailure.Broken("stream ended before token " + progress.nextExpectedSequence()));
             return;
         }
         finish();
@@ -230,7 +235,9 @@
             return;
         }
         if (source.interruption != null && !isInterruption(failure)) {
-            // The stream could not be joined: what had cut it decides, for the request had been sent before.
+            // The stream could not be resumed. The failure that interrupted it is reported, because the request had
+            // already
+            // been sent by then.
             fail(source.interruption, indicatesCrash(failure));
             return;
         }
@@ -245,13 +252,16 @@
         return failure instanceof TargetFailure.Broken || failure instanceof TargetFailure.TimedOut;
     }
 
-    /** An engine that is there no more, or is there without the stream, has crashed since. */
+    /** Returns whether the resume failed because the engine is gone or has lost the stream, which indicates a crash. */
     private static boolean indicatesCrash(TargetFailure failure) {
         return failure instanceof TargetFailure.NotSent
                 || (failure instanceof TargetFailure.Refused refused && !refused.overloaded() && !refused.leaving());
     }
 
-    /** Without progress since the last join there is no further one, or a stream that breaks at once is joined forever. */
+    /**
+     * Resumes the stream after an interruption. Callers check that tokens arrived since the last connect: otherwise a
+     * stream that always breaks at once would be resumed forever.
+     */
     private void resumeStream(TargetFailure interruption) {
         progressedSinceConnect = false;
         lastReceivedMillis = context.nowMillis();
@@ -279,13 +289,13 @@
         stallTimer.cancel();
     }
 
-    /** One connection's listener. */
+    /** Listens to one connection. */
     private final class Reader implements AnswerListener {
 
         private final TargetFailure interruption;
         private AnswerStream stream;
 
-        /** Creates a reader; {@code cause} is what cut the connection before, or null for the first. */
+        /** Creates a reader; {@code interruption} is the failure of the previous connection, or null for the first one. */
         Reader(TargetFailure interruption) {
             this.interruption = interruption;
         }
--- a/src/main/java/org/dogwoodwinch/request/HeldClaim.java
+++ b/src/main/java/org/dogwoodwinch/request/HeldClaim.java
@@ -5,44 +5,45 @@
 /**
  * A claim that holds its key.
  *
- * @param claimId names the claim, not null
- * @param pointer the stream of the request that it stands for, not null
- * @param outcomeOffset the offset of the record with the request's outcome; -1 while there is none
- * @param inProgress whether its claimant is believed to be at work on it, so that its stream is not to be taken over yet
+ * @param claimId the claim's id, not null
+ * @param pointer the stream of the claimed request, not null
+ * @param outcomeOffset the log offset of the record with the request's outcome; -1 if there is none yet
+ * @param inProgress whether the instance that made the claim is believed to be processing it, in which case its stream
+ *     must not be taken over yet
  */
 public record HeldClaim(String claimId, StreamPointer pointer, long outcomeOffset, boolean inProgress) {
 
-    /** The offset of an outcome that is not there yet. */
+    /** The outcome offset of a claim that has no outcome yet. */
     public static final long NO_OUTCOME = -1;
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public HeldClaim {
         Objects.requireNonNull(claimId, "claimId");
         Objects.requireNonNull(pointer, "pointer");
     }
 
     /**
-     * Says whether the request's outcome is on the log.
+     * Returns whether the request's outcome is on the log.
      *
-     * @return true where it is
+     * @return true if it is
      */
     public boolean hasOutcome() {
         return outcomeOffset != NO_OUTCOME;
     }
 
     /**
-     * Returns who made the claim.
+     * Returns the id of the writer that made the claim.
      *
-     * @return the name of one start of one instance
+     * @return an id that identifies one start of one instance
      */
     public String writerId() {
         return claimId.substring(0, Math.max(0, claimId.lastIndexOf('.')));
     }
 
     /**
-     * Returns this claim with what is believed of its claimant.
+     * Returns a copy of this claim with another progress flag.
      *
-     * @param newInProgress whether it is believed to be at work
+     * @param newInProgress whether the claim's writer is believed to be processing it
      * @return the copy
      */
     public HeldClaim withInProgress(boolean newInProgress) {
--- a/src/main/java/org/dogwoodwinch/request/JitteredBackoff.java
+++ b/src/main/java/org/dogwoodwinch/request/JitteredBackoff.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Waits before retries: uniform between zero and a bound that doubles (full jitter), so that requests that failed
- * together do not come back together. Safe to call from many threads.
+ * Exponential back-off with full jitter: each delay is uniform between zero and a bound that doubles with each retry, so
+ * that requests that failed together are not retried together. Thread-safe.
  */
 public final class JitteredBackoff {
 
@@ -18,9 +18,9 @@
     /**
      * Creates a back-off.
      *
-     * @param baseMillis the bound of the first wait, in milliseconds, more than zero
-     * @param maxMillis the bound of any wait, in milliseconds
-     * @param random the source of chance, not null; used under this object's lock
+     * @param baseMillis the upper bound of the first delay, in milliseconds, more than zero
+     * @param maxMillis the upper bound of every delay, in milliseconds
+     * @param random the source of randomness, not null; used under this object's lock
      */
     public JitteredBackoff(long baseMillis, long maxMillis, UniformRandomProvider random) {
         this.baseMillis = baseMillis;
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Draws a wait.
+     * Returns a random delay.
      *
-     * @param retry which retry it is, from one
-     * @return the wait, in milliseconds
+     * @param retry the number of the retry, starting at one
+     * @return the delay, in milliseconds
      */
     public synchronized long delayMillis(int retry) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, retry - 1));
--- a/src/main/java/org/dogwoodwinch/request/KeptAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/KeptAnswer.java
@@ -6,19 +6,19 @@
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.Usage;
 
-/** The answer of a claimed request, kept on the log for a resend. */
+/** The answer to a claimed request, stored on the log for resends. */
 public sealed interface KeptAnswer {
 
     /**
      * A generated answer.
      *
-     * @param text the whole text, not null
-     * @param usage what it cost, not null
-     * @param finishReason why it ended, not null
+     * @param text the complete text, not null
+     * @param usage the tokens used, not null
+     * @param finishReason the reason for which the generation ended, not null
      */
     record Generated(String text, Usage usage, String finishReason) implements KeptAnswer {
 
-        /** Checks the parts. */
+        /** Checks that no component is null. */
         public Generated {
             Objects.requireNonNull(text, "text");
             Objects.requireNonNull(usage, "usage");
@@ -27,33 +27,33 @@
     }
 
     /**
-     * A plain service's answer.
+     * The answer of a plain service.
      *
      * @param answer the answer, not null
      */
     record Service(ServiceAnswer answer) implements KeptAnswer {
 
-        /** Checks the parts. */
+        /** Checks that the answer is not null. */
         public Service {
             Objects.requireNonNull(answer, "answer");
         }
     }
 
     /**
-     * The answer was too long to keep; the engine may still have the stream that the claim names.
+     * The answer was too long to store. The engine may still have the stream that the claim refers to.
      *
-     * @param answerBytes how long it was, in bytes
+     * @param answerBytes the length of the answer, in bytes or, where its text was not collected, in characters
      */
     record TooLong(long answerBytes) implements KeptAnswer {}
 
     /**
-     * Calls the function of this answer's kind.
+     * Applies the function that corresponds to the type of this answer.
      *
      * @param generated for {@link Generated}
      * @param service for {@link Service}
      * @param tooLong for {@link TooLong}
-     * @param <T> what the functions return
-     * @return what the function returned
+     * @param <T> the result type of the functions
+     * @return the result of the function applied
      */
     default <T> T match(
             Function<Generated, T> generated, Function<ServiceAnswer, T> service, Function<TooLong, T> tooLong) {
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Returns the answer's length, for the bound on what is kept.
+     * Returns the length of the answer, which is compared with the limit on stored answers.
      *
-     * @return bytes of UTF-8 or of the body
+     * @return the length of the UTF-8 text or of the body, in bytes
      */
     default long answerBytes() {
         return match(
--- a/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
@@ -16,11 +16,13 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Claims on the platform's log: appended in batches, and won only when the stream, read back, shows them first.
+ * Stores claims on the platform's log. Claims are appended in batches, and a claim is acquired only when it is read back
+ * from the stream as the first claim of its key.
  *
- * <p>An append's answer decides nothing, since it can be lost after it took effect. A claim that is not read back in
- * time is void: its request was refused as not run, so the claim is never acted on, and where it turns up on the log
- * later it is released. Until then others take it for a request that may have run, which errs on the safe side.
+ * <p>The reply to an append decides nothing, because it can be lost after the append took effect. A claim that is not
+ * read back within its timeout is discarded: its request was refused as not run, so the claim is never acted on, and it
+ * is released if it appears on the log later. Until then, other instances treat it as a request that may have run, which
+ * is the safe assumption.
  */
 public final class LogClaimLedger implements ClaimStore {
 
@@ -45,7 +47,10 @@
     private final ClaimOutbox outbox;
     private final Map<String, PendingClaim> pendingClaims = new HashMap<>();
 
-    /** Won claims that are being worked on, with their keys; the oldest service calls that never answered drop out. */
+    /**
+     * Key hashes of the acquired claims whose requests are in progress, by claim id. The oldest entry is evicted when the
+     * map is full, which removes service calls that were never answered.
+     */
     private final Map<String, String> activeClaimKeys = new LinkedHashMap<>();
 
     private long nextOffset;
@@ -56,15 +61,15 @@
     private boolean stopped;
 
     /**
-     * Creates a ledger; {@link #start()} makes it read.
+     * Creates a claim store, which reads the stream once {@link #start()} is called.
      *
      * @param logService the platform's log, not null
      * @param time the clock and timers, not null
-     * @param writerId names this start of this instance and no other one, not null
-     * @param claimTimeoutMillis how long a claim is waited for, in milliseconds
-     * @param batchWindowMillis how long the first claim of a batch waits for others, in milliseconds
-     * @param index takes the stream, empty at first, not null; not used by others afterwards
-     * @param liveWriters whether another start of an instance is believed alive, by its name, not null
+     * @param writerId identifies this start of this instance; must be unique among all starts of all instances, not null
+     * @param claimTimeoutMillis how long a claim may take to be read back, in milliseconds
+     * @param batchWindowMillis how long the first claim of a batch waits for further ones, in milliseconds
+     * @param index the empty index that the stream is applied to, not null; the caller must not use it afterwards
+     * @param liveWriters tests whether the writer with a given id is believed to be alive, not null
      */
     public LogClaimLedger(
             LogService logService,
@@ -76,25 +81,25 @@
             Predicate<String> liveWriters) {
         this.logService = Objects.requireNonNull(logService, "logService");
         this.time = Objects.requireNonNull(time, "time");
-        this.writerId = Objects.requireNonNull(writerId, "writer");
+        this.writerId = Objects.requireNonNull(writerId, "writerId");
         this.claimTimeoutMillis = claimTimeoutMillis;
         this.batchWindowMillis = batchWindowMillis;
-        this.index = Objects.requireNonNull(index, "fold");
+        this.index = Objects.requireNonNull(index, "index");
         this.liveWriters = Objects.requireNonNull(liveWriters, "liveWriters");
         this.outbox = new ClaimOutbox(writerId);
     }
 
-    /** Starts to read the stream from its oldest retained record. */
+    /** Starts reading the stream at its oldest retained record. */
     public void start() {
         readNext();
     }
 
-    /** Stops reading and appending; what is pending is refused. */
+    /** Stops reading the stream and refuses the pending claims. */
     public void stop() {
         List<Runnable> callbacks;
         synchronized (this) {
             stopped = true;
-            callbacks = discardAll("this instance is stopping");
+            callbacks = discardAll("this instance is shutting down");
         }
         callbacks.forEach(Runnable::run);
     }
@@ -112,10 +117,11 @@
             return Optional.of(outcomeOf(claim, held.get()));
         }
         if (stopped || consecutiveFailedReads >= UNAVAILABLE_AFTER_FAILED_READS) {
-            return Optional.of(new ClaimOutcome.Unavailable("the log is out", RETRY_AFTER_MILLIS));
+            return Optional.of(new ClaimOutcome.Unavailable("the claim log is unavailable", RETRY_AFTER_MILLIS));
         }
         if (index.isFull()) {
-            return Optional.of(new ClaimOutcome.Unavailable("too many keys are remembered", RETRY_AFTER_MILLIS));
+            return Optional.of(new ClaimOutcome.Unavailable(
+                    "the limit on retained idempotency keys is reached", RETRY_AFTER_MILLIS));
         }
         String claimId = writerId + "." + nextClaimNumber++;
         PendingClaim added = new PendingClaim(claim, outcome, nowMillis + claimTimeoutMillis);
@@ -152,10 +158,12 @@
             }
             discardClaim(claimId);
         }
-        timedOut.outcome().accept(new ClaimOutcome.Unavailable("the log is slow", RETRY_AFTER_MILLIS));
+        timedOut.outcome()
+                .accept(new ClaimOutcome.Unavailable(
+                        "the claim was not confirmed by the log in time", RETRY_AFTER_MILLIS));
     }
 
-    /** From here on the claim is nobody's: {@link #onOwnClaim} releases it where it turns up. */
+    /** Discards a pending claim; {@link #onOwnClaim} releases it if it appears on the log later. */
     private void discardClaim(String claimId) {
         pendingClaims.remove(claimId);
         outbox.removeQueuedClaim(claimId);
@@ -217,7 +225,7 @@
     }
 
     /**
-     * Returns how many keys are remembered.
+     * Returns the number of retained keys.
      *
      * @return the count
      */
@@ -237,7 +245,10 @@
         }
     }
 
-    /** One append at a time: while it is out, the next batch gathers, so that batches grow as the log slows down. */
+    /**
+     * Appends the next batch. Only one append is in progress at a time; records that arrive in the meantime form the next
+     * batch, so that batches grow as the log slows down.
+     */
     private void flush() {
         ClaimBatch batch;
         synchronized (this) {
@@ -250,8 +261,11 @@
         }
         logService
                 .append(STREAM, ClaimCodec.encode(batch))
-                .whenComplete((result, fault) ->
-                        onAppended(batch, result != null ? result : new AppendResult.Unknown("append: " + fault)));
+                .whenComplete((result, fault) -> onAppended(
+                        batch,
+                        result != null
+                                ? result
+                                : new AppendResult.Unknown("append to the claims stream failed: " + fault)));
     }
 
     private void onAppended(ClaimBatch batch, AppendResult result) {
@@ -281,7 +295,7 @@
         return !(entry instanceof ClaimRecord.Claimed) || pendingClaims.containsKey(entry.claimId());
     }
 
-    /** A claim that cannot be appended before its time is up is refused at once: waiting would change nothing. */
+    /** Refuses claims whose timeout expires before the next append, since waiting could not change the result. */
     private List<Runnable> refuseExpiring(AppendResult.Refused refused, long nextAppendMillis) {
         List<String> expiring = pendingClaims.entrySet().stream()
                 .filter(each -> each.getValue().deadlineMillis() <= nextAppendMillis)
@@ -321,8 +335,10 @@
         }
         logService
                 .read(STREAM, fromOffset, MAX_RECORDS_PER_READ, READ_WAIT_MILLIS)
-                .whenComplete((result, fault) ->
-                        onRead(result != null ? result : new ReadResult.Unavailable("read: " + fault)));
+                .whenComplete((result, fault) -> onRead(
+                        result != null
+                                ? result
+                                : new ReadResult.Unavailable("read of the claims stream failed: " + fault)));
     }
 
     private void onRead(ReadResult result) {
@@ -333,12 +349,12 @@
             if (result instanceof ReadResult.Records records) {
                 records.records().forEach(each -> callbacks.addAll(applyRecord(each)));
             } else if (result instanceof ReadResult.Expired expired) {
-                // What expired is older than the key memory, which the settings keep below the log's retention.
+                // Expired records are older than the key retention, which the settings keep below the log's retention.
                 nextOffset = expired.firstRetainedOffset();
             }
             consecutiveFailedReads = failed ? consecutiveFailedReads + 1 : 0;
             if (consecutiveFailedReads >= UNAVAILABLE_AFTER_FAILED_READS) {
-                callbacks.addAll(discardAll("the log is out"));
+                callbacks.addAll(discardAll("the claim log is unavailable"));
             }
         }
         callbacks.forEach(Runnable::run);
@@ -379,10 +395,12 @@
             return Optional.empty();
         }
         if (first && nowMillis > waiting.deadlineMillis()) {
-            // This process was paused while it waited. Others may have forgotten the key since: the claim is void.
+            // This process was paused past the claim's timeout. Other instances may have evicted the key since then, so
+            // the claim must not be used.
             append(new ClaimRecord.Released(claimed.claimId(), claimed.keyHash()));
             return Optional.of(() -> waiting.outcome()
-                    .accept(new ClaimOutcome.Unavailable("the claim was read back too late", RETRY_AFTER_MILLIS)));
+                    .accept(new ClaimOutcome.Unavailable(
+                            "the claim was read back from the log after its timeout", RETRY_AFTER_MILLIS)));
         }
         if (first) {
             activeClaimKeys.put(claimed.claimId(), claimed.keyHash());
@@ -392,7 +410,8 @@
             return Optional.of(() -> waiting.outcome().accept(new ClaimOutcome.Won(claimed.claimId())));
         }
         ClaimOutcome lost = held.map(entry -> outcomeOf(waiting.claim(), entry))
-                .orElseGet(() -> new ClaimOutcome.Unavailable("the claim was released", RETRY_AFTER_MILLIS));
+                .orElseGet(() -> new ClaimOutcome.Unavailable(
+                        "the claim was no longer held when it was read back", RETRY_AFTER_MILLIS));
         return Optional.of(() -> waiting.outcome().accept(lost));
     }
 
--- a/src/main/java/org/dogwoodwinch/request/PrefillStep.java
+++ b/src/main/java/org/dogwoodwinch/request/PrefillStep.java
@@ -11,7 +11,10 @@
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.target.Usage;
 
-/** Computes a prompt on one engine and exports its KV cache for another; reports on the request's queue, once. */
+/**
+ * Runs the prefill of a prompt on one engine and exports the resulting KV cache for another engine. The result is reported
+ * exactly once, on the request's {@link SerialExecutor}.
+ */
 final class PrefillStep implements AnswerListener {
 
     private final SerialExecutor executor;
@@ -47,7 +50,7 @@
 
     @Override
     public void onChunk(AnswerChunk _chunk) {
-        // A prefill generates nothing; the engine that decodes brings the first token.
+        // A prefill generates no tokens; the decoding engine produces the first one.
     }
 
     @Override
@@ -71,7 +74,8 @@
                 .whenComplete((reply, fault) -> executor.execute(() -> finish(
                         reply != null
                                 ? reply
-                                : new TargetReply.Failure<>(new TargetFailure.Failed("export: " + fault)))));
+                                : new TargetReply.Failure<>(
+                                        new TargetFailure.Failed("KV cache export failed: " + fault)))));
     }
 
     private void finish(TargetReply<KvReference> reply) {
--- a/src/main/java/org/dogwoodwinch/request/Quarantine.java
+++ b/src/main/java/org/dogwoodwinch/request/Quarantine.java
@@ -2,10 +2,10 @@
 
 import java.util.Set;
 
-/** Requests that are suspected of crashing targets, by fingerprint. Safe to call from many threads. */
+/** Tracks, by fingerprint, the requests that are suspected of crashing targets. Thread-safe. */
 public interface Quarantine {
 
-    /** Knows of no suspects. */
+    /** A quarantine without suspects, which ignores all events. */
     Quarantine NONE = new Quarantine() {
         @Override
         public Standing standing(long _fingerprint) {
@@ -27,57 +27,57 @@
         public void onEnded(long _fingerprint, String _attemptId, boolean _completed) {}
     };
 
-    /** How a request stands. */
+    /** The quarantine status of a request. */
     enum Standing {
-        /** Nothing is held against it. */
+        /** The request is not suspected. */
         CLEAR,
-        /** It was in flight on a target that crashed: it runs alone where a target is free for it. */
+        /** The request was in flight on a target that crashed; it runs alone if a target is available for that. */
         SUSPECT,
-        /** It was in flight on two targets that crashed: it runs only alone. */
+        /** The request was in flight on at least two targets that crashed; it may only run alone. */
         REPEATED_SUSPECT,
-        /** It crashed targets and is refused. */
+        /** The request crashed targets and is refused. */
         QUARANTINED
     }
 
     /**
-     * Looks a request up.
+     * Returns the quarantine status of a request.
      *
-     * @param fingerprint its fingerprint
-     * @return how it stands
+     * @param fingerprint the request's fingerprint
+     * @return the status
      */
     Standing standing(long fingerprint);
 
     /**
-     * Returns the targets on which a suspect runs, so that no other work is put beside it.
+     * Returns the targets on which a suspect runs in a trial, so that no other request is routed to them.
      *
-     * @return their names, in a copy
+     * @return a copy of the set of their names
      */
     Set<String> trialTargets();
 
     /**
-     * A suspect is about to run alone on a target.
+     * Called when a suspect is about to run alone on a target.
      *
-     * @param fingerprint its fingerprint
-     * @param attemptId names the attempt, not null
+     * @param fingerprint the request's fingerprint
+     * @param attemptId the attempt's id, not null
      * @param target the target's name, not null
      */
     void onTrial(long fingerprint, String attemptId, String target);
 
     /**
-     * A target crashed while an attempt was in flight on it.
+     * Called when a target crashed while an attempt was in flight on it.
      *
      * @param fingerprint the request's fingerprint
-     * @param attemptId names the attempt, not null
+     * @param attemptId the attempt's id, not null
      * @param target the target's name, not null
      */
     void onCrash(long fingerprint, String attemptId, String target);
 
     /**
-     * An attempt ended without a crash.
+     * Called when an attempt ended without a crash.
      *
      * @param fingerprint the request's fingerprint
-     * @param attemptId names the attempt, not null
-     * @param completed whether the answer is whole, which clears the request
+     * @param attemptId the attempt's id, not null
+     * @param completed whether the answer is complete, which clears the request of suspicion
      */
     void onEnded(long fingerprint, String attemptId, boolean completed);
 }
--- a/src/main/java/org/dogwoodwinch/request/QuarantineEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/request/QuarantineEndpoint.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 
 /**
- * What the operators' listener answers under {@link #PREFIX}: {@code GET /quarantine} lists, {@code POST
- * /quarantine/lift} with a {@link LiftRequest} lifts.
+ * Operator endpoint under {@link #PREFIX}: {@code GET /quarantine} lists the requests in quarantine, and {@code POST
+ * /quarantine/lift} with a {@link LiftRequest} ends the quarantine of one.
  */
 public final class QuarantineEndpoint {
 
-    /** The path that it answers under. */
+    /** The path that lists the requests in quarantine, and the prefix of all paths of this endpoint. */
     public static final String PREFIX = "/quarantine";
 
-    /** The path that lifts. */
+    /** The path that lifts a quarantine. */
     public static final String LIFT_PATH = PREFIX + "/lift";
 
     private static final int OK = 200;
@@ -27,19 +27,19 @@
     /**
      * Creates the endpoint.
      *
-     * @param suspects the suspects, not null
+     * @param suspects the registry of suspected requests, not null
      */
     public QuarantineEndpoint(SuspectBook suspects) {
-        this.suspects = Objects.requireNonNull(suspects, "book");
+        this.suspects = Objects.requireNonNull(suspects, "suspects");
     }
 
     /**
-     * Answers a call.
+     * Handles a call.
      *
      * @param method the HTTP method, not null
      * @param path the path, not null
-     * @param body the body in JSON, empty where there is none, not null
-     * @return the answer
+     * @param body the JSON body, empty if there is none, not null
+     * @return the response
      */
     public Answer handle(String method, String path, String body) {
         if (method.equals("GET") && path.equals(PREFIX)) {
@@ -48,7 +48,7 @@
         if (method.equals("POST") && path.equals(LIFT_PATH)) {
             return lift(body);
         }
-        return json(NOT_FOUND, new Problem("no such page: " + method + " " + path));
+        return json(NOT_FOUND, new Problem("not found: " + method + " " + path));
     }
 
     private Answer lift(String body) {
@@ -57,7 +57,7 @@
             boolean lifted = suspects.lift(Long.parseUnsignedLong(fingerprint, HEX_RADIX));
             return json(OK, new LiftAnswer(fingerprint, lifted));
         } catch (JsonProcessingException | NumberFormatException _e) {
-            return json(BAD_REQUEST, new Problem("fingerprint must be sixteen hexadecimal digits"));
+            return json(BAD_REQUEST, new Problem("fingerprint must be a hexadecimal number of at most 16 digits"));
         }
     }
 
@@ -65,43 +65,44 @@
         try {
             return new Answer(status, MAPPER.writeValueAsString(value));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("answers are always writable", e);
+            throw new IllegalStateException("quarantine response could not be serialized as JSON", e);
         }
     }
 
     /**
-     * An answer in JSON.
+     * A response with a JSON body.
      *
      * @param status the HTTP status
-     * @param body the JSON, not null
+     * @param body the JSON body, not null
      */
     public record Answer(int status, String body) {}
 
     /**
-     * Asks to lift a quarantine.
+     * The body of a call that lifts a quarantine.
      *
      * @param fingerprint the request's fingerprint in hexadecimal digits
      */
     public record LiftRequest(String fingerprint) {
 
-        /** Takes a missing fingerprint for an empty one, which is refused as malformed. */
+        /** Replaces a missing fingerprint by an empty string, which is rejected as malformed. */
         public LiftRequest {
             fingerprint = fingerprint == null ? "" : fingerprint;
         }
     }
 
     /**
-     * What became of lifting a quarantine.
+     * The result of a call that lifts a quarantine.
      *
      * @param fingerprint the request's fingerprint in hexadecimal digits
-     * @param lifted whether it was in quarantine on the instance that was asked; the others are told either way
+     * @param lifted whether the request was in quarantine on the instance that was called; the other instances are
+     *     notified in either case
      */
     public record LiftAnswer(String fingerprint, boolean lifted) {}
 
     /**
-     * What is wrong with a call.
+     * The body of an error response.
      *
-     * @param detail a sentence for people
+     * @param detail a human-readable description of the error
      */
     public record Problem(String detail) {}
 }
--- a/src/main/java/org/dogwoodwinch/request/QuarantinedRequest.java
+++ b/src/main/java/org/dogwoodwinch/request/QuarantinedRequest.java
@@ -1,10 +1,10 @@
 package org.dogwoodwinch.request;
 
 /**
- * A request in quarantine, as operators see it.
+ * A request in quarantine, as listed for operators.
  *
- * @param fingerprint its fingerprint, in sixteen hexadecimal digits
- * @param crashes how many crashes this instance saw or heard of
- * @param remainingMillis how much longer the quarantine lasts, in milliseconds
+ * @param fingerprint the request's fingerprint, as sixteen hexadecimal digits
+ * @param crashes the number of crashes that this instance observed or that other instances reported to it
+ * @param remainingMillis the remaining duration of the quarantine, in milliseconds
  */
 public record QuarantinedRequest(String fingerprint, int crashes, long remainingMillis) {}
--- a/src/main/java/org/dogwoodwinch/request/Refusal.java
+++ b/src/main/java/org/dogwoodwinch/request/Refusal.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * A refusal, as the caller gets it.
+ * The refusal of a request, as returned to the caller.
  *
- * @param reason why, not null
- * @param run whether the request ran, not null
- * @param detail a sentence for people, not null
- * @param field the field of the request that is at fault; empty where none is, not null
- * @param retryAfterMillis when to come back, in milliseconds; zero where coming back does not help
+ * @param reason the reason, not null
+ * @param run whether the request may have run, not null
+ * @param detail a human-readable description, not null
+ * @param field the invalid field of the request; empty if the refusal is not about a field, not null
+ * @param retryAfterMillis the delay after which a retry is useful, in milliseconds; zero if a retry does not help
  */
 public record Refusal(RefusalReason reason, RunState run, String detail, String field, long retryAfterMillis) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public Refusal {
         Objects.requireNonNull(reason, "reason");
         Objects.requireNonNull(run, "run");
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Makes a refusal of a request that did not run.
+     * Creates the refusal of a request that did not run.
      *
-     * @param reason why, not null
-     * @param detail a sentence for people, not null
-     * @param retryAfterMillis when to come back, in milliseconds; zero where coming back does not help
+     * @param reason the reason, not null
+     * @param detail a human-readable description, not null
+     * @param retryAfterMillis the delay after which a retry is useful, in milliseconds; zero if a retry does not help
      * @return the refusal
      */
     public static Refusal notRun(RefusalReason reason, String detail, long retryAfterMillis) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Makes a refusal of a request that may have run.
+     * Creates the refusal of a request that may have run.
      *
-     * @param reason why, not null
-     * @param detail a sentence for people, not null
+     * @param reason the reason, not null
+     * @param detail a human-readable description, not null
      * @return the refusal
      */
     public static Refusal mayHaveRun(RefusalReason reason, String detail) {
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Makes a refusal that names the field at fault.
+     * Creates the refusal of a request with an invalid field, which did not run.
      *
-     * @param field the field, not null
-     * @param detail what is wrong with it, not null
+     * @param field the name of the field; empty if the error concerns the whole request, not null
+     * @param detail a human-readable description of the error, not null
      * @return the refusal
      */
     public static Refusal invalidField(String field, String detail) {
--- a/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
@@ -12,12 +12,12 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * One attempt from its send to its end: a call of a plain service, a generation on one engine, or a prefill on one
- * engine and the generation on another. All methods run on the request's {@link SerialExecutor}.
+ * One attempt of a request: a call to a plain service, a generation on one engine, or a prefill on one engine followed by
+ * the generation on another. All methods run on the request's {@link SerialExecutor}.
  */
 final class RequestAttempt implements EngineAttempt.Listener {
 
-    /** Hears how the attempt ended, once. */
+    /** Receives the result of the attempt, exactly once. */
     interface Listener {
 
         void onCompleted(KeptAnswer kept, Usage usage);
@@ -86,7 +86,7 @@
         engineAttempt.ifPresent(each -> each.setReadingEnabled(enabled));
     }
 
-    /** Stops the attempt; a service's call that was sent cannot be taken back, and its answer is still recorded. */
+    /** Stops the attempt. A service call that was already sent cannot be cancelled, and its answer is still recorded. */
     void stop(boolean cancelled) {
         stopped = true;
         prefill.ifPresent(PrefillStep::cancel);
@@ -174,7 +174,8 @@
                 .whenComplete((reply, fault) -> executor.execute(() -> onServiceReply(
                         reply != null
                                 ? reply
-                                : new TargetReply.Failure<>(new TargetFailure.Broken("call: " + fault)))));
+                                : new TargetReply.Failure<>(
+                                        new TargetFailure.Broken("service call failed: " + fault)))));
     }
 
     private void onServiceReply(TargetReply<ServiceAnswer> reply) {
--- a/src/main/java/org/dogwoodwinch/request/RequestContext.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestContext.java
@@ -10,7 +10,7 @@
 import org.dogwoodwinch.target.TargetClients;
 import org.dogwoodwinch.time.TimeSource;
 
-/** What all requests of one instance share; see {@link RequestCoordinator} for the parts. */
+/** The collaborators that all requests of one instance share; {@link RequestCoordinator} documents them. */
 record RequestContext(
         Admission admission,
         Router router,
--- a/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
@@ -14,9 +14,10 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Sees each request through to its one answer: admission, route, claim, attempts, retries, refusal.
+ * Processes each request from submission to its final answer: admission, routing, claim of the idempotency key, attempts,
+ * retries and refusal.
  *
- * <p>Safe to call from many threads; each request's own events run one at a time.
+ * <p>Thread-safe; the events of one request are processed one at a time.
  */
 public final class RequestCoordinator implements RequestHandler {
 
@@ -30,16 +31,16 @@
      *
      * @param admission grants permits, not null
      * @param router chooses targets, not null
-     * @param clients reaches targets, not null
-     * @param targetLookup finds a target by its name, for joining streams that claims name, not null
-     * @param modelLookup finds the model that engines know an entry by, not null
+     * @param clients provides the clients that call targets, not null
+     * @param targetLookup finds a target by name, to join a stream that a claim refers to, not null
+     * @param modelLookup returns the model name under which engines serve a catalogue entry, not null
      * @param time the clock and timers, not null
-     * @param random the source of chance for attempt ids and back-off, not null; not used by others afterwards
+     * @param random the source of randomness for attempt ids and back-off, not null; the caller must not use it afterwards
      * @param claimStore the claims of idempotency keys, not null
-     * @param quarantine the suspects, not null
-     * @param observer hears what becomes of requests, not null
-     * @param settings what may be set, not null
-     * @param policies the decisions, {@link RequestPolicies#STANDARD} outside of tests, not null
+     * @param quarantine the requests suspected of crashing targets, not null
+     * @param observer is notified of the events of all requests, not null
+     * @param settings the settings, not null
+     * @param policies the policies, {@link RequestPolicies#STANDARD} except in tests, not null
      */
     public RequestCoordinator(
             Admission admission,
@@ -55,18 +56,18 @@
             RequestSettings settings,
             RequestPolicies policies) {
         Objects.requireNonNull(settings, "settings");
-        // Two starts of one instance must not use one attempt id twice: an engine would join their streams.
+        // Two starts of one instance must not use the same attempt id, or an engine would mix up their streams.
         String incarnationId = Long.toUnsignedString(random.nextLong(), ID_RADIX);
         AtomicLong counter = new AtomicLong();
         this.context = new RequestContext(
                 Objects.requireNonNull(admission, "admission"),
                 Objects.requireNonNull(router, "router"),
                 Objects.requireNonNull(clients, "clients"),
-                Objects.requireNonNull(targetLookup, "targets"),
-                Objects.requireNonNull(modelLookup, "models"),
+                Objects.requireNonNull(targetLookup, "targetLookup"),
+                Objects.requireNonNull(modelLookup, "modelLookup"),
                 Objects.requireNonNull(time, "time"),
                 () -> incarnationId + "-" + Long.toString(counter.incrementAndGet(), ID_RADIX),
-                Objects.requireNonNull(claimStore, "claims"),
+                Objects.requireNonNull(claimStore, "claimStore"),
                 Objects.requireNonNull(quarantine, "quarantine"),
                 Objects.requireNonNull(observer, "observer"),
                 settings,
@@ -84,7 +85,7 @@
     }
 
     /**
-     * Returns how many requests have not got their final answer yet; a draining daemon waits for zero.
+     * Returns the number of requests without a final answer; a draining daemon waits until it is zero.
      *
      * @return the count
      */
--- a/src/main/java/org/dogwoodwinch/request/RequestExecution.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestExecution.java
@@ -11,9 +11,9 @@
 import org.dogwoodwinch.time.Cancellable;
 
 /**
- * One request's life: admitted, routed, claimed where its key demands it, attempted, and ended with one answer.
+ * Executes one request: admission, routing, claim of its idempotency key if it needs one, attempts, and one final answer.
  *
- * <p>All of it runs on one {@link SerialExecutor}. {@link AttemptTracker} alone decides the word of a refusal.
+ * <p>All steps run on one {@link SerialExecutor}. The run state of a refusal is determined by {@link AttemptTracker} alone.
  */
 final class RequestExecution implements RequestHandle {
 
@@ -75,12 +75,12 @@
         join.ifPresent(each -> each.setReadingEnabled(enabled));
     }
 
-    /** A broken invariant ends this request with an answer; the others go on. */
+    /** Refuses this request after an unexpected exception; other requests are not affected. */
     private void onFault(RuntimeException fault) {
         context.observer().onFault(request, fault);
         if (!finished) {
             stopAttempts();
-            giveUp(RefusalReason.INTERNAL, "an internal fault", 0);
+            giveUp(RefusalReason.INTERNAL, "an internal error occurred", 0);
         }
     }
 
@@ -108,7 +108,7 @@
 
     private void onGranted(Permit granted) {
         if (finished) {
-            // The deadline passed while the grant was on its way: nobody else would give the permit back.
+            // The request ended before the grant arrived, so the permit must be released here or it would be lost.
             granted.release(0);
             return;
         }
@@ -177,7 +177,7 @@
             return;
         }
         if (finished) {
-            // It was given up while the claim was on its way; nothing was sent, so a resend may run.
+            // The request ended while the claim was pending; nothing was sent, so a resend may run.
             if (outcome instanceof ClaimOutcome.Won won) {
                 context.claimStore().release(won.claimId());
             }
@@ -195,7 +195,9 @@
                 },
                 _keyReused -> {
                     refuse(Refusal.notRun(
-                            RefusalReason.KEY_REUSED, "the idempotency key belongs to a different request", 0));
+                            RefusalReason.KEY_REUSED,
+                            "the idempotency key was already used for a different request",
+                            0));
                     return null;
                 },
                 unavailable -> {
@@ -223,8 +225,10 @@
 
             @Override
             public void onAnswerUnavailable() {
-                refuse(Refusal.mayHaveRun(
-                        RefusalReason.MAY_HAVE_RUN, "a request with this key was started and its answer is gone"));
+                refuse(
+                        Refusal.mayHaveRun(
+                                RefusalReason.MAY_HAVE_RUN,
+                                "an earlier request with this idempotency key may have run, and its answer cannot be retrieved"));
             }
         });
         join = Optional.of(next);
@@ -258,7 +262,10 @@
 
             @Override
             public void onDiverged() {
-                giveUp(RefusalReason.ANSWER_CUT, "another run began with a different text", 0);
+                giveUp(
+                        RefusalReason.ANSWER_CUT,
+                        "a rerun on another target produced text that differs from the text already delivered",
+                        0);
             }
         };
     }
@@ -326,11 +333,14 @@
             return;
         }
         stopAttempts();
-        giveUp(RefusalReason.DEADLINE_PASSED, "the deadline passed", 0);
+        giveUp(RefusalReason.DEADLINE_PASSED, "the deadline expired before the answer was complete", 0);
     }
 
     private void refuseQuarantined() {
-        giveUp(RefusalReason.QUARANTINED, "this request crashed the targets that ran it", 0);
+        giveUp(
+                RefusalReason.QUARANTINED,
+                "this request is in quarantine because it crashed the targets that ran it",
+                0);
     }
 
     private void giveUp(RefusalReason reason, String detail, long retryAfterMillis) {
@@ -348,7 +358,7 @@
         finish();
     }
 
-    /** A claimed stream runs on, so that a resend of its key can join it; any other is cancelled. */
+    /** Stops the attempts. The stream of a claimed request continues, so that a resend can join it; others are cancelled. */
     private void stopAttempts() {
         currentAttempt.ifPresent(attempt -> attempt.stop(claimId.isEmpty()));
         join.ifPresent(ClaimJoin::stop);
@@ -364,7 +374,10 @@
         onEnd.run();
     }
 
-    /** A service's answer can still come and is recorded; a stream can be joined by a resend of the key. */
+    /**
+     * Releases the claim if the request did not run. Otherwise a generation is left for a resend to join, and the claim of
+     * a service call stays active, because the service's answer can still arrive and is then recorded.
+     */
     private void settleClaim() {
         if (claimId.isEmpty()) {
             return;
--- a/src/main/java/org/dogwoodwinch/request/RequestHandle.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestHandle.java
@@ -1,14 +1,14 @@
 package org.dogwoodwinch.request;
 
-/** A caller's hold on its request. */
+/** Controls a submitted request on behalf of its caller. */
 public interface RequestHandle {
 
-    /** The caller's connection is full: stop reading from the target until {@link #resumeReading()}. */
+    /** Stops reading from the target until {@link #resumeReading()}, because the caller's connection is not writable. */
     void pauseReading();
 
-    /** The caller's connection has room again. */
+    /** Resumes reading from the target, because the caller's connection is writable again. */
     void resumeReading();
 
-    /** The caller left: cancel what runs; the sink hears nothing more. */
+    /** Cancels the request because the caller disconnected; the sink is not called any more. */
     void cancel();
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestHandler.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestHandler.java
@@ -1,15 +1,15 @@
 package org.dogwoodwinch.request;
 
-/** Takes requests from the callers' listener and sees each through to its one answer. */
+/** Accepts requests from the callers' listener and answers each of them exactly once. */
 @FunctionalInterface
 public interface RequestHandler {
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
      * @param request the request, not null
-     * @param sink takes its answer, not null; it may be called before this method returns
-     * @return the caller's hold on it
+     * @param sink receives the answer, not null; may be called before this method returns
+     * @return the handle that controls the request
      */
     RequestHandle submit(CallerRequest request, AnswerSink sink);
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestObserver.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestObserver.java
@@ -3,87 +3,88 @@
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.Usage;
 
-/** Hears what becomes of requests, for counters, histograms and log lines; each call must return at once. */
+/** Observes requests for counters, histograms and log lines. Implementations must not block. */
 public interface RequestObserver {
 
-    /** Hears nothing. */
+    /** An observer that ignores all events. */
     RequestObserver NONE = new RequestObserver() {};
 
     /**
-     * An attempt is about to be sent.
+     * Called when an attempt is about to be sent.
      *
      * @param request the request, not null
-     * @param attemptId names the attempt, not null
-     * @param target where to, not null
+     * @param attemptId the attempt's id, not null
+     * @param target the target that it is sent to, not null
      */
     default void onAttempt(CallerRequest request, String attemptId, Target target) {}
 
     /**
-     * An attempt is followed by another, or a cut stream is joined again.
+     * Called when a failed attempt is retried or an interrupted stream is resumed.
      *
      * @param request the request, not null
-     * @param reason why, not null
+     * @param reason the reason, not null
      */
     default void onRetry(CallerRequest request, RetryReason reason) {}
 
     /**
-     * The first piece of the answer goes to the caller.
+     * Called when the first chunk of the answer is delivered to the caller.
      *
      * @param request the request, not null
-     * @param elapsedMillis since its arrival, in milliseconds
+     * @param elapsedMillis the time since the request arrived, in milliseconds
      */
     default void onFirstToken(CallerRequest request, long elapsedMillis) {}
 
     /**
-     * A further piece of the answer goes to the caller.
+     * Called when a further chunk of the answer is delivered to the caller.
      *
      * @param request the request, not null
-     * @param elapsedMillis since the piece before it, in milliseconds
+     * @param elapsedMillis the time since the previous chunk, in milliseconds
      */
     default void onNextToken(CallerRequest request, long elapsedMillis) {}
 
     /**
-     * The caller got its whole answer.
+     * Called when the complete answer has been delivered to the caller.
      *
      * @param request the request, not null
-     * @param usage what it cost; zeros for a plain service, not null
+     * @param usage the tokens used; all zero for a plain service, not null
      */
     default void onCompleted(CallerRequest request, Usage usage) {}
 
     /**
-     * The request was refused.
+     * Called when the request is refused.
      *
      * @param request the request, not null
-     * @param refusal why, not null
+     * @param refusal the refusal that the caller receives, not null
      */
     default void onRefused(CallerRequest request, Refusal refusal) {}
 
     /**
-     * The caller left.
+     * Called when the request is cancelled because its caller disconnected.
      *
      * @param request the request, not null
      */
     default void onCancelled(CallerRequest request) {}
 
     /**
-     * Something came for an attempt that is over, or for another attempt, and was dropped.
+     * Called when a chunk or result was dropped because it belongs to an attempt that has ended or to another attempt.
      *
-     * @param request the request on whose connection it came, not null
+     * @param request the request on whose connection it arrived, not null
      */
     default void onLateAnswer(CallerRequest request) {}
 
     /**
-     * A later request with the same idempotency key was given the outcome or the stream of the first.
+     * Called when a resend starts waiting for the outcome or the stream of the earlier request with the same idempotency
+     * key.
      *
-     * @param request the later request, not null
+     * @param request the resend, not null
      */
     default void onJoined(CallerRequest request) {}
 
     /**
-     * A broken invariant ended the request; it is to be logged.
+     * Called when an unexpected exception ended the request, so that it can be logged.
      *
      * @param request the request, not null
-     * @param fault what was thrown, not null
+     * @param fault the exception, not null
      */
     default void onFault(CallerRequest request, RuntimeException fault) {}
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestPolicies.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestPolicies.java
@@ -4,13 +4,13 @@
 import java.util.function.Function;
 
 /**
- * The decisions of a request's life that a history check replaces one by one with a faulty version, to see that it would
- * notice.
+ * The replaceable decisions of request processing. Tests of the history checks replace one decision at a time with a
+ * faulty version, to verify that the checks detect the fault.
  *
- * @param retry whether a failed attempt may be followed by another, not null
- * @param runState the word of a refusal, not null
- * @param chunkMatcher whether a chunk belongs to an attempt, not null
- * @param awaitsClaim whether a claim is read back before the request is sent
+ * @param retry decides whether a failed attempt is retried, not null
+ * @param runState determines the run state that a refusal reports, not null
+ * @param chunkMatcher decides whether a chunk belongs to an attempt, not null
+ * @param awaitsClaim whether a claim must be read back before the request is sent
  */
 public record RequestPolicies(
         RetryPolicy retry,
@@ -18,11 +18,11 @@
         ChunkMatcher chunkMatcher,
         boolean awaitsClaim) {
 
-    /** The decisions in use. */
+    /** The policies used in production. */
     public static final RequestPolicies STANDARD =
             new RequestPolicies(RetryPolicy.STANDARD, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, true);
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public RequestPolicies {
         Objects.requireNonNull(retry, "retry");
         Objects.requireNonNull(runState, "runState");
--- a/src/main/java/org/dogwoodwinch/request/RequestSettings.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestSettings.java
@@ -1,21 +1,21 @@
 package org.dogwoodwinch.request;
 
 /**
- * What may be set of a request's life.
+ * Settings of request processing.
  *
- * @param maxAttempts the most attempts of one request, the first included, one or more
- * @param retryFraction how many retries an owner, and this instance, may make for each first attempt, from 0 to 1
- * @param retryBurst how many retries may be made at once after quiet, so that a small site can retry at all
- * @param backoffBaseMillis the upper bound of the first wait before a retry, in milliseconds
- * @param backoffMaxMillis the upper bound of any wait before a retry, in milliseconds
- * @param stallMillis how long a target may send nothing before the attempt counts as timed out, in milliseconds
- * @param claimMillis how long a claim is waited for before the request is refused as not run, in milliseconds
- * @param keyMemoryMillis how long an idempotency key is remembered, in milliseconds
- * @param logRetentionMillis how long the platform's log keeps records, in milliseconds
- * @param maxKeptAnswerBytes the largest answer that is kept on the log for a resend, in bytes of UTF-8
- * @param joinWaitMillis how long a resend waits for the first request's outcome, in milliseconds
- * @param suspectMillis how long a suspicion lasts, in milliseconds
- * @param quarantineMillis how long a quarantine lasts, in milliseconds
+ * @param maxAttempts the maximum number of attempts per request, including the first, one or more
+ * @param retryFraction the number of retries per first attempt allowed to each owner and to this instance, from 0 to 1
+ * @param retryBurst the number of retries that can be saved up, which allows retries at a low request rate
+ * @param backoffBaseMillis the upper bound of the first retry delay, in milliseconds
+ * @param backoffMaxMillis the upper bound of every retry delay, in milliseconds
+ * @param stallMillis how long a target may send nothing before the attempt times out, in milliseconds
+ * @param claimMillis how long to wait for a claim before the request is refused as not run, in milliseconds
+ * @param keyMemoryMillis how long an idempotency key is retained, in milliseconds
+ * @param logRetentionMillis how long the platform's log retains records, in milliseconds
+ * @param maxKeptAnswerBytes the size of the largest answer that is stored on the log for resends, in bytes of UTF-8
+ * @param joinWaitMillis how long a resend waits for the earlier request's outcome, in milliseconds
+ * @param suspectMillis how long a request remains a suspect, in milliseconds
+ * @param quarantineMillis how long a request remains in quarantine, in milliseconds
  */
 public record RequestSettings(
         int maxAttempts,
@@ -32,19 +32,19 @@
         long suspectMillis,
         long quarantineMillis) {
 
-    /** The part of the log's retention that must be left over when a key is forgotten. */
+    /** The largest fraction of the log's retention that the key retention may take. */
     private static final double MAX_RETENTION_FRACTION = 0.8;
 
-    /** What holds where the settings say nothing. */
+    /** The default settings. */
     public static final RequestSettings DEFAULT = new RequestSettings(
             4, 0.1, 10, 50, 1_000, 30_000, 2_000, 600_000, 3_600_000, 8_192, 5_000, 600_000, 3_600_000);
 
     /**
-     * Checks the numbers.
+     * Validates the values.
      *
-     * @throws IllegalArgumentException if one is out of range, or if keys would be remembered for longer than four
-     *     fifths of the log's retention: a starter folds the retained records only, and would run a key again whose
-     *     claim has expired
+     * @throws IllegalArgumentException if a value is out of range, or if keys would be retained for longer than four
+     *     fifths of the log's retention: a starting instance reads only the records that the log still retains, and would
+     *     run a request again whose claim has expired from the log
      */
     public RequestSettings {
         require(maxAttempts >= 1, "maxAttempts must be one or more");
--- a/src/main/java/org/dogwoodwinch/request/RetryBudget.java
+++ b/src/main/java/org/dogwoodwinch/request/RetryBudget.java
@@ -4,11 +4,11 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * Bounds retries to a fraction of first attempts, for each owner and for the whole instance.
+ * Limits retries to a fraction of first attempts, for each owner and for the whole instance, with token buckets.
  *
- * <p>Without it a failing fleet gets its load multiplied by the retries just when it can bear least, and does not come
- * back. A fraction of first attempts bounds the multiple whatever the failure rate; the owner's own bucket keeps one
- * owner's failing group from using up everybody's retries. Safe to call from many threads.
+ * <p>Without a limit, retries multiply the load on failing targets when they can bear it least, and the targets do not
+ * recover. A fraction of first attempts bounds the multiplication at every failure rate. The bucket per owner prevents an
+ * owner whose targets fail from using up the retries of all owners. Thread-safe.
  */
 public final class RetryBudget {
 
@@ -23,10 +23,10 @@
     private final Bucket instance;
 
     /**
-     * Creates full buckets.
+     * Creates a budget with full buckets.
      *
-     * @param fraction retries allowed for each first attempt
-     * @param burst the most retries that a bucket saves up, and what it starts with
+     * @param fraction the number of retries allowed per first attempt
+     * @param burst the capacity of each bucket in retries, which is also its initial content
      */
     public RetryBudget(double fraction, int burst) {
         this.fraction = fraction;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Counts a first attempt.
+     * Records a first attempt, which adds to the budget.
      *
-     * @param owner its owner, not null
+     * @param owner the owner of the request, not null
      */
     public synchronized void onFirstAttempt(String owner) {
         bucket(owner).tokens = Math.min(burst, bucket(owner).tokens + fraction);
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Takes leave for one retry.
+     * Takes one retry from the budget.
      *
-     * @param owner its owner, not null
-     * @return false where the owner's or the instance's budget is spent; then nothing is taken
+     * @param owner the owner of the request, not null
+     * @return false if the owner's or the instance's budget is exhausted, in which case nothing is taken
      */
     public synchronized boolean tryRetry(String owner) {
         Bucket bucket = bucket(owner);
@@ -64,7 +64,7 @@
         return owners.get(owner, _name -> new Bucket(burst));
     }
 
-    /** Guarded by the budget's own lock. */
+    /** A token bucket, guarded by the lock of the budget. */
     private static final class Bucket {
 
         private double tokens;
--- a/src/main/java/org/dogwoodwinch/request/RetryPolicy.java
+++ b/src/main/java/org/dogwoodwinch/request/RetryPolicy.java
@@ -2,25 +2,25 @@
 
 import org.dogwoodwinch.target.TargetFailure;
 
-/** Decides whether a failed attempt may be followed by another; budget and deadline are looked at afterwards. */
+/** Decides whether a failed attempt may be retried. The retry budget and the deadline are checked afterwards. */
 @FunctionalInterface
 public interface RetryPolicy {
 
-    /** How long a caller is asked to stay away where an overloaded target did not say. */
+    /** The retry delay returned to the caller if an overloaded target did not specify one. */
     long OVERLOAD_RETRY_AFTER_MILLIS = 1_000;
 
     /**
-     * The policy in use. A call that may not be repeated goes on only after proof that it did not run; nothing goes on
-     * where the target refused for load, since the next target is as busy and the retry only adds to it.
+     * The policy used in production. A request that is not repeatable is retried only after proof that it did not run. No
+     * request is retried after an overload refusal, because the next target is likely as busy and a retry adds load.
      */
     RetryPolicy STANDARD = RetryPolicy::decideStandard;
 
     /**
-     * Decides.
+     * Decides whether to retry after a failed attempt.
      *
      * @param repeatable whether the request may run more than once
-     * @param failure why the attempt failed, not null
-     * @return what follows
+     * @param failure the failure of the attempt, not null
+     * @return the decision
      */
     RetryDecision decide(boolean repeatable, TargetFailure failure);
 
--- a/src/main/java/org/dogwoodwinch/request/RouteQueries.java
+++ b/src/main/java/org/dogwoodwinch/request/RouteQueries.java
@@ -8,12 +8,13 @@
 import org.dogwoodwinch.routing.RouteQuery;
 
 /**
- * What a request asks its router for, best first, by how it stands.
+ * Builds the route queries of a request in order of preference, depending on its quarantine status.
  *
- * <p>Most suspects are innocent: when a target crashes, all that was in flight on it is suspect. In a busy urgent group no
- * target is free for them, and refusing them all would cut more answers than the crash did. So a request that saw one
- * crash prefers to run alone and else runs as any other; one that saw two runs alone or not at all. The guilty request is
- * in every crash and gets there after the second; an innocent one rarely is in two.
+ * <p>Most suspects did not cause a crash: when a target crashes, every request in flight on it becomes a suspect. In a
+ * busy urgent group no target is idle for all of them, and refusing them would fail more requests than the crash did.
+ * Therefore a request that was in one crash prefers to run alone but otherwise runs like any other, and a request that
+ * was in two crashes runs alone or not at all. The request that causes the crashes is in all of them and must run alone
+ * after the second; other requests are rarely in two.
  */
 final class RouteQueries {
 
@@ -27,7 +28,9 @@
         excluded.addAll(trialTargets);
         List<RouteQuery> queries = new ArrayList<>();
         boolean repeatedSuspect = standing == Quarantine.Standing.REPEATED_SUSPECT;
-        // One trial at a time of those that saw one crash, or trials would take all targets of a small group.
+        // Requests that were in one crash start a trial only if no other trial is running: concurrent trials would
+        // occupy
+        // all targets of a small group.
         if (repeatedSuspect || (standing == Quarantine.Standing.SUSPECT && trialTargets.isEmpty())) {
             queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, true));
         }
@@ -35,7 +38,7 @@
             queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, false));
         }
         if (!repeatedSuspect && request.entry().workClass() != WorkClass.URGENT) {
-            // Work that can wait may share a target with a suspect where no other is left; urgent work never does.
+            // Requests that are not urgent may share a target with a suspect if no other target is left.
             queries.add(TargetCalls.routeQuery(request, nowMillis, failedTargets, false));
         }
         return queries;
--- a/src/main/java/org/dogwoodwinch/request/RunState.java
+++ b/src/main/java/org/dogwoodwinch/request/RunState.java
@@ -1,10 +1,10 @@
 package org.dogwoodwinch.request;
 
-/** Whether a refused request ran. */
+/** Whether a refused request may have run. */
 public enum RunState {
-    /** It certainly did not run; sending it again is safe. */
+    /** The request did not run; resending it is safe. */
     NOT_RUN("not-run"),
-    /** It may have run; only its owner can say whether sending it again is safe. */
+    /** The request may have run; only its owner can decide whether resending it is safe. */
     MAY_HAVE_RUN("may-have-run");
 
     private final String label;
@@ -14,7 +14,7 @@
     }
 
     /**
-     * Returns the word that callers see.
+     * Returns the name that is reported to callers.
      *
      * @return {@code not-run} or {@code may-have-run}
      */
--- a/src/main/java/org/dogwoodwinch/request/SerialExecutor.java
+++ b/src/main/java/org/dogwoodwinch/request/SerialExecutor.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Runs tasks one at a time, in order, on whichever thread brings one.
+ * Runs tasks one at a time and in submission order, on the threads that submit them.
  *
- * <p>A request hears from its caller, its targets, its claim and its timers on different threads. With a lock held
- * during callbacks, two requests could wait for each other; here no lock is held while a task runs, and a task that
- * brings another one is finished first.
+ * <p>Events of a request arrive on different threads: from its caller, its targets, its claim and its timers. Holding a
+ * lock during callbacks could deadlock two requests. This executor holds no lock while a task runs, and a task that
+ * submits another task completes before that task starts.
  */
 final class SerialExecutor {
 
@@ -19,10 +19,10 @@
     private final Consumer<RuntimeException> onFault;
 
     /**
-     * Creates a queue.
+     * Creates an executor.
      *
-     * @param onFault hears what a task throws; the tasks after it still run, or one fault would leave its caller without
-     *     an end for good
+     * @param onFault receives exceptions thrown by tasks. Later tasks still run, since otherwise one exception would leave
+     *     the caller without an answer forever
      */
     SerialExecutor(Consumer<RuntimeException> onFault) {
         this.onFault = onFault;
--- a/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
@@ -7,14 +7,14 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * A {@link KeptAnswer} as it stands on the log.
+ * The form in which a {@link KeptAnswer} is stored on the log.
  *
- * @param kind {@code g} generated, {@code s} service, {@code l} too long
+ * @param kind {@code g} for a generated answer, {@code s} for a service answer, {@code l} for an answer that was too long
  * @param text the generated text, the service's body in Base64, or empty
- * @param label the finish reason or the media type
- * @param first prompt tokens, HTTP status, or length in bytes
- * @param second cached prompt tokens, or zero
- * @param third generated tokens, or zero
+ * @param label the finish reason of a generated answer, the media type of a service answer, or empty
+ * @param first the prompt tokens, the HTTP status, or the length in bytes, depending on the kind
+ * @param second the cached prompt tokens of a generated answer, otherwise zero
+ * @param third the generated tokens of a generated answer, otherwise zero
  */
 record StoredAnswerRecord(
         @JsonProperty("k") String kind,
--- a/src/main/java/org/dogwoodwinch/request/SuspectBook.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspectBook.java
@@ -12,12 +12,13 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Which requests are suspected of crashing targets, which of them are tried alone, and which are in quarantine.
+ * Registry of the requests that are suspected of crashing targets, of the trials in which suspects run alone, and of the
+ * requests in quarantine.
  *
- * <p>Everything in flight on a target that crashed is suspect, the guilty request and those that merely stood beside it.
- * The suspects run alone from then on: what completes is innocent; what crashes its target once more, with no other
- * suspect beside it, is the cause and goes into quarantine. A crash that two suspects shared proves nothing, and both
- * stay suspects. Safe to call from many threads.
+ * <p>Every request in flight on a target that crashes becomes a suspect, whether or not it caused the crash. Suspects then
+ * run alone, in a trial. A suspect that completes is cleared. A suspect that crashes its target again, with no other
+ * suspect on the same target, is the cause and is quarantined. A crash during a trial that two suspects shared is not
+ * conclusive, and both remain suspects. Thread-safe.
  */
 public final class SuspectBook implements Quarantine {
 
@@ -34,19 +35,20 @@
     private final Map<Long, Trial> peerTrials = new HashMap<>();
 
     /**
-     * Creates an empty book.
+     * Creates an empty registry.
      *
      * @param time the clock, not null
-     * @param suspectMillis how long a suspicion lasts, in milliseconds
-     * @param quarantineMillis how long a quarantine lasts, in milliseconds
-     * @param noticePublisher tells the other instances, not null; called under this object's lock, so it must not call back
+     * @param suspectMillis how long a request remains a suspect, in milliseconds
+     * @param quarantineMillis how long a request remains in quarantine, in milliseconds
+     * @param noticePublisher sends notices to the other instances, not null; called under this object's lock, so it must
+     *     not call back
      */
     public SuspectBook(
             TimeSource time, long suspectMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
         this.time = Objects.requireNonNull(time, "time");
         this.suspectMillis = suspectMillis;
         this.quarantineMillis = quarantineMillis;
-        this.noticePublisher = Objects.requireNonNull(noticePublisher, "publisher");
+        this.noticePublisher = Objects.requireNonNull(noticePublisher, "noticePublisher");
     }
 
     @Override
@@ -102,10 +104,10 @@
     }
 
     /**
-     * Hears another instance.
+     * Applies a notice from another instance.
      *
-     * @param notice what it tells, not null
-     * @param ageMillis how old the notice is, in milliseconds
+     * @param notice the notice, not null
+     * @param ageMillis the age of the notice, in milliseconds
      */
     public synchronized void onPeerNotice(SuspicionNotice notice, long ageMillis) {
         long sentMillis = time.monotonicMillis() - ageMillis;
@@ -145,10 +147,10 @@
     }
 
     /**
-     * Lifts a quarantine here and, through the peers, everywhere.
+     * Lifts a quarantine on this instance and notifies the other instances, which lift it too.
      *
      * @param fingerprint the request's fingerprint
-     * @return false where it was not in quarantine here
+     * @return false if the request was not in quarantine on this instance
      */
     public synchronized boolean lift(long fingerprint) {
         boolean wasQuarantined = standing(fingerprint) == Standing.QUARANTINED;
@@ -159,7 +161,7 @@
     }
 
     /**
-     * Writes a fingerprint as operators see it.
+     * Formats a fingerprint for operators.
      *
      * @param fingerprint the fingerprint
      * @return sixteen hexadecimal digits
@@ -168,7 +170,7 @@
         return String.format(Locale.ROOT, "%016x", fingerprint);
     }
 
-    /** An older word of another instance must not bring back what an operator lifted since. */
+    /** Records a peer's suspicion, unless an operator lifted the quarantine after the peer sent the notice. */
     private void applyPeerSuspicion(long fingerprint, long sentMillis, long untilMillis, boolean quarantined) {
         Long lifted = liftedAtMillis.get(fingerprint);
         if (lifted != null && sentMillis <= lifted) {
--- a/src/main/java/org/dogwoodwinch/request/SuspicionNotice.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspicionNotice.java
@@ -3,32 +3,32 @@
 import java.util.Objects;
 
 /**
- * What one instance tells the others of a request that may crash targets.
+ * A notice that one instance sends to the others about a request that may crash targets.
  *
- * @param kind what happened, not null
+ * @param kind the event, not null
  * @param fingerprint the request's fingerprint
- * @param target the target concerned; empty where none is, not null
- * @param remainingMillis how much longer it holds when it is told, in milliseconds
+ * @param target the name of the target concerned; empty if there is none, not null
+ * @param remainingMillis how long the notice remains valid after it is sent, in milliseconds
  */
 public record SuspicionNotice(Kind kind, long fingerprint, String target, long remainingMillis) {
 
-    /** What happened. */
+    /** The event that a notice reports. */
     public enum Kind {
-        /** It was in flight on a target that crashed. */
+        /** The request was in flight on a target that crashed. */
         SUSPECT,
-        /** It is about to run alone on a target. */
+        /** The request is about to run alone on a target. */
         TRIAL,
-        /** The run alone has ended. */
+        /** The trial of the request has ended. */
         TRIAL_ENDED,
-        /** It crashed a target while it ran alone. */
+        /** The request crashed a target while it ran alone. */
         QUARANTINED,
-        /** It completed: it was innocent. */
+        /** The request completed and is no longer a suspect. */
         CLEARED,
-        /** An operator lifted its quarantine. */
+        /** An operator lifted the quarantine of the request. */
         LIFTED
     }
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public SuspicionNotice {
         Objects.requireNonNull(kind, "kind");
         Objects.requireNonNull(target, "target");
--- a/src/main/java/org/dogwoodwinch/request/TargetCalls.java
+++ b/src/main/java/org/dogwoodwinch/request/TargetCalls.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.target.KvReference;
 import org.dogwoodwinch.target.ServiceCall;
 
-/** Turns a caller's request into what routers and targets are asked. */
+/** Converts a caller's request to queries for the router and calls to targets. */
 final class TargetCalls {
 
     private static final int URGENT_PRIORITY = 3;
--- a/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
+++ b/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Claims where there is no log: each is refused as not run, which is safe and truthful. */
+/** The claim store of an instance without a log. Every claim is unavailable, so that its request is refused as not run. */
 public final class UnreachableClaims implements ClaimStore {
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    /** Creates the ledger. */
+    /** Creates the store. */
     public UnreachableClaims() {}
 
     @Override
     public void claim(ClaimRequest _claim, Consumer<ClaimOutcome> outcome) {
-        outcome.accept(new ClaimOutcome.Unavailable("there is no log for claims", RETRY_AFTER_MILLIS));
+        outcome.accept(new ClaimOutcome.Unavailable("no log is configured for idempotency claims", RETRY_AFTER_MILLIS));
     }
 
     @Override
--- a/src/main/java/org/dogwoodwinch/request/Work.java
+++ b/src/main/java/org/dogwoodwinch/request/Work.java
@@ -4,35 +4,35 @@
 import java.util.function.Function;
 import org.dogwoodwinch.bytes.Bytes;
 
-/** What a caller wants done. */
+/** The operation that a caller requests. */
 public sealed interface Work {
 
     /**
-     * Generate an answer.
+     * Generates an answer to a prompt.
      *
-     * @param prompt the whole prompt, not null
-     * @param promptTokens its length in tokens, estimated
-     * @param maxTokens the most tokens to generate
+     * @param prompt the complete prompt, not null
+     * @param promptTokens the estimated length of the prompt, in tokens
+     * @param maxTokens the maximum number of tokens to generate
      */
     record Generate(String prompt, long promptTokens, int maxTokens) implements Work {
 
-        /** Checks the parts. */
+        /** Checks that the prompt is not null. */
         public Generate {
             Objects.requireNonNull(prompt, "prompt");
         }
     }
 
     /**
-     * Call a plain service.
+     * Calls a plain service.
      *
      * @param method the HTTP method, not null
-     * @param path the path below the service's root, with its query, not null
+     * @param path the path relative to the service's root, including the query, not null
      * @param contentType the body's media type, not null
      * @param body the body, not null
      */
     record Service(String method, String path, String contentType, Bytes body) implements Work {
 
-        /** Checks the parts. */
+        /** Checks that no component is null. */
         public Service {
             Objects.requireNonNull(method, "method");
             Objects.requireNonNull(path, "path");
@@ -42,12 +42,12 @@
     }
 
     /**
-     * Calls the function of this work's kind.
+     * Applies the function that corresponds to the type of this operation.
      *
      * @param generate for {@link Generate}
      * @param service for {@link Service}
-     * @param <T> what the functions return
-     * @return what the function returned
+     * @param <T> the result type of the functions
+     * @return the result of the function applied
      */
     default <T> T match(Function<Generate, T> generate, Function<Service, T> service) {
         if (this instanceof Generate value) {
--- a/src/main/java/org/dogwoodwinch/request/package-info.java
+++ b/src/main/java/org/dogwoodwinch/request/package-info.java
@@ -1,2 +1,5 @@
-/** One request's life: attempts, retries, idempotency and truthful refusals. */
+/**
+ * Processing of a request: attempts, retries, idempotency claims, quarantine of requests that crash targets, and refusals
+ * that state whether the request may have run.
+ */
 package org.dogwoodwinch.request;
--- a/src/test/java/org/dogwoodwinch/request/AnswerProgressTest.java
+++ b/src/test/java/org/dogwoodwinch/request/AnswerProgressTest.java
@@ -17,7 +17,7 @@
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(1, "b")));
     }
 
-    /** A second run begins with the same text in other pieces: the caller gets only the rest. */
+    /** A rerun produces the same text in different chunks: only the new part must reach the caller. */
     @Test
     void withholdsTheDeliveredPrefixWhateverItsChunks() {
         progress.accept(chunk(0, "ab"));
@@ -32,7 +32,7 @@
         assertEquals("h", progress.pendingChunk().text());
     }
 
-    /** A second run begins with another text: sewn together, the answer would be nobody's. */
+    /** A rerun produces different text: combining both would deliver an answer that neither run produced. */
     @Test
     void reportsDivergenceWhenTheNewRunBeginsDifferently() {
         progress.accept(chunk(0, "ab"));
--- a/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
@@ -22,10 +22,10 @@
 import org.dogwoodwinch.target.Usage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** One instance's connections to one engine, which break, lose, delay, double and cross what they carry. */
+/** The connections of one instance to one engine, which break and which lose, delay, duplicate and misroute messages. */
 final class FaultyEngineLink implements EngineClient {
 
-    private final VirtualTimeSource worldTime;
+    private final VirtualTimeSource virtualTime;
     private final ProcessClock process;
     private final StandInEngine engine;
     private final UniformRandomProvider random;
@@ -36,8 +36,8 @@
     private boolean unreliable;
 
     FaultyEngineLink(
-            VirtualTimeSource worldTime, ProcessClock process, StandInEngine engine, UniformRandomProvider random) {
-        this.worldTime = worldTime;
+            VirtualTimeSource virtualTime, ProcessClock process, StandInEngine engine, UniformRandomProvider random) {
+        this.virtualTime = virtualTime;
         this.process = process;
         this.engine = engine;
         this.random = random;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The connections break; the engine runs on. */
+    /** Breaks all connections; the engine continues to run. */
     void breakConnections() {
         List<Connection> broken = new ArrayList<>(open);
         open.clear();
@@ -122,7 +122,7 @@
         return engine.state();
     }
 
-    /** One connection; equal only to itself. */
+    /** One connection, compared by identity. */
     private final class Connection implements AnswerListener, AnswerStream {
 
         private final String attemptId;
@@ -149,7 +149,7 @@
 
         void fail(TargetFailure failure) {
             ended = true;
-            worldTime.schedule(1, () -> process.deliver(() -> listener.onFailure(failure)));
+            virtualTime.schedule(1, () -> process.deliver(() -> listener.onFailure(failure)));
         }
 
         @Override
@@ -187,7 +187,7 @@
 
         private void deliver(Runnable call) {
             long delayMillis = unreliable ? random.nextInt(40) : 1;
-            worldTime.schedule(delayMillis, () -> process.deliver(call));
+            virtualTime.schedule(delayMillis, () -> process.deliver(call));
         }
 
         @Override
--- a/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
@@ -7,24 +7,24 @@
 import org.dogwoodwinch.external.ReadResult;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** One instance's way to the log: cut off for a while, or losing answers after the append took effect. */
+/** The connection of one instance to the log, which can be interrupted or lose replies after an append took effect. */
 final class FaultyLogLink implements LogService {
 
     private static final long TIMEOUT_MILLIS = 300;
 
-    private final VirtualTimeSource worldTime;
+    private final VirtualTimeSource virtualTime;
     private final ProcessClock process;
     private final LogService service;
     private boolean disconnected;
     private boolean requestsArrive;
 
-    FaultyLogLink(VirtualTimeSource worldTime, ProcessClock process, LogService service) {
-        this.worldTime = worldTime;
+    FaultyLogLink(VirtualTimeSource virtualTime, ProcessClock process, LogService service) {
+        this.virtualTime = virtualTime;
         this.process = process;
         this.service = service;
     }
 
-    /** Cuts the link; one way only, what is sent still arrives and its answer is lost. */
+    /** Disconnects the link; if {@code stillArrives} is set, appends still reach the log and only their replies are lost. */
     void setDisconnected(boolean enabled, boolean stillArrives) {
         disconnected = enabled;
         requestsArrive = stillArrives;
@@ -35,7 +35,7 @@
         CompletableFuture<AppendResult> answer = new CompletableFuture<>();
         if (disconnected) {
             if (requestsArrive) {
-                worldTime.schedule(
+                virtualTime.schedule(
                         50,
                         () -> service.append(stream, payload)
                                 .toCompletableFuture()
@@ -64,6 +64,6 @@
     }
 
     private void schedule(long delayMillis, Runnable task) {
-        worldTime.schedule(delayMillis, () -> process.deliver(task));
+        virtualTime.schedule(delayMillis, () -> process.deliver(task));
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
+++ b/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
@@ -23,7 +23,7 @@
     private final LogClaimLedger second = ledger("second~1");
     private final List<ClaimOutcome> outcomes = new ArrayList<>();
 
-    /** A caller sends one key to two instances at once: the log's order decides, and just one of them may send it. */
+    /** Two instances receive the same key at once: if both acquired it, the request would run twice. */
     @Test
     void exactlyOneOfTwoConcurrentClaimsIsAcquired() {
         first.claim(claim("key", 1), outcomes::add);
@@ -37,7 +37,7 @@
                         .count());
     }
 
-    /** The answer of the append is lost, though the record is there: reading back decides. */
+    /** The reply to the append is lost although the record was written; the claim must not be appended again. */
     @Test
     void claimIsAcquiredWhenTheAppendReplyIsLost() {
         memoryLog.loseAnswers(1);
@@ -47,7 +47,7 @@
         assertEquals(1, memoryLog.appendCount());
     }
 
-    /** The log is out when the claim is made: the caller is refused at once, and the claim never lands. */
+    /** The log is unavailable: a claim appended later would block the key of a request that was refused as not run. */
     @Test
     void claimIsRefusedAtOnceAndNeverAppendedWhenTheLogRefuses() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
@@ -62,10 +62,7 @@
         assertEquals(1, acquiredCount());
     }
 
-    /**
-     * The claim lands, but its claimant cannot read it back in time and tells its caller "not run". When it reads the
-     * record at last it releases the key, and does not send the request; a resend may then run.
-     */
+    /** A claim is read back after its request was refused as not run: it must not run, and a resend must be able to. */
     @Test
     void claimReadBackAfterItsTimeoutIsReleased() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
@@ -109,7 +106,7 @@
         assertEquals(List.of(answer), kept);
     }
 
-    /** A thousand claims within a moment take a handful of appends: the log takes a few hundred a second from all. */
+    /** The log accepts only a few hundred appends per second from all instances, so claims must share appends. */
     @Test
     void thousandClaimsAreAppendedInAtMostThreeBatches() {
         for (int i = 0; i < 1_000; i++) {
--- a/src/test/java/org/dogwoodwinch/request/ProcessClock.java
+++ b/src/test/java/org/dogwoodwinch/request/ProcessClock.java
@@ -6,32 +6,35 @@
 import org.dogwoodwinch.time.TimeSource;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** The clock of one process of a {@link RequestSimulation}: what falls due while it is paused happens afterwards, in order. */
+/**
+ * The clock of one process of a {@link RequestSimulation}. Tasks that become due while the process is paused run in order
+ * once it resumes.
+ */
 final class ProcessClock implements TimeSource {
 
-    private final VirtualTimeSource worldTime;
+    private final VirtualTimeSource virtualTime;
     private final Deque<Runnable> deferredTasks = new ArrayDeque<>();
     private boolean paused;
     private boolean dead;
 
-    ProcessClock(VirtualTimeSource worldTime) {
-        this.worldTime = worldTime;
+    ProcessClock(VirtualTimeSource virtualTime) {
+        this.virtualTime = virtualTime;
     }
 
     @Override
     public long monotonicNanos() {
-        return worldTime.monotonicNanos();
+        return virtualTime.monotonicNanos();
     }
 
     @Override
     public long wallMillis() {
-        return worldTime.wallMillis();
+        return virtualTime.wallMillis();
     }
 
     @Override
     public Cancellable schedule(long delayMillis, Runnable task) {
         boolean[] cancelled = new boolean[1];
-        Cancellable timer = worldTime.schedule(
+        Cancellable timer = virtualTime.schedule(
                 delayMillis,
                 () -> deliver(() -> {
                     if (!cancelled[0]) {
--- a/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
@@ -23,20 +23,16 @@
 
     @Test
     void deliversTheWholeAnswerExactlyOnce() {
-        submit(fixture.generate(PROMPT, true, ""));
+        submit(fixture.generateRequest(PROMPT, true, ""));
         fixture.time.advanceMillis(10_000);
         assertWhole();
         assertEquals(1, fixture.executedPrompts.size());
     }
 
-    /**
-     * The engine crashes in the middle of an answer. The caller sees one whole answer and no token twice: the stream
-     * cannot be joined, so another engine runs the request from the start, and what went out is withheld because the new
-     * run begins with the same text.
-     */
+    /** An engine crashes during an answer: the rerun on another engine must not deliver any token twice. */
     @Test
     void rerunsARepeatableRequestOnAnotherEngineAfterACrash() {
-        submit(fixture.generate(PROMPT, true, ""));
+        submit(fixture.generateRequest(PROMPT, true, ""));
         fixture.time.advanceMillis(150);
         assertTrue(caller.nextSequence > 0 && !caller.complete);
         fixture.engines.get("engine-0").crash();
@@ -45,23 +41,20 @@
         assertEquals(List.of(RetryReason.STREAM_RESUMED, RetryReason.CONNECTION_BROKEN), fixture.retries);
     }
 
-    /** The engine is down: not a byte was written, so even a call that may run once only goes to the next one. */
+    /** The engine is down before a byte is written: even a request that must not run twice is sent to the next engine. */
     @Test
     void retriesANonRepeatableRequestThatProvablyDidNotRun() {
         fixture.engines.get("engine-0").crash();
-        submit(fixture.generate(PROMPT, false, ""));
+        submit(fixture.generateRequest(PROMPT, false, ""));
         fixture.time.advanceMillis(1_500);
         assertWhole();
         assertEquals(1, fixture.executedPrompts.size());
     }
 
-    /**
-     * The engine crashes while it runs a call that may run once only. The caller is told that it may have run, and no
-     * other engine gets it: the first one may have billed it before it went down.
-     */
+    /** The engine crashes while it runs a request that must not run twice: it may have billed it before the crash. */
     @Test
     void refusesANonRepeatableRequestAsMayHaveRunAfterACrash() {
-        submit(fixture.generate(PROMPT, false, ""));
+        submit(fixture.generateRequest(PROMPT, false, ""));
         fixture.time.advanceMillis(20);
         fixture.engines.get("engine-0").crash();
         fixture.time.advanceMillis(10_000);
@@ -69,21 +62,18 @@
         assertEquals(1, fixture.executedPrompts.size());
     }
 
-    /** Every engine is down: each proved that nothing ran, so the refusal says so. */
+    /** Every engine is down, which proves that nothing ran: the caller must learn that a resend is safe. */
     @Test
     void refusesAsNotRunWhenEveryTargetProvedIt() {
         fixture.engines.values().forEach(StandInEngine::crash);
-        submit(fixture.generate(PROMPT, false, ""));
+        submit(fixture.generateRequest(PROMPT, false, ""));
         fixture.time.advanceMillis(2_900);
         assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().run());
         assertEquals(RefusalReason.TARGET_FAILED, caller.refusal.orElseThrow().reason());
         assertEquals(0, fixture.executedPrompts.size());
     }
 
-    /**
-     * A service breaks the connection after the request was written. A call that may not be repeated is sent once, and
-     * the word is may-have-run: the reply that would tell is lost.
-     */
+    /** The connection breaks after the call was written, and the reply is lost: a second send could run it twice. */
     @Test
     void sendsANonRepeatableServiceCallOnlyOnce() {
         int[] calls = new int[1];
@@ -92,7 +82,7 @@
             return CompletableFuture.completedFuture(
                     new TargetReply.Failure<>(new TargetFailure.Broken("connection reset")));
         };
-        submit(fixture.serviceCall("script", false, ""));
+        submit(fixture.serviceRequest("script", false, ""));
         fixture.time.advanceMillis(10_000);
         assertEquals(1, calls[0]);
         assertEquals(RunState.MAY_HAVE_RUN, caller.refusal.orElseThrow().run());
@@ -102,11 +92,11 @@
     void forwardsAServiceAnswer() {
         ServiceAnswer answer = new ServiceAnswer(200, "text/plain", Bytes.ofUtf8("checked"));
         fixture.service = _call -> CompletableFuture.completedFuture(new TargetReply.Answer<>(answer));
-        submit(fixture.serviceCall("script", false, ""));
+        submit(fixture.serviceRequest("script", false, ""));
         assertEquals(answer, caller.serviceAnswer.orElseThrow());
     }
 
-    /** Targets refuse for load: the caller hears at once when to come back, and no other target gets the extra load. */
+    /** A target is overloaded: a retry would add load to the other targets, so the caller gets the retry delay at once. */
     @Test
     void doesNotRetryWhenTheTargetIsOverloaded() {
         int[] calls = new int[1];
@@ -115,7 +105,7 @@
             return CompletableFuture.completedFuture(
                     new TargetReply.Failure<>(new TargetFailure.Refused("busy", true, false, 700)));
         };
-        submit(fixture.serviceCall("script", true, ""));
+        submit(fixture.serviceRequest("script", true, ""));
         assertEquals(1, calls[0]);
         assertEquals(
                 RefusalReason.TARGETS_OVERLOADED, caller.refusal.orElseThrow().reason());
@@ -123,7 +113,7 @@
         assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().run());
     }
 
-    /** All targets fail for a while: retries stop when the budget is spent, so a storm cannot build up. */
+    /** All targets fail for a while: unlimited retries would build up a retry storm. */
     @Test
     void stopsRetryingWhenTheRetryBudgetIsSpent() {
         int[] calls = new int[1];
@@ -134,7 +124,7 @@
         RequestCoordinator coordinator = fixture.coordinator(1);
         int requests = 300;
         for (int i = 0; i < requests; i++) {
-            coordinator.submit(fixture.serviceCall("script" + i, true, ""), new RequestFixture.Caller());
+            coordinator.submit(fixture.serviceRequest("script" + i, true, ""), new RequestFixture.Caller());
         }
         fixture.time.advanceMillis(10_000);
         int allowed = (int) (fixture.settings.retryFraction() * requests + fixture.settings.retryBurst());
@@ -142,26 +132,23 @@
         assertEquals(0, coordinator.inFlight());
     }
 
-    /**
-     * One request crashes each engine that runs it, and its caller sends it fifty times. The first crash makes it suspect,
-     * the second, alone, puts it into quarantine: two engines crash in all, and later sends are refused at once.
-     */
+    /** A request that crashes every engine is sent fifty times: after its second crash, in a trial, it must be refused. */
     @Test
     void quarantinesARequestThatCrashesTargets() {
         fixture.quarantine = new SuspectBook(fixture.time, 600_000, 3_600_000, _notice -> {});
         RequestCoordinator coordinator = fixture.coordinator(1);
         for (int i = 0; i < 50; i++) {
-            coordinator.submit(fixture.generate("[crash]", true, ""), caller);
+            coordinator.submit(fixture.generateRequest("[crash]", true, ""), caller);
             fixture.time.advanceMillis(5_000);
         }
         assertEquals(2, fixture.executedPrompts.size());
         assertEquals(RefusalReason.QUARANTINED, caller.refusal.orElseThrow().reason());
     }
 
-    /** The caller leaves: the engine's stream is cancelled, and nothing more goes to the caller. */
+    /** The caller disconnects: the engine must not continue to generate, and nothing more may be delivered. */
     @Test
     void cancelsTheStreamWhenTheCallerDisconnects() {
-        RequestHandle handle = submit(fixture.generate(PROMPT, true, ""));
+        RequestHandle handle = submit(fixture.generateRequest(PROMPT, true, ""));
         fixture.time.advanceMillis(100);
         String before = caller.text.toString();
         handle.cancel();
--- a/src/test/java/org/dogwoodwinch/request/RequestFixture.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestFixture.java
@@ -31,7 +31,7 @@
 import org.dogwoodwinch.target.Usage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** Three stand-in engines behind one coordinator in virtual time, and a plain service whose answers a test sets. */
+/** Stand-in engines behind one coordinator in virtual time, and a plain service whose answers are set by the test. */
 final class RequestFixture {
 
     static final String GROUP = "reader";
@@ -43,7 +43,7 @@
     final List<RetryReason> retries = new ArrayList<>();
     int lateAnswers;
     ServiceClient service = _call -> {
-        throw new IllegalStateException("no service set");
+        throw new IllegalStateException("the test set no service");
     };
     RequestSettings settings = RequestSettings.DEFAULT;
     RequestPolicies policies = RequestPolicies.STANDARD;
@@ -114,12 +114,12 @@
                 policies);
     }
 
-    CallerRequest generate(String prompt, boolean repeatable, String key) {
+    CallerRequest generateRequest(String prompt, boolean repeatable, String key) {
         Work work = new Work.Generate(prompt, prompt.length() / 4 + 1, 64);
         return request(work, prompt.hashCode(), repeatable, key);
     }
 
-    CallerRequest serviceCall(String body, boolean repeatable, String key) {
+    CallerRequest serviceRequest(String body, boolean repeatable, String key) {
         Work work = new Work.Service("POST", "/check", "text/plain", Bytes.ofUtf8(body));
         return request(work, body.hashCode(), repeatable, key);
     }
@@ -132,7 +132,7 @@
         return new CallerRequest("request", entry, work, idempotencyKey, fingerprint, nowMillis, nowMillis + 60_000);
     }
 
-    /** What one caller got. */
+    /** Records what one caller received and checks that the chunks arrive in sequence. */
     static final class Caller implements AnswerSink {
 
         final StringBuilder text = new StringBuilder();
@@ -144,7 +144,7 @@
         @Override
         public void onChunk(AnswerChunk chunk) {
             if (chunk.sequence() != nextSequence) {
-                throw new IllegalStateException("token " + chunk.sequence() + " in place of " + nextSequence);
+                throw new IllegalStateException("received token " + chunk.sequence() + ", expected " + nextSequence);
             }
             nextSequence += chunk.tokens();
             text.append(chunk.text());
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Takes the first target that is not excluded. */
+    /** Chooses the first target that is not excluded. */
     private final class FirstAllowedRouter implements Router {
 
         @Override
--- a/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
@@ -19,10 +19,11 @@
 import org.dogwoodwinch.history.HistoryVerdict;
 
 /**
- * Callers send keyed, un-keyed and repeatable requests through three instances while processes are killed and paused,
- * links to engines and log break, answers are lost, doubled, reordered and crossed, engines crash and the log goes out.
- * Whatever the schedule, a call that may run once runs at most once, "not run" is true, an answer is whole and its own
- * request's, and each call ends: the attempt ledger, the claims and the sequence numbers see to it.
+ * Sends requests with and without idempotency keys, and repeatable ones, through three instances under injected faults:
+ * processes are killed and paused, links to engines and to the log break, answers are lost, duplicated, reordered and
+ * misrouted, engines crash, and the log becomes unavailable. Under every schedule, a request that is not repeatable runs
+ * at most once, "not run" is only reported if it is true, an answer is complete and belongs to its request, and every call
+ * ends. The attempt tracker, the claims and the token sequence numbers ensure this.
  */
 class RequestHistoryTest {
 
@@ -41,15 +42,17 @@
         }
     }
 
-    /** Schedules in which nothing was refused or sent twice would prove nothing. */
+    /** Schedules that never refuse or resend a request would not test the properties. */
     @AfterContainer
     static void eachPropertyWasCheckedOftenEnough() {
         for (long checked : CHECKED_COUNTS) {
-            assertTrue(checked >= MIN_CHECKED, () -> "at stake: " + Arrays.toString(CHECKED_COUNTS));
+            assertTrue(
+                    checked >= MIN_CHECKED,
+                    () -> "times each property was checked: " + Arrays.toString(CHECKED_COUNTS));
         }
     }
 
-    /** The first answer of a call that may run once is lost, and the mutant sends it again. */
+    /** The mutant retries a request that is not repeatable after its answer was lost. */
     @Property(tries = 1, seed = "7001", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
     void detectsARetryAfterBytesWereWritten(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
         RetryPolicy retriesAll = (_repeatable, failure) -> RetryPolicy.STANDARD.decide(true, failure);
@@ -57,7 +60,7 @@
                 schedules, new RequestPolicies(retriesAll, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, true));
     }
 
-    /** Two instances get one key, and the mutant sends before the log has said which of them was first. */
+    /** The mutant sends the request before the log shows which of two claims of the same key is first. */
     @Property(tries = 1, seed = "7002", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
     void detectsASendBeforeTheClaimIsReadBack(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
         assertDetected(
@@ -65,7 +68,7 @@
                 new RequestPolicies(RetryPolicy.STANDARD, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, false));
     }
 
-    /** Connections cross, and the mutant takes what comes for its own. */
+    /** The mutant accepts misrouted chunks of other attempts. */
     @Property(tries = 1, seed = "7003", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
     void detectsMatchingChunksByConnection(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
         assertDetected(
@@ -74,7 +77,7 @@
                         RetryPolicy.STANDARD, AttemptTracker::runState, (_attemptId, _chunk) -> true, true));
     }
 
-    /** An answer is lost after the run, and the mutant says "not run" of whatever it refuses. */
+    /** The mutant reports "not run" in every refusal, even if the answer was lost after the request ran. */
     @Property(tries = 1, seed = "7004", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
     void detectsRefusalsThatAlwaysSayNotRun(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
         assertDetected(
@@ -86,7 +89,7 @@
     private static void assertDetected(List<List<ScenarioStep>> schedules, RequestPolicies mutant) {
         boolean detected = schedules.stream()
                 .anyMatch(schedule -> !run(schedule, 7, mutant).held());
-        assertTrue(detected, "the mutant passed a hundred schedules");
+        assertTrue(detected, "the mutant was not detected in 100 schedules");
     }
 
     private static HistoryVerdict run(List<ScenarioStep> schedule, long seed, RequestPolicies policies) {
--- a/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
@@ -37,7 +37,7 @@
 import org.dogwoodwinch.target.Usage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** Three instances before three engines and a plain service, with callers that send again, in virtual time. */
+/** Simulates, in virtual time, three instances, three engines, two plain services and callers that resend requests. */
 final class RequestSimulation {
 
     static final int INSTANCES = 3;
@@ -105,7 +105,7 @@
         return reply;
     }
 
-    /** A caller sends a request, and sends it again elsewhere while that is safe for it. */
+    /** Sends a request to a random instance, and resends it to random instances if it has an idempotency key. */
     void submitRequest(String requestId, boolean service, boolean repeatable, boolean keyed) {
         String text = "work [request=" + requestId + "] [tokens=" + (5 + random.nextInt(40)) + "]";
         send(requestId, text, service, repeatable, keyed, 1);
@@ -151,7 +151,7 @@
         instance.submit(request, caller);
     }
 
-    /** Takes one call's answer and records how it ended, at the caller. */
+    /** Receives the answer to one call and records how the call ended for the caller. */
     final class SimulatedCaller implements AnswerSink {
 
         private final String callId;
@@ -175,7 +175,7 @@
 
         @Override
         public void onComplete(Usage _usage, String _finishReason) {
-            // A caller now and then sends a key again although it has the answer.
+            // Callers occasionally resend a request although they received its answer.
             end(new RequestEvent.Answered(time.wallMillis(), callId, text.toString()), random.nextInt(4) == 0);
         }
 
--- a/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
@@ -11,12 +11,9 @@
 class RouteQueriesTest {
 
     private final SuspectBook suspects = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
-    private final CallerRequest request = new RequestFixture(1).generate("prompt", true, "");
+    private final CallerRequest request = new RequestFixture(1).generateRequest("prompt", true, "");
 
-    /**
-     * A target of a busy group crashes and twenty innocent requests with it. None of the others is free of urgent work:
-     * they still run, and only a request that was in a second crash is kept for a target of its own.
-     */
+    /** If one crash bound every affected request to an idle target, a busy urgent group would refuse all of them. */
     @Test
     void requestMustRunAloneOnlyAfterASecondCrash() {
         assertEquals(List.of(false, false), aloneFlags());
--- a/src/test/java/org/dogwoodwinch/request/ScenarioStep.java
+++ b/src/test/java/org/dogwoodwinch/request/ScenarioStep.java
@@ -4,16 +4,16 @@
 import org.dogwoodwinch.fault.FaultKind;
 import org.dogwoodwinch.standin.MemoryLog;
 
-/** One thing that happens in a {@link RequestSimulation}: a few requests, or a failure. */
+/** One step of a {@link RequestSimulation}: it sends a few requests or injects a fault. */
 record ScenarioStep(Kind kind, long afterMillis, int subjectIndex, int size) {
 
     enum Kind {
         ENGINE_REQUESTS,
         SERVICE_REQUESTS,
-        KILL,
-        PAUSE,
-        CUT_FROM_LOG,
-        CUT_FROM_ENGINE,
+        KILL_INSTANCE,
+        PAUSE_INSTANCE,
+        DISCONNECT_FROM_LOG,
+        DISCONNECT_FROM_ENGINE,
         BREAK_CONNECTIONS,
         LOSE_SENDS,
         LOSE_ANSWERS,
@@ -30,16 +30,16 @@
         switch (kind) {
             case ENGINE_REQUESTS -> sendRequests(simulation, number, false);
             case SERVICE_REQUESTS -> sendRequests(simulation, number, true);
-            case KILL -> {
+            case KILL_INSTANCE -> {
                 simulation.recordFault(FaultKind.KILL, instance.name(), 2_000);
                 instance.kill();
             }
-            case PAUSE -> {
+            case PAUSE_INSTANCE -> {
                 simulation.recordFault(FaultKind.PAUSE, instance.name(), millis);
                 instance.pause(millis);
             }
-            case CUT_FROM_LOG -> instance.disconnectLog(millis, subjectIndex % 2 == 0);
-            case CUT_FROM_ENGINE -> instance.disconnectEngine(engine, millis);
+            case DISCONNECT_FROM_LOG -> instance.disconnectLog(millis, subjectIndex % 2 == 0);
+            case DISCONNECT_FROM_ENGINE -> instance.disconnectEngine(engine, millis);
             case BREAK_CONNECTIONS -> instance.breakConnections();
             case LOSE_SENDS -> instance.loseSends(1 + size / 3);
             case LOSE_ANSWERS -> instance.loseAnswers(1 + size / 3);
--- a/src/test/java/org/dogwoodwinch/request/SerialExecutorTest.java
+++ b/src/test/java/org/dogwoodwinch/request/SerialExecutorTest.java
@@ -20,7 +20,7 @@
         assertEquals(List.of("outer", "inner"), ran);
     }
 
-    /** A task throws: the fault is told, and the tasks after it still run, so that the caller gets its end. */
+    /** If an exception stopped the executor, the caller of the request would never receive an answer. */
     @Test
     void laterTasksRunAfterATaskThrows() {
         SerialExecutor executor = new SerialExecutor(fault -> ran.add(fault.getMessage()));
--- a/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
+++ b/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
@@ -22,7 +22,7 @@
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.target.Usage;
 
-/** One instance of a {@link RequestSimulation}: its process is paused, killed and started anew, its links break. */
+/** One instance of a {@link RequestSimulation}, whose process can be paused, killed and restarted and whose links break. */
 final class SimulatedInstance implements TargetClients {
 
     private final RequestSimulation simulation;
@@ -166,7 +166,7 @@
         });
     }
 
-    /** Takes any target of the group that is not excluded. */
+    /** Chooses a random target of the group that is not excluded. */
     private final class RandomRouter implements Router {
 
         @Override
--- a/src/test/java/org/dogwoodwinch/request/SuspectBookTest.java
+++ b/src/test/java/org/dogwoodwinch/request/SuspectBookTest.java
@@ -17,10 +17,7 @@
     private final List<SuspicionNotice> notices = new ArrayList<>();
     private final SuspectBook suspects = new SuspectBook(time, 600_000, 3_600_000, notices::add);
 
-    /**
-     * Two requests share a crash. Each is tried alone: the one that completes is cleared, the one that crashes its target
-     * again is refused from then on.
-     */
+    /** Two requests share a crash: the harmless one must not be refused, and the crashing one must not run again. */
     @Test
     void trialsClearTheHarmlessRequestAndQuarantineTheCrashingOne() {
         suspects.onCrash(CRASHING, "a", "engine-0");
@@ -35,7 +32,7 @@
         assertTrue(suspects.trialTargets().isEmpty());
     }
 
-    /** Two suspects, of two instances, run on one target when it crashes: neither is proved guilty. */
+    /** Two instances start a trial on the same target: its crash does not show which suspect caused it. */
     @Test
     void crashDuringASharedTrialQuarantinesNeitherRequest() {
         suspects.onCrash(HARMLESS, "a", "engine-0");
@@ -45,7 +42,7 @@
         assertEquals(Quarantine.Standing.REPEATED_SUSPECT, suspects.standing(HARMLESS));
     }
 
-    /** An operator lifts a quarantine; an older word of a peer that comes late must not bring it back. */
+    /** A peer's notice that was sent before an operator lifted the quarantine arrives after the lift. */
     @Test
     void olderPeerNoticeDoesNotUndoALift() {
         time.advanceMillis(10_000);
