--- a/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
@@ -41,7 +41,7 @@
         sink.onComplete(usage, finishReason);
     }
 
-    void completeService(ServiceAnswer answer) {
+    void completeServiceAnswer(ServiceAnswer answer) {
         sink.onServiceAnswer(answer);
     }
 
--- a/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
@@ -7,10 +7,11 @@
 /**
  * Tracks how much of one answer has been delivered to the caller and determines which part of an incoming chunk is new.
  *
- * <p>Within one stream, token sequence numbers identify what is new. When a repeatable request is rerun from the start on
- * another target, the text that was already delivered is skipped, but only if the new run begins with exactly the same
- * text: an answer combined from two different runs would look complete although neither run produced it. Only a hash and
- * the length of the delivered text are stored, so that memory use does not grow with the answer. Not thread-safe.
+ * <p>Within one stream, token sequence numbers identify what is new. When a repeatable request is rerun from the start
+ * on another target, the text that was already delivered is skipped, but only if the new run begins with exactly the
+ * same text: an answer combined from two different runs would look complete although neither run produced it. Only a
+ * hash and the length of the delivered text are stored, so that memory use does not grow with the answer. Not
+ * thread-safe.
  */
 final class AnswerProgress {
 
@@ -33,8 +34,8 @@
     private long replaySequence;
     private long replayChars;
     /**
-     * Hashes the rerun's prefix for the comparison with {@link #deliveredHasher}. A Hasher cannot be used after its hash
-     * is computed, so a copy that was fed the same text continues after the comparison.
+     * Hashes the rerun's prefix for the comparison with {@link #deliveredHasher}. A Hasher cannot be used after its
+     * hash is computed, so a copy that was fed the same text continues after the comparison.
      */
     private Hasher replayedHasher = Hashing.sha256().newHasher();
 
--- a/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
+++ b/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
@@ -6,9 +6,9 @@
 /**
  * Tracks the attempts of one request: which of them may have run on a target, and which targets failed.
  *
- * <p>This class is the only source of the run state that a refusal reports. An attempt counts as possibly run from before
- * its first byte can be written; only proof from the target ({@code TargetFailure.provesNotRun()}) reverses that. On
- * every path that leads to a refusal, "not run" is therefore reported only for a request that did not run. Not
+ * <p>This class is the only source of the run state that a refusal reports. An attempt counts as possibly run from
+ * before its first byte can be written; only proof from the target ({@code TargetFailure.provesNotRun()}) reverses
+ * that. On every path that leads to a refusal, "not run" is therefore reported only for a request that did not run. Not
  * thread-safe.
  */
 public final class AttemptTracker {
--- a/src/main/java/org/dogwoodwinch/request/ClaimFold.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimFold.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 
 /**
- * In-memory index of the claims stream by idempotency key. The first claim of a key in log order holds the key until the
- * claim is released or expires.
+ * In-memory index of the claims stream by idempotency key. The first claim of a key in log order holds the key until
+ * the claim is released or expires.
  *
- * <p>Each instance expires claims by its own clock, counted from when it read the claim; an instance that reads late only
- * retains the claim longer. Within the key retention, two claims can never both be first in the index of the same
- * instance, and only the instance that made a claim acts on it. Answers stay on the log; the index stores their offsets.
- * Not thread-safe.
+ * <p>Each instance expires claims by its own clock, counted from when it read the claim; an instance that reads late
+ * only retains the claim longer. Within the key retention, two claims can never both be first in the index of the same
+ * instance, and only the instance that made a claim acts on it. Answers stay on the log; the index stores their
+ * offsets. Not thread-safe.
  */
 public final class ClaimFold {
 
--- a/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
@@ -11,9 +11,9 @@
  * Answers a resend with the answer of the earlier request that holds its idempotency key: from the log if the answer is
  * stored there, otherwise from the engine's stream. The request itself is never sent.
  *
- * <p>The earlier request may be about to be sent, or its instance may have failed; the two cannot be told apart. A stream
- * that does not exist yet is therefore polled for a bounded time, after which the caller is refused with "may have run".
- * All methods run on the request's {@link SerialExecutor}.
+ * <p>The earlier request may be about to be sent, or its instance may have failed; the two cannot be told apart. A
+ * stream that does not exist yet is therefore polled for a bounded time, after which the caller is refused with "may
+ * have run". All methods run on the request's {@link SerialExecutor}.
  */
 final class ClaimJoin implements EngineAttempt.Listener {
 
@@ -103,7 +103,7 @@
                         },
                         service -> {
                             finished = true;
-                            delivery.completeService(service);
+                            delivery.completeServiceAnswer(service);
                             listener.onAnswered(new Usage(0, 0, 0));
                             return null;
                         },
@@ -138,11 +138,11 @@
             schedulePoll();
             return;
         }
-        EngineAttempt next = new EngineAttempt(
+        EngineAttempt newAttempt = new EngineAttempt(
                 context, executor, request, delivery.progress(), target.get(), held.pointer(), true, 0, this);
-        attempt = Optional.of(next);
-        next.setReadingEnabled(readingEnabled);
-        next.join();
+        attempt = Optional.of(newAttempt);
+        newAttempt.setReadingEnabled(readingEnabled);
+        newAttempt.join();
     }
 
     private void schedulePoll() {
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
@@ -20,7 +20,7 @@
 
     private final String writerId;
     private final Deque<ClaimRecord> queue = new ArrayDeque<>();
-    private final Map<Long, List<ClaimRecord>> unconfirmed = new HashMap<>();
+    private final Map<Long, List<ClaimRecord>> unconfirmedBatches = new HashMap<>();
     private long nextBatchNumber;
 
     ClaimOutbox(String writerId) {
@@ -43,7 +43,7 @@
         }
         ClaimBatch batch = new ClaimBatch(ClaimBatch.VERSION, writerId, nextBatchNumber++, records);
         // Registered before the append, because the batch can be read back before the reply to the append arrives.
-        unconfirmed.put(batch.number(), batch.records());
+        unconfirmedBatches.put(batch.number(), batch.records());
         return batch;
     }
 
@@ -55,12 +55,12 @@
 
     /** Called when the batch is known to be on the stream, or is known not to be and its records are queued again. */
     void onResolved(ClaimBatch batch) {
-        unconfirmed.remove(batch.number());
+        unconfirmedBatches.remove(batch.number());
     }
 
     /** Queues the records of a batch again unless the batch was confirmed in the meantime. */
     void requeueUnconfirmed(long batchNumber) {
-        List<ClaimRecord> records = unconfirmed.remove(batchNumber);
+        List<ClaimRecord> records = unconfirmedBatches.remove(batchNumber);
         if (records != null) {
             requeue(records);
         }
@@ -78,7 +78,7 @@
 
     /** Removes a claim from the unconfirmed batches, so that it is not appended again. */
     void removeUnconfirmedClaim(String claimId) {
-        unconfirmed.replaceAll((_batch, records) -> records.stream()
+        unconfirmedBatches.replaceAll((_batch, records) -> records.stream()
                 .filter(entry -> !(entry instanceof ClaimRecord.Claimed
                         && entry.claimId().equals(claimId)))
                 .toList());
--- a/src/main/java/org/dogwoodwinch/request/ClaimStore.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimStore.java
@@ -23,8 +23,8 @@
     Optional<HeldClaim> findHolder(ClaimRequest claim);
 
     /**
-     * Records that the request of an acquired claim is sent to another target, because the previous target proved that it
-     * did not run there.
+     * Records that the request of an acquired claim is sent to another target, because the previous target proved that
+     * it did not run there.
      *
      * @param claimId the claim's id, not null
      * @param pointer the new stream, not null
--- a/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
@@ -15,8 +15,8 @@
  * One attempt on one engine. It reads the engine's stream, resumes the stream after a broken connection, and detects
  * truncated answers.
  *
- * <p>All methods run on the request's {@link SerialExecutor}. Each connection has its own reader; events of a reader that
- * has been replaced are dropped and counted.
+ * <p>All methods run on the request's {@link SerialExecutor}. Each connection has its own reader; events of a reader
+ * that has been replaced are dropped and counted.
  */
 final class EngineAttempt {
 
@@ -58,8 +58,8 @@
      * Creates an attempt.
      *
      * @param sharedStream whether the stream belongs to another request, so that this attempt must not cancel it
-     * @param expectedFirstTokenMillis the expected time from the send to the first token, in milliseconds; time spent in
-     *     a long queue does not count as a stall
+     * @param expectedFirstTokenMillis the expected time from the send to the first token, in milliseconds; time spent
+     *     in a long queue does not count as a stall
      */
     EngineAttempt(
             RequestContext context,
@@ -93,16 +93,16 @@
     /** Sends the call to the engine. */
     void start(GenerateCall call, RouteQuery query) {
         context.router().onSent(attemptId(), target, query);
-        Reader next = openReader();
-        next.stream = engine().generate(call, next);
-        next.pauseIfDisabled();
+        Reader newReader = openReader();
+        newReader.stream = engine().generate(call, newReader);
+        newReader.pauseIfDisabled();
     }
 
     /** Joins a stream that another request started, at the next token that was not delivered yet. */
     void join() {
-        Reader next = openReader();
-        next.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), next);
-        next.pauseIfDisabled();
+        Reader newReader = openReader();
+        newReader.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), newReader);
+        newReader.pauseIfDisabled();
     }
 
     void setReadingEnabled(boolean enabled) {
@@ -266,10 +266,10 @@
         progressedSinceConnect = false;
         lastReceivedMillis = context.nowMillis();
         context.observer().onRetry(request, RetryReason.STREAM_RESUMED);
-        Reader next = new Reader(interruption);
-        reader = next;
-        next.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), next);
-        next.pauseIfDisabled();
+        Reader newReader = new Reader(interruption);
+        reader = newReader;
+        newReader.stream = engine().resume(attemptId(), progress.nextExpectedSequence(), newReader);
+        newReader.pauseIfDisabled();
     }
 
     private void fail(TargetFailure failure, boolean crashed) {
@@ -295,7 +295,9 @@
         private final TargetFailure interruption;
         private AnswerStream stream;
 
-        /** Creates a reader; {@code interruption} is the failure of the previous connection, or null for the first one. */
+        /**
+         * Creates a reader; {@code interruption} is the failure of the previous connection, or null for the first one.
+         */
         Reader(TargetFailure interruption) {
             this.interruption = interruption;
         }
--- a/src/main/java/org/dogwoodwinch/request/JitteredBackoff.java
+++ b/src/main/java/org/dogwoodwinch/request/JitteredBackoff.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Exponential back-off with full jitter: each delay is uniform between zero and a bound that doubles with each retry, so
- * that requests that failed together are not retried together. Thread-safe.
+ * Exponential back-off with full jitter: each delay is uniform between zero and a bound that doubles with each retry,
+ * so that requests that failed together are not retried together. Thread-safe.
  */
 public final class JitteredBackoff {
 
--- a/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
@@ -16,18 +16,18 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Stores claims on the platform's log. Claims are appended in batches, and a claim is acquired only when it is read back
- * from the stream as the first claim of its key.
+ * Stores claims on the platform's log. Claims are appended in batches, and a claim is acquired only when it is read
+ * back from the stream as the first claim of its key.
  *
  * <p>The reply to an append decides nothing, because it can be lost after the append took effect. A claim that is not
  * read back within its timeout is discarded: its request was refused as not run, so the claim is never acted on, and it
- * is released if it appears on the log later. Until then, other instances treat it as a request that may have run, which
- * is the safe assumption.
+ * is released if it appears on the log later. Until then, other instances treat it as a request that may have run,
+ * which is the safe assumption.
  */
 public final class LogClaimLedger implements ClaimStore {
 
     /** The stream's name on the log. */
-    public static final String STREAM = "claims";
+    public static final String STREAM_NAME = "claims";
 
     private static final int MAX_RECORDS_PER_READ = 500;
     private static final long READ_WAIT_MILLIS = 1_000;
@@ -48,8 +48,8 @@
     private final Map<String, PendingClaim> pendingClaims = new HashMap<>();
 
     /**
-     * Key hashes of the acquired claims whose requests are in progress, by claim id. The oldest entry is evicted when the
-     * map is full, which removes service calls that were never answered.
+     * Key hashes of the acquired claims whose requests are in progress, by claim id. The oldest entry is evicted when
+     * the map is full, which removes service calls that were never answered.
      */
     private final Map<String, String> activeClaimKeys = new LinkedHashMap<>();
 
@@ -65,7 +65,8 @@
      *
      * @param logService the platform's log, not null
      * @param time the clock and timers, not null
-     * @param writerId identifies this start of this instance; must be unique among all starts of all instances, not null
+     * @param writerId identifies this start of this instance; must be unique among all starts of all instances, not
+     *     null
      * @param claimTimeoutMillis how long a claim may take to be read back, in milliseconds
      * @param batchWindowMillis how long the first claim of a batch waits for further ones, in milliseconds
      * @param index the empty index that the stream is applied to, not null; the caller must not use it afterwards
@@ -207,7 +208,7 @@
     @Override
     public void readAnswer(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer) {
         logService
-                .read(STREAM, claim.outcomeOffset(), 1, 0)
+                .read(STREAM_NAME, claim.outcomeOffset(), 1, 0)
                 .whenComplete((result, _fault) ->
                         answer.accept(Optional.ofNullable(result).flatMap(found -> findAnswer(found, claim))));
     }
@@ -246,8 +247,8 @@
     }
 
     /**
-     * Appends the next batch. Only one append is in progress at a time; records that arrive in the meantime form the next
-     * batch, so that batches grow as the log slows down.
+     * Appends the next batch. Only one append is in progress at a time; records that arrive in the meantime form the
+     * next batch, so that batches grow as the log slows down.
      */
     private void flush() {
         ClaimBatch batch;
@@ -260,7 +261,7 @@
             batch = outbox.takeBatch();
         }
         logService
-                .append(STREAM, ClaimCodec.encode(batch))
+                .append(STREAM_NAME, ClaimCodec.encode(batch))
                 .whenComplete((result, fault) -> onAppended(
                         batch,
                         result != null
@@ -334,7 +335,7 @@
             fromOffset = nextOffset;
         }
         logService
-                .read(STREAM, fromOffset, MAX_RECORDS_PER_READ, READ_WAIT_MILLIS)
+                .read(STREAM_NAME, fromOffset, MAX_RECORDS_PER_READ, READ_WAIT_MILLIS)
                 .whenComplete((result, fault) -> onRead(
                         result != null
                                 ? result
@@ -387,18 +388,19 @@
         long nowMillis = time.monotonicMillis();
         Optional<ClaimFold.Entry> held = index.find(claimed.keyHash(), nowMillis);
         boolean first = held.isPresent() && held.get().claim().claimId().equals(claimed.claimId());
-        PendingClaim waiting = pendingClaims.remove(claimed.claimId());
-        if (waiting == null) {
+        PendingClaim pendingClaim = pendingClaims.remove(claimed.claimId());
+        if (pendingClaim == null) {
             if (first && !activeClaimKeys.containsKey(claimed.claimId())) {
                 append(new ClaimRecord.Released(claimed.claimId(), claimed.keyHash()));
             }
             return Optional.empty();
         }
-        if (first && nowMillis > waiting.deadlineMillis()) {
+        if (first && nowMillis > pendingClaim.deadlineMillis()) {
             // This process was paused past the claim's timeout. Other instances may have evicted the key since then, so
             // the claim must not be used.
             append(new ClaimRecord.Released(claimed.claimId(), claimed.keyHash()));
-            return Optional.of(() -> waiting.outcome()
+            return Optional.of(() -> pendingClaim
+                    .outcome()
                     .accept(new ClaimOutcome.Unavailable(
                             "the claim was read back from the log after its timeout", RETRY_AFTER_MILLIS)));
         }
@@ -407,12 +409,12 @@
             if (activeClaimKeys.size() > MAX_ACTIVE_CLAIMS) {
                 activeClaimKeys.remove(activeClaimKeys.keySet().iterator().next());
             }
-            return Optional.of(() -> waiting.outcome().accept(new ClaimOutcome.Won(claimed.claimId())));
+            return Optional.of(() -> pendingClaim.outcome().accept(new ClaimOutcome.Won(claimed.claimId())));
         }
-        ClaimOutcome lost = held.map(entry -> outcomeOf(waiting.claim(), entry))
+        ClaimOutcome outcome = held.map(entry -> outcomeOf(pendingClaim.claim(), entry))
                 .orElseGet(() -> new ClaimOutcome.Unavailable(
                         "the claim was no longer held when it was read back", RETRY_AFTER_MILLIS));
-        return Optional.of(() -> waiting.outcome().accept(lost));
+        return Optional.of(() -> pendingClaim.outcome().accept(outcome));
     }
 
     private record PendingClaim(ClaimRequest claim, Consumer<ClaimOutcome> outcome, long deadlineMillis) {}
--- a/src/main/java/org/dogwoodwinch/request/PrefillStep.java
+++ b/src/main/java/org/dogwoodwinch/request/PrefillStep.java
@@ -12,8 +12,8 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * Runs the prefill of a prompt on one engine and exports the resulting KV cache for another engine. The result is reported
- * exactly once, on the request's {@link SerialExecutor}.
+ * Runs the prefill of a prompt on one engine and exports the resulting KV cache for another engine. The result is
+ * reported exactly once, on the request's {@link SerialExecutor}.
  */
 final class PrefillStep implements AnswerListener {
 
--- a/src/main/java/org/dogwoodwinch/request/Quarantine.java
+++ b/src/main/java/org/dogwoodwinch/request/Quarantine.java
@@ -48,7 +48,7 @@
     Standing standing(long fingerprint);
 
     /**
-     * Returns the targets on which a suspect runs in a trial, so that no other request is routed to them.
+     * Returns the targets on which a suspect runs in a trial, so that other requests can avoid them.
      *
      * @return a copy of the set of their names
      */
--- a/src/main/java/org/dogwoodwinch/request/RefusalReason.java
+++ b/src/main/java/org/dogwoodwinch/request/RefusalReason.java
@@ -2,7 +2,9 @@
 
 import java.util.Locale;
 
-/** All reasons for which a request is refused, as reported to callers in {@code reason} and as counted in the metrics. */
+/**
+ * All reasons for which a request is refused, as reported to callers in {@code reason} and as counted in the metrics.
+ */
 public enum RefusalReason {
     /** The path is not served by this daemon. */
     UNKNOWN_PATH(404),
--- a/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
@@ -12,8 +12,8 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * One attempt of a request: a call to a plain service, a generation on one engine, or a prefill on one engine followed by
- * the generation on another. All methods run on the request's {@link SerialExecutor}.
+ * One attempt of a request: a call to a plain service, a generation on one engine, or a prefill on one engine followed
+ * by the generation on another. All methods run on the request's {@link SerialExecutor}.
  */
 final class RequestAttempt implements EngineAttempt.Listener {
 
@@ -86,7 +86,9 @@
         engineAttempt.ifPresent(each -> each.setReadingEnabled(enabled));
     }
 
-    /** Stops the attempt. A service call that was already sent cannot be cancelled, and its answer is still recorded. */
+    /**
+     * Stops the attempt. A service call that was already sent cannot be cancelled, and its answer is still recorded.
+     */
     void stop(boolean cancelled) {
         stopped = true;
         prefill.ifPresent(PrefillStep::cancel);
@@ -187,7 +189,7 @@
                     context.router().onCompleted(attemptId, NO_USAGE);
                     context.quarantine().onEnded(request.fingerprint(), attemptId, true);
                     if (!stopped) {
-                        delivery.completeService(serviceAnswer);
+                        delivery.completeServiceAnswer(serviceAnswer);
                     }
                     listener.onCompleted(answerBuffer.toStoredAnswer(serviceAnswer), NO_USAGE);
                     return null;
--- a/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
@@ -14,8 +14,8 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Processes each request from submission to its final answer: admission, routing, claim of the idempotency key, attempts,
- * retries and refusal.
+ * Processes each request from submission to its final answer: admission, routing, claim of the idempotency key,
+ * attempts, retries and refusal.
  *
  * <p>Thread-safe; the events of one request are processed one at a time.
  */
@@ -35,7 +35,8 @@
      * @param targetLookup finds a target by name, to join a stream that a claim refers to, not null
      * @param modelLookup returns the model name under which engines serve a catalogue entry, not null
      * @param time the clock and timers, not null
-     * @param random the source of randomness for attempt ids and back-off, not null; the caller must not use it afterwards
+     * @param random the source of randomness for attempt ids and back-off, not null; the caller must not use it
+     *     afterwards
      * @param claimStore the claims of idempotency keys, not null
      * @param quarantine the requests suspected of crashing targets, not null
      * @param observer is notified of the events of all requests, not null
--- a/src/main/java/org/dogwoodwinch/request/RequestExecution.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestExecution.java
@@ -11,9 +11,11 @@
 import org.dogwoodwinch.time.Cancellable;
 
 /**
- * Executes one request: admission, routing, claim of its idempotency key if it needs one, attempts, and one final answer.
+ * Executes one request: admission, routing, claim of its idempotency key if it needs one, attempts, and one final
+ * answer.
  *
- * <p>All steps run on one {@link SerialExecutor}. The run state of a refusal is determined by {@link AttemptTracker} alone.
+ * <p>All steps run on one {@link SerialExecutor}. The run state of a refusal is determined by {@link AttemptTracker}
+ * alone.
  */
 final class RequestExecution implements RequestHandle {
 
@@ -80,7 +82,7 @@
         context.observer().onFault(request, fault);
         if (!finished) {
             stopAttempts();
-            giveUp(RefusalReason.INTERNAL, "an internal error occurred", 0);
+            fail(RefusalReason.INTERNAL, "an internal error occurred", 0);
         }
     }
 
@@ -128,7 +130,7 @@
         RouteQuery lastQuery = null;
         Route route = null;
         for (RouteQuery query :
-                RouteQueries.of(request, context.quarantine(), attempts.failedTargets(), context.nowMillis())) {
+                RouteQueries.forRequest(request, context.quarantine(), attempts.failedTargets(), context.nowMillis())) {
             if (!(route instanceof Route.Chosen)) {
                 lastQuery = query;
                 route = context.router().route(query);
@@ -148,7 +150,7 @@
 
     private void onNoRoute(Route.None noRoute) {
         RefusalReason reason = attempts.attempts() == 0 ? RefusalReason.NO_TARGET : RefusalReason.TARGET_FAILED;
-        giveUp(reason, noRoute.detail(), noRoute.retryAfterMillis());
+        fail(reason, noRoute.detail(), noRoute.retryAfterMillis());
     }
 
     private void onRoute(Route.Chosen chosen, RouteQuery query) {
@@ -178,19 +180,19 @@
         }
         if (finished) {
             // The request ended while the claim was pending; nothing was sent, so a resend may run.
-            if (outcome instanceof ClaimOutcome.Won won) {
-                context.claimStore().release(won.claimId());
+            if (outcome instanceof ClaimOutcome.Won acquired) {
+                context.claimStore().release(acquired.claimId());
             }
             return;
         }
         outcome.match(
-                won -> {
-                    claimId = won.claimId();
+                acquired -> {
+                    claimId = acquired.claimId();
                     send(chosen, query, claim.pointer().attemptId());
                     return null;
                 },
-                earlier -> {
-                    startJoin(claim, earlier.claim());
+                alreadyClaimed -> {
+                    startJoin(claim, alreadyClaimed.claim());
                     return null;
                 },
                 _keyReused -> {
@@ -209,7 +211,7 @@
 
     private void startJoin(ClaimRequest claim, HeldClaim held) {
         context.observer().onJoined(request);
-        ClaimJoin next = new ClaimJoin(context, executor, request, delivery, claim, new ClaimJoin.Listener() {
+        ClaimJoin newJoin = new ClaimJoin(context, executor, request, delivery, claim, new ClaimJoin.Listener() {
             @Override
             public void onAnswered(Usage usage) {
                 usedTokens = 0;
@@ -225,15 +227,14 @@
 
             @Override
             public void onAnswerUnavailable() {
-                refuse(
-                        Refusal.mayHaveRun(
-                                RefusalReason.MAY_HAVE_RUN,
-                                "an earlier request with this idempotency key may have run, and its answer cannot be retrieved"));
+                refuse(Refusal.mayHaveRun(
+                        RefusalReason.MAY_HAVE_RUN,
+                        "an earlier request with this key may have run, and its answer cannot be retrieved"));
             }
         });
-        join = Optional.of(next);
-        next.setReadingEnabled(readingEnabled);
-        next.start(held);
+        join = Optional.of(newJoin);
+        newJoin.setReadingEnabled(readingEnabled);
+        newJoin.start(held);
     }
 
     private void send(Route.Chosen chosen, RouteQuery query, String attemptId) {
@@ -241,11 +242,11 @@
             context.quarantine()
                     .onTrial(request.fingerprint(), attemptId, chosen.target().name());
         }
-        RequestAttempt next = new RequestAttempt(
+        RequestAttempt attempt = new RequestAttempt(
                 context, executor, request, delivery, attempts, chosen, query, attemptId, attemptListener());
-        currentAttempt = Optional.of(next);
-        next.setReadingEnabled(readingEnabled);
-        next.start();
+        currentAttempt = Optional.of(attempt);
+        attempt.setReadingEnabled(readingEnabled);
+        attempt.start();
     }
 
     private RequestAttempt.Listener attemptListener() {
@@ -262,7 +263,7 @@
 
             @Override
             public void onDiverged() {
-                giveUp(
+                fail(
                         RefusalReason.ANSWER_CUT,
                         "a rerun on another target produced text that differs from the text already delivered",
                         0);
@@ -285,7 +286,7 @@
     private void onFailed(Target target, TargetFailure failure) {
         attempts.onTargetFailed(target.name());
         if (finished) {
-            settleClaim();
+            releaseOrAbandonClaim();
             return;
         }
         currentAttempt = Optional.empty();
@@ -297,22 +298,22 @@
                             scheduleRetry(retry.reason(), failure);
                             return null;
                         },
-                        stop -> {
-                            giveUp(stop.reason(), failure.detail(), stop.retryAfterMillis());
+                        refusal -> {
+                            fail(refusal.reason(), failure.detail(), refusal.retryAfterMillis());
                             return null;
                         });
     }
 
     private void scheduleRetry(RetryReason reason, TargetFailure failure) {
         if (attempts.attempts() >= context.settings().maxAttempts()) {
-            giveUp(
+            fail(
                     RefusalReason.TARGET_FAILED,
                     failure.detail(),
                     context.settings().backoffMaxMillis());
             return;
         }
         if (!context.budget().tryRetry(request.entry().owner())) {
-            giveUp(
+            fail(
                     RefusalReason.RETRY_BUDGET,
                     failure.detail(),
                     context.settings().backoffMaxMillis());
@@ -320,7 +321,7 @@
         }
         long delayMillis = context.backoff().delayMillis(attempts.attempts());
         if (delayMillis >= request.remainingMillis(context.nowMillis())) {
-            giveUp(RefusalReason.DEADLINE_UNMEETABLE, failure.detail(), 0);
+            fail(RefusalReason.DEADLINE_UNMEETABLE, failure.detail(), 0);
             return;
         }
         context.observer().onRetry(request, reason);
@@ -333,20 +334,18 @@
             return;
         }
         stopAttempts();
-        giveUp(RefusalReason.DEADLINE_PASSED, "the deadline expired before the answer was complete", 0);
+        fail(RefusalReason.DEADLINE_PASSED, "the deadline expired before the answer was complete", 0);
     }
 
     private void refuseQuarantined() {
-        giveUp(
-                RefusalReason.QUARANTINED,
-                "this request is in quarantine because it crashed the targets that ran it",
-                0);
+        fail(RefusalReason.QUARANTINED, "this request is in quarantine because it crashed the targets that ran it", 0);
     }
 
-    private void giveUp(RefusalReason reason, String detail, long retryAfterMillis) {
-        boolean cut = delivery.progress().deliveredTokens() > 0;
+    private void fail(RefusalReason reason, String detail, long retryAfterMillis) {
+        boolean partlyDelivered = delivery.progress().deliveredTokens() > 0;
         RunState runState = context.policies().runState().apply(attempts);
-        refuse(new Refusal(cut ? RefusalReason.ANSWER_CUT : reason, runState, detail, "", retryAfterMillis));
+        refuse(new Refusal(
+                partlyDelivered ? RefusalReason.ANSWER_CUT : reason, runState, detail, "", retryAfterMillis));
     }
 
     private void refuse(Refusal refusal) {
@@ -358,7 +357,10 @@
         finish();
     }
 
-    /** Stops the attempts. The stream of a claimed request continues, so that a resend can join it; others are cancelled. */
+    /**
+     * Stops the attempts. The stream of a claimed request continues, so that a resend can join it; others are
+     * cancelled.
+     */
     private void stopAttempts() {
         currentAttempt.ifPresent(attempt -> attempt.stop(claimId.isEmpty()));
         join.ifPresent(ClaimJoin::stop);
@@ -370,15 +372,15 @@
         deadlineTimer.cancel();
         backoffTimer.cancel();
         permit.ifPresent(each -> each.release(usedTokens));
-        settleClaim();
+        releaseOrAbandonClaim();
         onEnd.run();
     }
 
     /**
-     * Releases the claim if the request did not run. Otherwise a generation is left for a resend to join, and the claim of
-     * a service call stays active, because the service's answer can still arrive and is then recorded.
+     * Releases the claim if the request did not run. Otherwise a generation is left for a resend to join, and the claim
+     * of a service call stays active, because the service's answer can still arrive and is then recorded.
      */
-    private void settleClaim() {
+    private void releaseOrAbandonClaim() {
         if (claimId.isEmpty()) {
             return;
         }
--- a/src/main/java/org/dogwoodwinch/request/RequestObserver.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestObserver.java
@@ -73,8 +73,8 @@
     default void onLateAnswer(CallerRequest request) {}
 
     /**
-     * Called when a resend starts waiting for the outcome or the stream of the earlier request with the same idempotency
-     * key.
+     * Called when a resend starts waiting for the outcome or the stream of the earlier request with the same
+     * idempotency key.
      *
      * @param request the resend, not null
      */
--- a/src/main/java/org/dogwoodwinch/request/RequestSettings.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestSettings.java
@@ -43,8 +43,8 @@
      * Validates the values.
      *
      * @throws IllegalArgumentException if a value is out of range, or if keys would be retained for longer than four
-     *     fifths of the log's retention: a starting instance reads only the records that the log still retains, and would
-     *     run a request again whose claim has expired from the log
+     *     fifths of the log's retention: a starting instance reads only the records that the log still retains, and
+     *     would run a request again whose claim has expired from the log
      */
     public RequestSettings {
         require(maxAttempts >= 1, "maxAttempts must be one or more");
--- a/src/main/java/org/dogwoodwinch/request/RetryBudget.java
+++ b/src/main/java/org/dogwoodwinch/request/RetryBudget.java
@@ -7,8 +7,8 @@
  * Limits retries to a fraction of first attempts, for each owner and for the whole instance, with token buckets.
  *
  * <p>Without a limit, retries multiply the load on failing targets when they can bear it least, and the targets do not
- * recover. A fraction of first attempts bounds the multiplication at every failure rate. The bucket per owner prevents an
- * owner whose targets fail from using up the retries of all owners. Thread-safe.
+ * recover. A fraction of first attempts bounds the multiplication at every failure rate. The bucket per owner prevents
+ * an owner whose targets fail from using up the retries of all owners. Thread-safe.
  */
 public final class RetryBudget {
 
--- a/src/main/java/org/dogwoodwinch/request/RetryDecision.java
+++ b/src/main/java/org/dogwoodwinch/request/RetryDecision.java
@@ -16,8 +16,8 @@
      * The request is refused without a further attempt.
      *
      * @param reason the reason that the caller receives
-     * @param retryAfterMillis the delay after which a retry by the caller is useful, in milliseconds; zero if it does not
-     *     help
+     * @param retryAfterMillis the delay after which a retry by the caller is useful, in milliseconds; zero if it does
+     *     not help
      */
     record GiveUp(RefusalReason reason, long retryAfterMillis) implements RetryDecision {}
 
--- a/src/main/java/org/dogwoodwinch/request/RetryPolicy.java
+++ b/src/main/java/org/dogwoodwinch/request/RetryPolicy.java
@@ -10,8 +10,8 @@
     long OVERLOAD_RETRY_AFTER_MILLIS = 1_000;
 
     /**
-     * The policy used in production. A request that is not repeatable is retried only after proof that it did not run. No
-     * request is retried after an overload refusal, because the next target is likely as busy and a retry adds load.
+     * The policy used in production. A request that is not repeatable is retried only after proof that it did not run.
+     * No request is retried after an overload refusal, because the next target is likely as busy and a retry adds load.
      */
     RetryPolicy STANDARD = RetryPolicy::decideStandard;
 
--- a/src/main/java/org/dogwoodwinch/request/RouteQueries.java
+++ b/src/main/java/org/dogwoodwinch/request/RouteQueries.java
@@ -20,7 +20,7 @@
 
     private RouteQueries() {}
 
-    static List<RouteQuery> of(
+    static List<RouteQuery> forRequest(
             CallerRequest request, Quarantine quarantine, Set<String> failedTargets, long nowMillis) {
         Quarantine.Standing standing = quarantine.standing(request.fingerprint());
         Set<String> trialTargets = quarantine.trialTargets();
--- a/src/main/java/org/dogwoodwinch/request/SerialExecutor.java
+++ b/src/main/java/org/dogwoodwinch/request/SerialExecutor.java
@@ -21,8 +21,8 @@
     /**
      * Creates an executor.
      *
-     * @param onFault receives exceptions thrown by tasks. Later tasks still run, since otherwise one exception would leave
-     *     the caller without an answer forever
+     * @param onFault receives exceptions thrown by tasks. Later tasks still run, since otherwise one exception would
+     *     leave the caller without an answer forever
      */
     SerialExecutor(Consumer<RuntimeException> onFault) {
         this.onFault = onFault;
--- a/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
@@ -9,7 +9,8 @@
 /**
  * The form in which a {@link KeptAnswer} is stored on the log.
  *
- * @param kind {@code g} for a generated answer, {@code s} for a service answer, {@code l} for an answer that was too long
+ * @param kind {@code g} for a generated answer, {@code s} for a service answer, {@code l} for an answer that was too
+ *     long
  * @param text the generated text, the service's body in Base64, or empty
  * @param label the finish reason of a generated answer, the media type of a service answer, or empty
  * @param first the prompt tokens, the HTTP status, or the length in bytes, depending on the kind
--- a/src/main/java/org/dogwoodwinch/request/SuspectBook.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspectBook.java
@@ -12,13 +12,13 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Registry of the requests that are suspected of crashing targets, of the trials in which suspects run alone, and of the
- * requests in quarantine.
+ * Registry of the requests that are suspected of crashing targets, of the trials in which suspects run alone, and of
+ * the requests in quarantine.
  *
- * <p>Every request in flight on a target that crashes becomes a suspect, whether or not it caused the crash. Suspects then
- * run alone, in a trial. A suspect that completes is cleared. A suspect that crashes its target again, with no other
- * suspect on the same target, is the cause and is quarantined. A crash during a trial that two suspects shared is not
- * conclusive, and both remain suspects. Thread-safe.
+ * <p>Every request in flight on a target that crashes becomes a suspect, whether or not it caused the crash. Suspects
+ * then run alone, in a trial. A suspect that completes is cleared. A suspect that crashes its target again, with no
+ * other suspect on the same target, is the cause and is quarantined. A crash during a trial that two suspects shared is
+ * not conclusive, and both remain suspects. Thread-safe.
  */
 public final class SuspectBook implements Quarantine {
 
@@ -40,8 +40,8 @@
      * @param time the clock, not null
      * @param suspectMillis how long a request remains a suspect, in milliseconds
      * @param quarantineMillis how long a request remains in quarantine, in milliseconds
-     * @param noticePublisher sends notices to the other instances, not null; called under this object's lock, so it must
-     *     not call back
+     * @param noticePublisher sends notices to the other instances, not null; called under this object's lock, so it
+     *     must not call back
      */
     public SuspectBook(
             TimeSource time, long suspectMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
--- a/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
+++ b/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
@@ -3,7 +3,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The claim store of an instance without a log. Every claim is unavailable, so that its request is refused as not run. */
+/**
+ * The claim store of an instance without a log. Every claim is unavailable, so that its request is refused as not run.
+ */
 public final class UnreachableClaims implements ClaimStore {
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
--- a/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
@@ -22,7 +22,9 @@
 import org.dogwoodwinch.target.Usage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** The connections of one instance to one engine, which break and which lose, delay, duplicate and misroute messages. */
+/**
+ * The connections of one instance to one engine, which break and which lose, delay, duplicate and misroute messages.
+ */
 final class FaultyEngineLink implements EngineClient {
 
     private final VirtualTimeSource virtualTime;
--- a/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
@@ -24,7 +24,7 @@
         this.service = service;
     }
 
-    /** Disconnects the link; if {@code stillArrives} is set, appends still reach the log and only their replies are lost. */
+    /** Disconnects the link; if {@code stillArrives} is set, appends reach the log and only their replies are lost. */
     void setDisconnected(boolean enabled, boolean stillArrives) {
         disconnected = enabled;
         requestsArrive = stillArrives;
--- a/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
+++ b/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
@@ -19,15 +19,15 @@
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final MemoryLog memoryLog = new MemoryLog(time, MemoryLogLimits.STANDARD);
-    private final LogClaimLedger first = ledger("first~1");
-    private final LogClaimLedger second = ledger("second~1");
+    private final LogClaimLedger firstStore = newStore("first~1");
+    private final LogClaimLedger secondStore = newStore("second~1");
     private final List<ClaimOutcome> outcomes = new ArrayList<>();
 
     /** Two instances receive the same key at once: if both acquired it, the request would run twice. */
     @Test
     void exactlyOneOfTwoConcurrentClaimsIsAcquired() {
-        first.claim(claim("key", 1), outcomes::add);
-        second.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
+        secondStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         assertEquals(1, acquiredCount());
         assertEquals(
@@ -41,7 +41,7 @@
     @Test
     void claimIsAcquiredWhenTheAppendReplyIsLost() {
         memoryLog.loseAnswers(1);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(3_000);
         assertEquals(1, acquiredCount());
         assertEquals(1, memoryLog.appendCount());
@@ -52,12 +52,12 @@
     void claimIsRefusedAtOnceAndNeverAppendedWhenTheLogRefuses() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
         time.advanceMillis(1_500);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         assertInstanceOf(ClaimOutcome.Unavailable.class, outcomes.get(0));
         memoryLog.setMode(MemoryLog.Mode.UP);
         time.advanceMillis(5_000);
         assertEquals(0, memoryLog.appendCount());
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         assertEquals(1, acquiredCount());
     }
@@ -68,7 +68,7 @@
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
         time.advanceMillis(10);
         memoryLog.setMode(MemoryLog.Mode.UP);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(10);
         assertEquals(1, memoryLog.appendCount());
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
@@ -77,31 +77,31 @@
         memoryLog.setMode(MemoryLog.Mode.UP);
         time.advanceMillis(10_000);
         assertEquals(0, acquiredCount());
-        second.claim(claim("key", 1), outcomes::add);
+        secondStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         assertEquals(1, acquiredCount());
     }
 
     @Test
     void keyOfADifferentRequestIsReportedAsReused() {
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        second.claim(claim("key", 2), outcomes::add);
+        secondStore.claim(claim("key", 2), outcomes::add);
         time.advanceMillis(100);
         assertInstanceOf(ClaimOutcome.KeyReused.class, outcomes.get(1));
     }
 
     @Test
     void resendReadsTheAnswerOfACompletedClaim() {
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         KeptAnswer answer = new KeptAnswer.Generated("checked", new Usage(3, 0, 1), "stop");
-        first.completed(((ClaimOutcome.Won) outcomes.get(0)).claimId(), answer);
+        firstStore.completed(((ClaimOutcome.Won) outcomes.get(0)).claimId(), answer);
         time.advanceMillis(100);
-        second.claim(claim("key", 1), outcomes::add);
+        secondStore.claim(claim("key", 1), outcomes::add);
         HeldClaim held = ((ClaimOutcome.AlreadyClaimed) outcomes.get(1)).claim();
         List<KeptAnswer> kept = new ArrayList<>();
-        second.readAnswer(held, found -> kept.add(found.orElseThrow()));
+        secondStore.readAnswer(held, found -> kept.add(found.orElseThrow()));
         time.advanceMillis(10);
         assertEquals(List.of(answer), kept);
     }
@@ -110,7 +110,7 @@
     @Test
     void thousandClaimsAreAppendedInAtMostThreeBatches() {
         for (int i = 0; i < 1_000; i++) {
-            first.claim(claim("key" + i, 1), outcomes::add);
+            firstStore.claim(claim("key" + i, 1), outcomes::add);
         }
         time.advanceMillis(1_000);
         assertEquals(1_000, acquiredCount());
@@ -119,20 +119,20 @@
 
     @Test
     void keyIsEvictedAfterItsRetention() {
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(KEY_MEMORY_MILLIS + 1_000);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         assertEquals(2, acquiredCount());
-        assertEquals(1, first.keyCount());
+        assertEquals(1, firstStore.keyCount());
     }
 
-    private LogClaimLedger ledger(String writer) {
+    private LogClaimLedger newStore(String writer) {
         ClaimFold index = new ClaimFold(KEY_MEMORY_MILLIS, 10_000);
-        LogClaimLedger ledger =
+        LogClaimLedger store =
                 new LogClaimLedger(memoryLog, time, writer, CLAIM_TIMEOUT_MILLIS, 5, index, _writer -> false);
-        ledger.start();
-        return ledger;
+        store.start();
+        return store;
     }
 
     private long acquiredCount() {
--- a/src/test/java/org/dogwoodwinch/request/ProcessClock.java
+++ b/src/test/java/org/dogwoodwinch/request/ProcessClock.java
@@ -7,8 +7,8 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /**
- * The clock of one process of a {@link RequestSimulation}. Tasks that become due while the process is paused run in order
- * once it resumes.
+ * The clock of one process of a {@link RequestSimulation}. Tasks that become due while the process is paused run in
+ * order once it resumes.
  */
 final class ProcessClock implements TimeSource {
 
--- a/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
@@ -19,7 +19,7 @@
     private static final String PROMPT = "slot confirmation for Thrissur [tokens=20]";
 
     private final RequestFixture fixture = new RequestFixture(3);
-    private final RequestFixture.Caller caller = new RequestFixture.Caller();
+    private final RequestFixture.RecordingCaller caller = new RequestFixture.RecordingCaller();
 
     @Test
     void deliversTheWholeAnswerExactlyOnce() {
@@ -41,7 +41,7 @@
         assertEquals(List.of(RetryReason.STREAM_RESUMED, RetryReason.CONNECTION_BROKEN), fixture.retries);
     }
 
-    /** The engine is down before a byte is written: even a request that must not run twice is sent to the next engine. */
+    /** The engine is down before a byte is written: a retry is safe even for a request that must not run twice. */
     @Test
     void retriesANonRepeatableRequestThatProvablyDidNotRun() {
         fixture.engines.get("engine-0").crash();
@@ -96,7 +96,7 @@
         assertEquals(answer, caller.serviceAnswer.orElseThrow());
     }
 
-    /** A target is overloaded: a retry would add load to the other targets, so the caller gets the retry delay at once. */
+    /** A target is overloaded: a retry would only add load, so the caller must receive the retry delay at once. */
     @Test
     void doesNotRetryWhenTheTargetIsOverloaded() {
         int[] calls = new int[1];
@@ -124,7 +124,7 @@
         RequestCoordinator coordinator = fixture.coordinator(1);
         int requests = 300;
         for (int i = 0; i < requests; i++) {
-            coordinator.submit(fixture.serviceRequest("script" + i, true, ""), new RequestFixture.Caller());
+            coordinator.submit(fixture.serviceRequest("script" + i, true, ""), new RequestFixture.RecordingCaller());
         }
         fixture.time.advanceMillis(10_000);
         int allowed = (int) (fixture.settings.retryFraction() * requests + fixture.settings.retryBurst());
@@ -132,7 +132,7 @@
         assertEquals(0, coordinator.inFlight());
     }
 
-    /** A request that crashes every engine is sent fifty times: after its second crash, in a trial, it must be refused. */
+    /** A request that crashes every engine is sent fifty times: after two crashes it must be refused at once. */
     @Test
     void quarantinesARequestThatCrashesTargets() {
         fixture.quarantine = new SuspectBook(fixture.time, 600_000, 3_600_000, _notice -> {});
--- a/src/test/java/org/dogwoodwinch/request/RequestFixture.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestFixture.java
@@ -133,7 +133,7 @@
     }
 
     /** Records what one caller received and checks that the chunks arrive in sequence. */
-    static final class Caller implements AnswerSink {
+    static final class RecordingCaller implements AnswerSink {
 
         final StringBuilder text = new StringBuilder();
         long nextSequence;
--- a/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
@@ -21,9 +21,9 @@
 /**
  * Sends requests with and without idempotency keys, and repeatable ones, through three instances under injected faults:
  * processes are killed and paused, links to engines and to the log break, answers are lost, duplicated, reordered and
- * misrouted, engines crash, and the log becomes unavailable. Under every schedule, a request that is not repeatable runs
- * at most once, "not run" is only reported if it is true, an answer is complete and belongs to its request, and every call
- * ends. The attempt tracker, the claims and the token sequence numbers ensure this.
+ * misrouted, engines crash, and the log becomes unavailable. Under every schedule, a request that is not repeatable
+ * runs at most once, "not run" is only reported if it is true, an answer is complete and belongs to its request, and
+ * every call ends. The attempt tracker, the claims and the token sequence numbers ensure this.
  */
 class RequestHistoryTest {
 
@@ -83,7 +83,7 @@
         assertDetected(
                 schedules,
                 new RequestPolicies(
-                        RetryPolicy.STANDARD, _ledger -> RunState.NOT_RUN, ChunkMatcher.BY_ATTEMPT_ID, true));
+                        RetryPolicy.STANDARD, _attempts -> RunState.NOT_RUN, ChunkMatcher.BY_ATTEMPT_ID, true));
     }
 
     private static void assertDetected(List<List<ScenarioStep>> schedules, RequestPolicies mutant) {
--- a/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
@@ -26,13 +26,13 @@
     @Test
     void avoidsTargetsOfTrialsWhenPossible() {
         suspects.onTrial(request.fingerprint() + 1, "a", "engine-0");
-        List<RouteQuery> queries = RouteQueries.of(request, suspects, Set.of("engine-1"), 0);
+        List<RouteQuery> queries = RouteQueries.forRequest(request, suspects, Set.of("engine-1"), 0);
         assertEquals(Set.of("engine-0", "engine-1"), queries.get(0).excludedTargets());
         assertEquals(Set.of("engine-1"), queries.get(1).excludedTargets());
     }
 
     private List<Boolean> aloneFlags() {
-        return RouteQueries.of(request, suspects, Set.of(), 0).stream()
+        return RouteQueries.forRequest(request, suspects, Set.of(), 0).stream()
                 .map(RouteQuery::alone)
                 .toList();
     }
--- a/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
+++ b/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
@@ -22,7 +22,9 @@
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.target.Usage;
 
-/** One instance of a {@link RequestSimulation}, whose process can be paused, killed and restarted and whose links break. */
+/**
+ * One instance of a {@link RequestSimulation}, whose process can be paused, killed and restarted and whose links break.
+ */
 final class SimulatedInstance implements TargetClients {
 
     private final RequestSimulation simulation;
@@ -58,7 +60,7 @@
         simulation.engines.forEach((target, engine) ->
                 links.put(target, new FaultyEngineLink(simulation.time, process, engine, simulation.random)));
         RequestSettings settings = RequestSettings.DEFAULT;
-        LogClaimLedger ledger = new LogClaimLedger(
+        LogClaimLedger claimStore = new LogClaimLedger(
                 logLink,
                 process,
                 name + "~" + starts++,
@@ -66,7 +68,7 @@
                 5,
                 new ClaimFold(settings.keyMemoryMillis(), 10_000),
                 this::isAlive);
-        ledger.start();
+        claimStore.start();
         coordinator = new RequestCoordinator(
                 (_request, decision) -> {
                     decision.accept(new AdmissionDecision.Granted(_used -> {}));
@@ -78,7 +80,7 @@
                 CatalogueEntry::group,
                 process,
                 simulation.random,
-                ledger,
+                claimStore,
                 new SuspectBook(process, 600_000, 3_600_000, _notice -> {}),
                 RequestObserver.NONE,
                 settings,
