--- a/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
+++ b/src/main/java/org/dogwoodwinch/request/AttemptTracker.java
@@ -15,7 +15,7 @@
 
     private final Set<String> possiblyRunAttempts = new HashSet<>();
     private final Set<String> failedTargets = new HashSet<>();
-    private int attempts;
+    private int sentCount;
 
     /**
      * Records that an attempt is about to be sent.
@@ -24,7 +24,7 @@
      */
     public void onSend(String attemptId) {
         possiblyRunAttempts.add(attemptId);
-        attempts++;
+        sentCount++;
     }
 
     /**
@@ -59,8 +59,8 @@
      *
      * @return the count, zero or more
      */
-    public int attempts() {
-        return attempts;
+    public int sentCount() {
+        return sentCount;
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
@@ -48,7 +48,7 @@
     private Reader reader;
     private boolean readingEnabled = true;
     private boolean finished;
-    private boolean progressedSinceConnect = true;
+    private boolean progressedSinceResume = true;
     private boolean firstChunkReceived;
     private long startedMillis;
     private long lastReceivedMillis;
@@ -168,8 +168,8 @@
         stalled.stop(false);
         onFailure(
                 stalled,
-                new TargetFailure.TimedOut("engine sent nothing for more than "
-                        + context.settings().stallMillis() + " ms"));
+                new TargetFailure.TimedOut(
+                        "engine sent nothing for at least " + context.settings().stallMillis() + " ms"));
         if (!finished) {
             armStallTimer();
         }
@@ -183,7 +183,7 @@
         markReceived();
         AnswerProgress.Verdict verdict = progress.accept(chunk);
         if (verdict == AnswerProgress.Verdict.DELIVER) {
-            progressedSinceConnect = true;
+            progressedSinceResume = true;
             listener.onDelivered(progress.pendingChunk());
         } else if (verdict == AnswerProgress.Verdict.GAP) {
             source.stop(false);
@@ -236,12 +236,11 @@
         }
         if (source.interruption != null && !isInterruption(failure)) {
             // The stream could not be resumed. The failure that interrupted it is reported, because the request had
-            // already
-            // been sent by then.
+            // already been sent by then.
             fail(source.interruption, indicatesCrash(failure));
             return;
         }
-        if (isInterruption(failure) && progressedSinceConnect) {
+        if (isInterruption(failure) && progressedSinceResume) {
             resumeStream(failure);
             return;
         }
@@ -259,11 +258,11 @@
     }
 
     /**
-     * Resumes the stream after an interruption. Callers check that tokens arrived since the last connect: otherwise a
-     * stream that always breaks at once would be resumed forever.
+     * Resumes the stream after an interruption. Callers check that tokens arrived since the previous resume: otherwise
+     * a stream that always breaks at once would be resumed forever.
      */
     private void resumeStream(TargetFailure interruption) {
-        progressedSinceConnect = false;
+        progressedSinceResume = false;
         lastReceivedMillis = context.nowMillis();
         context.observer().onRetry(request, RetryReason.STREAM_RESUMED);
         Reader newReader = new Reader(interruption);
@@ -319,11 +318,11 @@
             }
         }
 
-        void stop(boolean cancelled) {
+        void stop(boolean cancelOnTarget) {
             if (stream == null) {
                 return;
             }
-            if (cancelled) {
+            if (cancelOnTarget) {
                 stream.cancel();
             } else {
                 stream.detach();
--- a/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
@@ -368,7 +368,7 @@
 
     private List<Runnable> applyRecord(LogRecord found) {
         nextOffset = found.offset() + 1;
-        List<Runnable> calls = new ArrayList<>();
+        List<Runnable> callbacks = new ArrayList<>();
         ClaimCodec.decode(found.payload()).ifPresent(batch -> {
             boolean own = batch.writerId().equals(writerId);
             if (own) {
@@ -377,11 +377,11 @@
             for (ClaimRecord entry : batch.records()) {
                 index.apply(found.offset(), entry, time.monotonicMillis());
                 if (own && entry instanceof ClaimRecord.Claimed claimed) {
-                    onOwnClaim(claimed).ifPresent(calls::add);
+                    onOwnClaim(claimed).ifPresent(callbacks::add);
                 }
             }
         });
-        return calls;
+        return callbacks;
     }
 
     private Optional<Runnable> onOwnClaim(ClaimRecord.Claimed claimed) {
--- a/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
@@ -20,7 +20,7 @@
     /** Receives the result of the attempt, exactly once. */
     interface Listener {
 
-        void onCompleted(KeptAnswer kept, Usage usage);
+        void onCompleted(KeptAnswer stored, Usage usage);
 
         void onFailed(Target target, TargetFailure failure);
 
@@ -71,12 +71,12 @@
     void start() {
         request.work()
                 .match(
-                        work -> {
-                            startGenerate(work);
+                        operation -> {
+                            startGenerate(operation);
                             return null;
                         },
-                        work -> {
-                            callService(work);
+                        operation -> {
+                            callService(operation);
                             return null;
                         });
     }
@@ -89,11 +89,11 @@
     /**
      * Stops the attempt. A service call that was already sent cannot be cancelled, and its answer is still recorded.
      */
-    void stop(boolean cancelled) {
+    void stop(boolean cancelOnTarget) {
         stopped = true;
         prefill.ifPresent(PrefillStep::cancel);
         engineAttempt.ifPresent(each -> {
-            if (cancelled) {
+            if (cancelOnTarget) {
                 each.cancel();
             } else {
                 each.detach();
@@ -139,7 +139,7 @@
                     if (failure.provesNotRun()) {
                         attempts.onProvedNotRun(prefillId);
                     }
-                    endFailed(target, failure, failure instanceof TargetFailure.Broken);
+                    failAttempt(target, failure, failure instanceof TargetFailure.Broken);
                     return null;
                 });
     }
@@ -196,7 +196,7 @@
                 },
                 failure -> {
                     context.router().onFailed(attemptId, failure);
-                    endFailed(route.target(), failure, failure instanceof TargetFailure.Broken);
+                    failAttempt(route.target(), failure, failure instanceof TargetFailure.Broken);
                     return null;
                 });
     }
@@ -216,7 +216,7 @@
 
     @Override
     public void onAttemptFailed(TargetFailure failure, boolean crashed) {
-        endFailed(route.target(), failure, crashed);
+        failAttempt(route.target(), failure, crashed);
     }
 
     @Override
@@ -225,7 +225,7 @@
         listener.onDiverged();
     }
 
-    private void endFailed(Target target, TargetFailure failure, boolean crashed) {
+    private void failAttempt(Target target, TargetFailure failure, boolean crashed) {
         if (failure.provesNotRun()) {
             attempts.onProvedNotRun(attemptId);
         }
--- a/src/main/java/org/dogwoodwinch/request/RequestExecution.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestExecution.java
@@ -149,7 +149,7 @@
     }
 
     private void onNoRoute(Route.None noRoute) {
-        RefusalReason reason = attempts.attempts() == 0 ? RefusalReason.NO_TARGET : RefusalReason.TARGET_FAILED;
+        RefusalReason reason = attempts.sentCount() == 0 ? RefusalReason.NO_TARGET : RefusalReason.TARGET_FAILED;
         fail(reason, noRoute.detail(), noRoute.retryAfterMillis());
     }
 
@@ -305,7 +305,7 @@
     }
 
     private void scheduleRetry(RetryReason reason, TargetFailure failure) {
-        if (attempts.attempts() >= context.settings().maxAttempts()) {
+        if (attempts.sentCount() >= context.settings().maxAttempts()) {
             fail(
                     RefusalReason.TARGET_FAILED,
                     failure.detail(),
@@ -319,7 +319,7 @@
                     context.settings().backoffMaxMillis());
             return;
         }
-        long delayMillis = context.backoff().delayMillis(attempts.attempts());
+        long delayMillis = context.backoff().delayMillis(attempts.sentCount());
         if (delayMillis >= request.remainingMillis(context.nowMillis())) {
             fail(RefusalReason.DEADLINE_UNMEETABLE, failure.detail(), 0);
             return;
--- a/src/main/java/org/dogwoodwinch/request/RouteQueries.java
+++ b/src/main/java/org/dogwoodwinch/request/RouteQueries.java
@@ -29,8 +29,7 @@
         List<RouteQuery> queries = new ArrayList<>();
         boolean repeatedSuspect = standing == Quarantine.Standing.REPEATED_SUSPECT;
         // Requests that were in one crash start a trial only if no other trial is running: concurrent trials would
-        // occupy
-        // all targets of a small group.
+        // occupy all targets of a small group.
         if (repeatedSuspect || (standing == Quarantine.Standing.SUSPECT && trialTargets.isEmpty())) {
             queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, true));
         }
@@ -38,7 +37,7 @@
             queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, false));
         }
         if (!repeatedSuspect && request.entry().workClass() != WorkClass.URGENT) {
-            // Requests that are not urgent may share a target with a suspect if no other target is left.
+            // Requests that are not urgent may share a target with a suspect if no other is left; urgent ones never do.
             queries.add(TargetCalls.routeQuery(request, nowMillis, failedTargets, false));
         }
         return queries;
--- a/src/main/java/org/dogwoodwinch/request/SuspectBook.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspectBook.java
@@ -26,7 +26,7 @@
     private static final long MAX_TRIAL_MILLIS = 60_000;
 
     private final TimeSource time;
-    private final long suspectMillis;
+    private final long suspicionMillis;
     private final long quarantineMillis;
     private final Consumer<SuspicionNotice> noticePublisher;
     private final Map<Long, Suspect> suspects = new LinkedHashMap<>();
@@ -38,15 +38,15 @@
      * Creates an empty registry.
      *
      * @param time the clock, not null
-     * @param suspectMillis how long a request remains a suspect, in milliseconds
+     * @param suspicionMillis how long a request remains a suspect, in milliseconds
      * @param quarantineMillis how long a request remains in quarantine, in milliseconds
      * @param noticePublisher sends notices to the other instances, not null; called under this object's lock, so it
      *     must not call back
      */
     public SuspectBook(
-            TimeSource time, long suspectMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
+            TimeSource time, long suspicionMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
         this.time = Objects.requireNonNull(time, "time");
-        this.suspectMillis = suspectMillis;
+        this.suspicionMillis = suspicionMillis;
         this.quarantineMillis = quarantineMillis;
         this.noticePublisher = Objects.requireNonNull(noticePublisher, "noticePublisher");
     }
@@ -86,7 +86,7 @@
         boolean conclusive = trial != null && !ranBesideOtherSuspect(trial);
         Suspect previous = suspects.get(fingerprint);
         int crashes = previous == null ? 1 : previous.crashes() + 1;
-        long durationMillis = conclusive ? quarantineMillis : suspectMillis;
+        long durationMillis = conclusive ? quarantineMillis : suspicionMillis;
         put(fingerprint, new Suspect(crashes, conclusive, time.monotonicMillis() + durationMillis));
         SuspicionNotice.Kind kind = conclusive ? SuspicionNotice.Kind.QUARANTINED : SuspicionNotice.Kind.SUSPECT;
         noticePublisher.accept(new SuspicionNotice(kind, fingerprint, target, durationMillis));
@@ -99,7 +99,7 @@
         Suspect suspect = suspects.get(fingerprint);
         if (completed && suspect != null && !suspect.quarantined()) {
             suspects.remove(fingerprint);
-            noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.CLEARED, fingerprint, "", suspectMillis));
+            noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.CLEARED, fingerprint, "", suspicionMillis));
         }
     }
 
@@ -133,7 +133,7 @@
     /**
      * Lists the requests in quarantine.
      *
-     * @return the list, oldest first
+     * @return the list, least recently updated first
      */
     public synchronized List<QuarantinedRequest> listQuarantined() {
         long nowMillis = time.monotonicMillis();
