--- a/src/main/java/org/dogwoodwinch/request/CallerAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
@@ -4,8 +4,11 @@
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.Usage;
 
-/** One request's answer on its way to the caller, with the figures that are taken of it. Not thread-safe. */
-final class CallerAnswer {
+/**
+ * Delivers the answer of one request to the caller's sink and reports the latency of its chunks to the observer. Not
+ * thread-safe.
+ */
+final class AnswerDelivery {
 
     private final RequestContext context;
     private final CallerRequest request;
@@ -13,7 +16,7 @@
     private final AnswerProgress progress = new AnswerProgress();
     private long lastChunkMillis = -1;
 
-    CallerAnswer(RequestContext context, CallerRequest request, AnswerSink sink) {
+    AnswerDelivery(RequestContext context, CallerRequest request, AnswerSink sink) {
         this.context = context;
         this.request = request;
         this.sink = sink;
@@ -38,7 +41,7 @@
         sink.onComplete(usage, finishReason);
     }
 
-    void completeService(ServiceAnswer answer) {
+    void completeServiceAnswer(ServiceAnswer answer) {
         sink.onServiceAnswer(answer);
     }
 
--- a/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerProgress.java
@@ -5,83 +5,87 @@
 import org.dogwoodwinch.target.AnswerChunk;
 
 /**
- * How far one answer has gone out to its caller, and what of an incoming chunk is new.
+ * Tracks how much of one answer has been delivered to the caller and determines which part of an incoming chunk is new.
  *
- * <p>While one stream is read, token sequence numbers decide. When a repeatable request runs again from the start on
- * another target, what went out already is withheld, and only if the new run begins with exactly the same text: an
- * answer sewn together from two different runs would look whole and be nobody's answer. Only a hash and a length of the
- * delivered text are kept, so that long answers cost no memory. Not thread-safe.
+ * <p>Within one stream, token sequence numbers identify what is new. When a repeatable request is rerun from the start
+ * on another target, the text that was already delivered is skipped, but only if the new run begins with exactly the
+ * same text: an answer combined from two different runs would look complete although neither run produced it. Only a
+ * hash and the length of the delivered text are stored, so that memory use does not grow with the answer. Not
+ * thread-safe.
  */
 final class AnswerProgress {
 
-    /** What to do with a chunk. */
+    /** How to handle a received chunk. */
     enum Verdict {
-        /** It is the next piece: {@link #pending()} holds what to deliver. */
+        /** The chunk continues the answer; {@link #pendingChunk()} holds the part to deliver. */
         DELIVER,
-        /** The caller has it already. */
+        /** The caller already received the chunk. */
         SKIP,
-        /** Something before it is missing. */
+        /** At least one token before the chunk is missing, or the chunk overlaps delivered tokens only partly. */
         GAP,
-        /** The new run's text differs from what went out. */
+        /** The text of the new run differs from the text that was delivered. */
         DIVERGED
     }
 
     private long nextSequence;
     private long deliveredChars;
-    private Hasher delivered = Hashing.sha256().newHasher();
+    private Hasher deliveredHasher = Hashing.sha256().newHasher();
     private boolean replaying;
     private long replaySequence;
     private long replayChars;
-    /** Compared with {@link #delivered}; computing its hash uses it up, so a twin goes on after the comparison. */
-    private Hasher replayed = Hashing.sha256().newHasher();
+    /**
+     * Hashes the rerun's prefix for the comparison with {@link #deliveredHasher}. A Hasher cannot be used after its
+     * hash is computed, so a copy that was fed the same text continues after the comparison.
+     */
+    private Hasher replayedHasher = Hashing.sha256().newHasher();
 
-    private Hasher replayedTwin = Hashing.sha256().newHasher();
-    private AnswerChunk pending;
+    private Hasher replayedHasherCopy = Hashing.sha256().newHasher();
+    private AnswerChunk pendingChunk;
 
-    long delivered() {
+    long deliveredTokens() {
         return nextSequence;
     }
 
-    boolean replaying() {
+    boolean isReplaying() {
         return replaying;
     }
 
-    /** Returns the sequence number wanted next from the stream that is being read. */
-    long nextWanted() {
+    /** Returns the next sequence number that is expected from the stream being read. */
+    long nextExpectedSequence() {
         return replaying ? replaySequence : nextSequence;
     }
 
-    AnswerChunk pending() {
-        return pending;
+    AnswerChunk pendingChunk() {
+        return pendingChunk;
     }
 
-    /** A new run starts at token zero. */
-    void startAgain() {
+    /** Prepares for a rerun that starts at token zero. */
+    void restart() {
         replaying = deliveredChars > 0;
         replaySequence = 0;
         replayChars = 0;
-        replayed = Hashing.sha256().newHasher();
-        replayedTwin = Hashing.sha256().newHasher();
+        replayedHasher = Hashing.sha256().newHasher();
+        replayedHasherCopy = Hashing.sha256().newHasher();
     }
 
     Verdict accept(AnswerChunk chunk) {
-        long wanted = nextWanted();
-        if (chunk.sequence() > wanted) {
+        long expected = nextExpectedSequence();
+        if (chunk.sequence() > expected) {
             return Verdict.GAP;
         }
-        if (chunk.sequence() < wanted) {
-            return chunk.sequence() + chunk.tokens() <= wanted ? Verdict.SKIP : Verdict.GAP;
+        if (chunk.sequence() < expected) {
+            return chunk.sequence() + chunk.tokens() <= expected ? Verdict.SKIP : Verdict.GAP;
         }
         return replaying ? acceptReplayed(chunk) : deliver(chunk, chunk.text());
     }
 
     private Verdict acceptReplayed(AnswerChunk chunk) {
         replaySequence += chunk.tokens();
-        long missingChars = deliveredChars - replayChars;
-        int withheld = (int) Math.min(missingChars, chunk.text().length());
+        long remainingChars = deliveredChars - replayChars;
+        int withheld = (int) Math.min(remainingChars, chunk.text().length());
         String prefix = chunk.text().substring(0, withheld);
-        replayed.putUnencodedChars(prefix);
-        replayedTwin.putUnencodedChars(prefix);
+        replayedHasher.putUnencodedChars(prefix);
+        replayedHasherCopy.putUnencodedChars(prefix);
         replayChars += withheld;
         if (replayChars < deliveredChars) {
             return Verdict.SKIP;
@@ -90,10 +94,10 @@
     }
 
     private Verdict finishReplay(AnswerChunk chunk, String rest) {
-        if (!delivered.hash().equals(replayed.hash())) {
+        if (!deliveredHasher.hash().equals(replayedHasher.hash())) {
             return Verdict.DIVERGED;
         }
-        delivered = replayedTwin;
+        deliveredHasher = replayedHasherCopy;
         replaying = false;
         int newTokens = (int) Math.max(1, replaySequence - nextSequence);
         if (rest.isEmpty()) {
@@ -106,9 +110,9 @@
     }
 
     private Verdict deliver(AnswerChunk chunk, String text) {
-        delivered.putUnencodedChars(text);
+        deliveredHasher.putUnencodedChars(text);
         deliveredChars += text.length();
-        pending = new AnswerChunk(chunk.attemptId(), nextSequence, chunk.tokens(), text);
+        pendingChunk = new AnswerChunk(chunk.attemptId(), nextSequence, chunk.tokens(), text);
         nextSequence += chunk.tokens();
         return Verdict.DELIVER;
     }
--- a/src/main/java/org/dogwoodwinch/request/RequestContext.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestContext.java
@@ -10,16 +10,16 @@
 import org.dogwoodwinch.target.TargetClients;
 import org.dogwoodwinch.time.TimeSource;
 
-/** What all requests of one instance share; see {@link RequestCoordinator} for the parts. */
+/** The collaborators that all requests of one instance share; {@link RequestCoordinator} documents them. */
 record RequestContext(
         AdmissionController admission,
         Router router,
         TargetClients clients,
-        Function<String, Optional<Target>> targets,
-        Function<CatalogueEntry, String> models,
+        Function<String, Optional<Target>> targetLookup,
+        Function<CatalogueEntry, String> modelLookup,
         TimeSource time,
         Supplier<String> attemptIds,
-        ClaimLedger claims,
+        ClaimStore claimStore,
         Quarantine quarantine,
         RequestObserver observer,
         RequestSettings settings,
--- a/src/main/java/org/dogwoodwinch/request/ClaimedAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
@@ -7,16 +7,17 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * A {@link KeptAnswer} as it stands on the log.
+ * The form in which a {@link KeptAnswer} is stored on the log.
  *
- * @param kind {@code g} generated, {@code s} service, {@code l} too long
+ * @param kind {@code g} for a generated answer, {@code s} for a service answer, {@code l} for an answer that was too
+ *     long
  * @param text the generated text, the service's body in Base64, or empty
- * @param label the finish reason or the media type
- * @param first prompt tokens, HTTP status, or length in bytes
- * @param second cached prompt tokens, or zero
- * @param third generated tokens, or zero
+ * @param label the finish reason of a generated answer, the media type of a service answer, or empty
+ * @param first the prompt tokens, the HTTP status, or the length in bytes, depending on the kind
+ * @param second the cached prompt tokens of a generated answer, otherwise zero
+ * @param third the generated tokens of a generated answer, otherwise zero
  */
-record ClaimedAnswer(
+record StoredAnswerRecord(
         @JsonProperty("k") String kind,
         @JsonProperty("x") String text,
         @JsonProperty("l") String label,
@@ -28,26 +29,26 @@
     private static final String SERVICE = "s";
     private static final String TOO_LONG = "l";
 
-    static ClaimedAnswer of(KeptAnswer answer) {
+    static StoredAnswerRecord of(KeptAnswer answer) {
         return answer.match(
-                generated -> new ClaimedAnswer(
+                generated -> new StoredAnswerRecord(
                         GENERATED,
                         generated.text(),
                         generated.finishReason(),
                         generated.usage().promptTokens(),
                         generated.usage().cachedPromptTokens(),
                         generated.usage().completionTokens()),
-                service -> new ClaimedAnswer(
+                service -> new StoredAnswerRecord(
                         SERVICE,
                         Base64.getEncoder().encodeToString(service.body().toByteArray()),
                         service.contentType(),
                         service.status(),
                         0,
                         0),
-                tooLong -> new ClaimedAnswer(TOO_LONG, "", "", tooLong.answerBytes(), 0, 0));
+                tooLong -> new StoredAnswerRecord(TOO_LONG, "", "", tooLong.answerBytes(), 0, 0));
     }
 
-    KeptAnswer toKept() {
+    KeptAnswer toStoredAnswer() {
         if (kind.equals(GENERATED)) {
             return new KeptAnswer.Generated(text, new Usage(first, second, third), label);
         }
--- a/src/main/java/org/dogwoodwinch/request/SuspectBook.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspectBook.java
@@ -12,41 +12,43 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Which requests are suspected of crashing targets, which of them are tried alone, and which are in quarantine.
+ * Registry of the requests that are suspected of crashing targets, of the trials in which suspects run alone, and of
+ * the requests in quarantine.
  *
- * <p>Everything in flight on a target that crashed is suspect, the guilty request and those that merely stood beside it.
- * The suspects run alone from then on: what completes is innocent; what crashes its target once more, with no other
- * suspect beside it, is the cause and goes into quarantine. A crash that two suspects shared proves nothing, and both
- * stay suspects. Safe to call from many threads.
+ * <p>Every request in flight on a target that crashes becomes a suspect, whether or not it caused the crash. Suspects
+ * then run alone, in a trial. A suspect that completes is cleared. A suspect that crashes its target again, with no
+ * other suspect on the same target, is the cause and is quarantined. A crash during a trial that two suspects shared is
+ * not conclusive, and both remain suspects. Thread-safe.
  */
 public final class SuspectBook implements Quarantine {
 
     private static final int MAX_SUSPECTS = 10_000;
-    private static final long TRIAL_MILLIS = 60_000;
+    private static final long MAX_TRIAL_MILLIS = 60_000;
 
     private final TimeSource time;
-    private final long suspectMillis;
+    private final long suspicionMillis;
     private final long quarantineMillis;
-    private final Consumer<SuspicionNotice> publisher;
+    private final Consumer<SuspicionNotice> noticePublisher;
     private final Map<Long, Suspect> suspects = new LinkedHashMap<>();
-    private final Map<Long, Long> liftedMillis = new LinkedHashMap<>();
+    private final Map<Long, Long> liftedAtMillis = new LinkedHashMap<>();
     private final Map<String, Trial> ownTrials = new HashMap<>();
     private final Map<Long, Trial> peerTrials = new HashMap<>();
 
     /**
-     * Creates an empty book.
+     * Creates an empty registry.
      *
      * @param time the clock, not null
-     * @param suspectMillis how long a suspicion lasts, in milliseconds
-     * @param quarantineMillis how long a quarantine lasts, in milliseconds
-     * @param publisher tells the other instances, not null; called under this object's lock, so it must not call back
+     * @param suspicionMillis how long a request remains a suspect, in milliseconds
+     * @param quarantineMillis how long a request remains in quarantine, in milliseconds
+     * @param noticePublisher sends notices to the other instances, not null; called under this object's lock, so it
+     *     must not call back
      */
     public SuspectBook(
-            TimeSource time, long suspectMillis, long quarantineMillis, Consumer<SuspicionNotice> publisher) {
+            TimeSource time, long suspicionMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
         this.time = Objects.requireNonNull(time, "time");
-        this.suspectMillis = suspectMillis;
+        this.suspicionMillis = suspicionMillis;
         this.quarantineMillis = quarantineMillis;
-        this.publisher = Objects.requireNonNull(publisher, "publisher");
+        this.noticePublisher = Objects.requireNonNull(noticePublisher, "noticePublisher");
     }
 
     @Override
@@ -74,46 +76,46 @@
 
     @Override
     public synchronized void onTrial(long fingerprint, String attemptId, String target) {
-        ownTrials.put(attemptId, new Trial(fingerprint, target, time.monotonicMillis() + TRIAL_MILLIS));
-        publisher.accept(new SuspicionNotice(SuspicionNotice.Kind.TRIAL, fingerprint, target, TRIAL_MILLIS));
+        ownTrials.put(attemptId, new Trial(fingerprint, target, time.monotonicMillis() + MAX_TRIAL_MILLIS));
+        noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.TRIAL, fingerprint, target, MAX_TRIAL_MILLIS));
     }
 
     @Override
     public synchronized void onCrash(long fingerprint, String attemptId, String target) {
         Trial trial = ownTrials.remove(attemptId);
-        boolean decisive = trial != null && !sharedWithOther(trial);
-        Suspect before = suspects.get(fingerprint);
-        int crashes = before == null ? 1 : before.crashes() + 1;
-        long forMillis = decisive ? quarantineMillis : suspectMillis;
-        put(fingerprint, new Suspect(crashes, decisive, time.monotonicMillis() + forMillis));
-        SuspicionNotice.Kind kind = decisive ? SuspicionNotice.Kind.QUARANTINED : SuspicionNotice.Kind.SUSPECT;
-        publisher.accept(new SuspicionNotice(kind, fingerprint, target, forMillis));
-        endTrial(trial);
+        boolean conclusive = trial != null && !ranBesideOtherSuspect(trial);
+        Suspect previous = suspects.get(fingerprint);
+        int crashes = previous == null ? 1 : previous.crashes() + 1;
+        long durationMillis = conclusive ? quarantineMillis : suspicionMillis;
+        put(fingerprint, new Suspect(crashes, conclusive, time.monotonicMillis() + durationMillis));
+        SuspicionNotice.Kind kind = conclusive ? SuspicionNotice.Kind.QUARANTINED : SuspicionNotice.Kind.SUSPECT;
+        noticePublisher.accept(new SuspicionNotice(kind, fingerprint, target, durationMillis));
+        publishTrialEnd(trial);
     }
 
     @Override
     public synchronized void onEnded(long fingerprint, String attemptId, boolean completed) {
-        endTrial(ownTrials.remove(attemptId));
+        publishTrialEnd(ownTrials.remove(attemptId));
         Suspect suspect = suspects.get(fingerprint);
         if (completed && suspect != null && !suspect.quarantined()) {
             suspects.remove(fingerprint);
-            publisher.accept(new SuspicionNotice(SuspicionNotice.Kind.CLEARED, fingerprint, "", suspectMillis));
+            noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.CLEARED, fingerprint, "", suspicionMillis));
         }
     }
 
     /**
-     * Hears another instance.
+     * Applies a notice from another instance.
      *
-     * @param notice what it tells, not null
-     * @param ageMillis how old the notice is, in milliseconds
+     * @param notice the notice, not null
+     * @param ageMillis the age of the notice, in milliseconds
      */
     public synchronized void onPeerNotice(SuspicionNotice notice, long ageMillis) {
-        long toldMillis = time.monotonicMillis() - ageMillis;
-        long untilMillis = toldMillis + notice.remainingMillis();
+        long sentMillis = time.monotonicMillis() - ageMillis;
+        long untilMillis = sentMillis + notice.remainingMillis();
         long fingerprint = notice.fingerprint();
         switch (notice.kind()) {
-            case SUSPECT -> heardOf(fingerprint, toldMillis, untilMillis, false);
-            case QUARANTINED -> heardOf(fingerprint, toldMillis, untilMillis, true);
+            case SUSPECT -> applyPeerSuspicion(fingerprint, sentMillis, untilMillis, false);
+            case QUARANTINED -> applyPeerSuspicion(fingerprint, sentMillis, untilMillis, true);
             case TRIAL -> peerTrials.put(fingerprint, new Trial(fingerprint, notice.target(), untilMillis));
             case TRIAL_ENDED -> peerTrials.remove(fingerprint);
             case CLEARED -> {
@@ -123,7 +125,7 @@
             }
             case LIFTED -> {
                 suspects.remove(fingerprint);
-                rememberLifted(fingerprint, toldMillis);
+                recordLift(fingerprint, sentMillis);
             }
         }
     }
@@ -131,9 +133,9 @@
     /**
      * Lists the requests in quarantine.
      *
-     * @return the list, oldest first
+     * @return the list, least recently updated first
      */
-    public synchronized List<QuarantinedRequest> list() {
+    public synchronized List<QuarantinedRequest> listQuarantined() {
         long nowMillis = time.monotonicMillis();
         return suspects.entrySet().stream()
                 .filter(each -> each.getValue().quarantined() && each.getValue().untilMillis() > nowMillis)
@@ -145,21 +147,21 @@
     }
 
     /**
-     * Lifts a quarantine here and, through the peers, everywhere.
+     * Lifts a quarantine on this instance and notifies the other instances, which lift it too.
      *
      * @param fingerprint the request's fingerprint
-     * @return false where it was not in quarantine here
+     * @return false if the request was not in quarantine on this instance
      */
     public synchronized boolean lift(long fingerprint) {
         boolean wasQuarantined = standing(fingerprint) == Standing.QUARANTINED;
         suspects.remove(fingerprint);
-        rememberLifted(fingerprint, time.monotonicMillis());
-        publisher.accept(new SuspicionNotice(SuspicionNotice.Kind.LIFTED, fingerprint, "", quarantineMillis));
+        recordLift(fingerprint, time.monotonicMillis());
+        noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.LIFTED, fingerprint, "", quarantineMillis));
         return wasQuarantined;
     }
 
     /**
-     * Writes a fingerprint as operators see it.
+     * Formats a fingerprint for operators.
      *
      * @param fingerprint the fingerprint
      * @return sixteen hexadecimal digits
@@ -168,35 +170,35 @@
         return String.format(Locale.ROOT, "%016x", fingerprint);
     }
 
-    /** An older word of another instance must not bring back what an operator lifted since. */
-    private void heardOf(long fingerprint, long toldMillis, long untilMillis, boolean quarantined) {
-        Long lifted = liftedMillis.get(fingerprint);
-        if (lifted != null && toldMillis <= lifted) {
+    /** Records a peer's suspicion, unless an operator lifted the quarantine after the peer sent the notice. */
+    private void applyPeerSuspicion(long fingerprint, long sentMillis, long untilMillis, boolean quarantined) {
+        Long lifted = liftedAtMillis.get(fingerprint);
+        if (lifted != null && sentMillis <= lifted) {
             return;
         }
-        Suspect before = suspects.get(fingerprint);
-        if (before != null && before.quarantined() && !quarantined) {
+        Suspect previous = suspects.get(fingerprint);
+        if (previous != null && previous.quarantined() && !quarantined) {
             return;
         }
-        int crashes = before == null ? 1 : before.crashes() + 1;
+        int crashes = previous == null ? 1 : previous.crashes() + 1;
         put(fingerprint, new Suspect(crashes, quarantined, untilMillis));
     }
 
-    private boolean sharedWithOther(Trial trial) {
+    private boolean ranBesideOtherSuspect(Trial trial) {
         long nowMillis = time.monotonicMillis();
-        return ownTrials.values().stream().anyMatch(other -> isOther(trial, other, nowMillis))
-                || peerTrials.values().stream().anyMatch(other -> isOther(trial, other, nowMillis));
+        return ownTrials.values().stream().anyMatch(other -> isOtherOnSameTarget(trial, other, nowMillis))
+                || peerTrials.values().stream().anyMatch(other -> isOtherOnSameTarget(trial, other, nowMillis));
     }
 
-    private static boolean isOther(Trial trial, Trial other, long nowMillis) {
+    private static boolean isOtherOnSameTarget(Trial trial, Trial other, long nowMillis) {
         return other.target().equals(trial.target())
                 && other.fingerprint() != trial.fingerprint()
                 && other.untilMillis() > nowMillis;
     }
 
-    private void endTrial(Trial trial) {
+    private void publishTrialEnd(Trial trial) {
         if (trial != null) {
-            publisher.accept(
+            noticePublisher.accept(
                     new SuspicionNotice(SuspicionNotice.Kind.TRIAL_ENDED, trial.fingerprint(), trial.target(), 0));
         }
     }
@@ -209,10 +211,10 @@
         }
     }
 
-    private void rememberLifted(long fingerprint, long atMillis) {
-        liftedMillis.put(fingerprint, atMillis);
-        if (liftedMillis.size() > MAX_SUSPECTS) {
-            liftedMillis.remove(liftedMillis.keySet().iterator().next());
+    private void recordLift(long fingerprint, long atMillis) {
+        liftedAtMillis.put(fingerprint, atMillis);
+        if (liftedAtMillis.size() > MAX_SUSPECTS) {
+            liftedAtMillis.remove(liftedAtMillis.keySet().iterator().next());
         }
     }
 
--- a/src/test/java/org/dogwoodwinch/request/AnswerProgressTest.java
+++ b/src/test/java/org/dogwoodwinch/request/AnswerProgressTest.java
@@ -10,33 +10,33 @@
     private final AnswerProgress progress = new AnswerProgress();
 
     @Test
-    void skipsWhatItHasAndNoticesGaps() {
+    void skipsDeliveredTokensAndReportsGaps() {
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(0, "a")));
         assertEquals(AnswerProgress.Verdict.SKIP, progress.accept(chunk(0, "a")));
         assertEquals(AnswerProgress.Verdict.GAP, progress.accept(chunk(2, "c")));
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(1, "b")));
     }
 
-    /** A second run begins with the same text in other pieces: the caller gets only the rest. */
+    /** A rerun produces the same text in different chunks: only the new part must reach the caller. */
     @Test
-    void withholdsAnEqualPrefixWhateverItsPieces() {
+    void withholdsTheDeliveredPrefixWhateverItsChunks() {
         progress.accept(chunk(0, "ab"));
         progress.accept(chunk(1, "cd"));
-        progress.startAgain();
+        progress.restart();
         assertEquals(AnswerProgress.Verdict.SKIP, progress.accept(chunk(0, "abc")));
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(1, "def")));
-        assertEquals("ef", progress.pending().text());
+        assertEquals("ef", progress.pendingChunk().text());
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(2, "g")));
-        progress.startAgain();
+        progress.restart();
         assertEquals(AnswerProgress.Verdict.DELIVER, progress.accept(chunk(0, "abcdefgh")));
-        assertEquals("h", progress.pending().text());
+        assertEquals("h", progress.pendingChunk().text());
     }
 
-    /** A second run begins with another text: sewn together, the answer would be nobody's. */
+    /** A rerun produces different text: combining both would deliver an answer that neither run produced. */
     @Test
-    void noticesADifferentPrefix() {
+    void reportsDivergenceWhenTheNewRunBeginsDifferently() {
         progress.accept(chunk(0, "ab"));
-        progress.startAgain();
+        progress.restart();
         assertEquals(AnswerProgress.Verdict.DIVERGED, progress.accept(chunk(0, "ax")));
     }
 
--- a/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyLogLink.java
@@ -7,63 +7,63 @@
 import org.dogwoodwinch.external.ReadResult;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** One instance's way to the log: cut off for a while, or losing answers after the append took effect. */
+/** The connection of one instance to the log, which can be interrupted or lose replies after an append took effect. */
 final class FaultyLogLink implements LogService {
 
     private static final long TIMEOUT_MILLIS = 300;
 
-    private final VirtualTimeSource world;
+    private final VirtualTimeSource virtualTime;
     private final ProcessClock process;
     private final LogService service;
-    private boolean cut;
-    private boolean oneWay;
+    private boolean disconnected;
+    private boolean requestsArrive;
 
-    FaultyLogLink(VirtualTimeSource world, ProcessClock process, LogService service) {
-        this.world = world;
+    FaultyLogLink(VirtualTimeSource virtualTime, ProcessClock process, LogService service) {
+        this.virtualTime = virtualTime;
         this.process = process;
         this.service = service;
     }
 
-    /** Cuts the link; one way only, what is sent still arrives and its answer is lost. */
-    void setCut(boolean wanted, boolean wantedOneWay) {
-        cut = wanted;
-        oneWay = wantedOneWay;
+    /** Disconnects the link; if {@code stillArrives} is set, appends reach the log and only their replies are lost. */
+    void setDisconnected(boolean enabled, boolean stillArrives) {
+        disconnected = enabled;
+        requestsArrive = stillArrives;
     }
 
     @Override
     public CompletionStage<AppendResult> append(String stream, String payload) {
         CompletableFuture<AppendResult> answer = new CompletableFuture<>();
-        if (cut) {
-            if (oneWay) {
-                world.schedule(
+        if (disconnected) {
+            if (requestsArrive) {
+                virtualTime.schedule(
                         50,
                         () -> service.append(stream, payload)
                                 .toCompletableFuture()
                                 .isDone());
             }
-            later(TIMEOUT_MILLIS, () -> answer.complete(new AppendResult.Unknown("no answer")));
+            schedule(TIMEOUT_MILLIS, () -> answer.complete(new AppendResult.Unknown("no answer")));
             return answer;
         }
         service.append(stream, payload)
-                .whenComplete((result, _fault) ->
-                        later(0, () -> answer.complete(cut ? new AppendResult.Unknown("no answer") : result)));
+                .whenComplete((result, _fault) -> schedule(
+                        0, () -> answer.complete(disconnected ? new AppendResult.Unknown("no answer") : result)));
         return answer;
     }
 
     @Override
     public CompletionStage<ReadResult> read(String stream, long fromOffset, int maxRecords, long waitMillis) {
         CompletableFuture<ReadResult> answer = new CompletableFuture<>();
-        if (cut) {
-            later(TIMEOUT_MILLIS, () -> answer.complete(new ReadResult.Unavailable("no answer")));
+        if (disconnected) {
+            schedule(TIMEOUT_MILLIS, () -> answer.complete(new ReadResult.Unavailable("no answer")));
             return answer;
         }
         service.read(stream, fromOffset, maxRecords, waitMillis)
-                .whenComplete((result, _fault) ->
-                        later(0, () -> answer.complete(cut ? new ReadResult.Unavailable("no answer") : result)));
+                .whenComplete((result, _fault) -> schedule(
+                        0, () -> answer.complete(disconnected ? new ReadResult.Unavailable("no answer") : result)));
         return answer;
     }
 
-    private void later(long delayMillis, Runnable task) {
-        world.schedule(delayMillis, () -> process.deliver(task));
+    private void schedule(long delayMillis, Runnable task) {
+        virtualTime.schedule(delayMillis, () -> process.deliver(task));
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
+++ b/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
@@ -14,62 +14,61 @@
 
 class LogClaimLedgerTest {
 
-    private static final long CLAIM_MILLIS = 2_000;
+    private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
     private static final long KEY_MEMORY_MILLIS = 600_000;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final MemoryLog memoryLog = new MemoryLog(time, MemoryLogLimits.STANDARD);
-    private final LogClaimLedger first = ledger("first~1");
-    private final LogClaimLedger second = ledger("second~1");
+    private final LogClaimLedger firstStore = newStore("first~1");
+    private final LogClaimLedger secondStore = newStore("second~1");
     private final List<ClaimOutcome> outcomes = new ArrayList<>();
 
-    /** A caller sends one key to two instances at once: the log's order decides, and just one of them may send it. */
+    /** Two instances receive the same key at once: if both acquired it, the request would run twice. */
     @Test
-    void oneOfTwoRacingClaimsWins() {
-        first.claim(claim("key", 1), outcomes::add);
-        second.claim(claim("key", 1), outcomes::add);
+    void exactlyOneOfTwoConcurrentClaimsIsAcquired() {
+        firstStore.claim(claim("key", 1), outcomes::add);
+        secondStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
         assertEquals(
                 1,
-                outcomes.stream().filter(ClaimOutcome.Earlier.class::isInstance).count());
+                outcomes.stream()
+                        .filter(ClaimOutcome.AlreadyClaimed.class::isInstance)
+                        .count());
     }
 
-    /** The answer of the append is lost, though the record is there: reading back decides. */
+    /** The reply to the append is lost although the record was written; the claim must not be appended again. */
     @Test
-    void aLostAppendAnswerStillWins() {
+    void claimIsAcquiredWhenTheAppendReplyIsLost() {
         memoryLog.loseAnswers(1);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(3_000);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
         assertEquals(1, memoryLog.appendCount());
     }
 
-    /** The log is out when the claim is made: the caller is refused at once, and the claim never lands. */
+    /** The log is unavailable: a claim appended later would block the key of a request that was refused as not run. */
     @Test
-    void aRefusedAppendIsRefusedAtOnceAndNeverLands() {
+    void claimIsRefusedAtOnceAndNeverAppendedWhenTheLogRefuses() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
         time.advanceMillis(1_500);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         assertInstanceOf(ClaimOutcome.Unavailable.class, outcomes.get(0));
         memoryLog.setMode(MemoryLog.Mode.UP);
         time.advanceMillis(5_000);
         assertEquals(0, memoryLog.appendCount());
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
     }
 
-    /**
-     * The claim lands, but its claimant cannot read it back in time and tells its caller "not run". When it reads the
-     * record at last it releases the key, and does not send the request; a resend may then run.
-     */
+    /** A claim is read back after its request was refused as not run: it must not run, and a resend must be able to. */
     @Test
-    void aClaimThatLandsLateIsReleased() {
+    void claimReadBackAfterItsTimeoutIsReleased() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
         time.advanceMillis(10);
         memoryLog.setMode(MemoryLog.Mode.UP);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(10);
         assertEquals(1, memoryLog.appendCount());
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
@@ -77,65 +76,66 @@
         assertInstanceOf(ClaimOutcome.Unavailable.class, outcomes.get(0));
         memoryLog.setMode(MemoryLog.Mode.UP);
         time.advanceMillis(10_000);
-        assertEquals(0, won());
-        second.claim(claim("key", 1), outcomes::add);
+        assertEquals(0, acquiredCount());
+        secondStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(1, won());
+        assertEquals(1, acquiredCount());
     }
 
     @Test
-    void aKeyOfAnotherRequestIsReported() {
-        first.claim(claim("key", 1), outcomes::add);
+    void keyOfADifferentRequestIsReportedAsReused() {
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        second.claim(claim("key", 2), outcomes::add);
+        secondStore.claim(claim("key", 2), outcomes::add);
         time.advanceMillis(100);
         assertInstanceOf(ClaimOutcome.KeyReused.class, outcomes.get(1));
     }
 
     @Test
-    void aCompletedClaimGivesItsAnswerToAResend() {
-        first.claim(claim("key", 1), outcomes::add);
+    void resendReadsTheAnswerOfACompletedClaim() {
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
         KeptAnswer answer = new KeptAnswer.Generated("checked", new Usage(3, 0, 1), "stop");
-        first.completed(((ClaimOutcome.Won) outcomes.get(0)).claimId(), answer);
+        firstStore.completed(((ClaimOutcome.Won) outcomes.get(0)).claimId(), answer);
         time.advanceMillis(100);
-        second.claim(claim("key", 1), outcomes::add);
-        HeldClaim held = ((ClaimOutcome.Earlier) outcomes.get(1)).claim();
+        secondStore.claim(claim("key", 1), outcomes::add);
+        HeldClaim held = ((ClaimOutcome.AlreadyClaimed) outcomes.get(1)).claim();
         List<KeptAnswer> kept = new ArrayList<>();
-        second.read(held, found -> kept.add(found.orElseThrow()));
+        secondStore.readAnswer(held, found -> kept.add(found.orElseThrow()));
         time.advanceMillis(10);
         assertEquals(List.of(answer), kept);
     }
 
-    /** A thousand claims within a moment take a handful of appends: the log takes a few hundred a second from all. */
+    /** The log accepts only a few hundred appends per second from all instances, so claims must share appends. */
     @Test
-    void claimsShareAppends() {
+    void thousandClaimsAreAppendedInAtMostThreeBatches() {
         for (int i = 0; i < 1_000; i++) {
-            first.claim(claim("key" + i, 1), outcomes::add);
+            firstStore.claim(claim("key" + i, 1), outcomes::add);
         }
         time.advanceMillis(1_000);
-        assertEquals(1_000, won());
+        assertEquals(1_000, acquiredCount());
         assertTrue(memoryLog.appendCount() <= 3, memoryLog.appendCount() + " appends");
     }
 
     @Test
-    void aKeyIsForgottenAfterItsMemory() {
-        first.claim(claim("key", 1), outcomes::add);
+    void keyIsEvictedAfterItsRetention() {
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(KEY_MEMORY_MILLIS + 1_000);
-        first.claim(claim("key", 1), outcomes::add);
+        firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        assertEquals(2, won());
-        assertEquals(1, first.keys());
+        assertEquals(2, acquiredCount());
+        assertEquals(1, firstStore.keyCount());
     }
 
-    private LogClaimLedger ledger(String writer) {
-        ClaimFold fold = new ClaimFold(KEY_MEMORY_MILLIS, 10_000);
-        LogClaimLedger ledger = new LogClaimLedger(memoryLog, time, writer, CLAIM_MILLIS, 5, fold, _writer -> false);
-        ledger.start();
-        return ledger;
+    private LogClaimLedger newStore(String writer) {
+        ClaimFold index = new ClaimFold(KEY_MEMORY_MILLIS, 10_000);
+        LogClaimLedger store =
+                new LogClaimLedger(memoryLog, time, writer, CLAIM_TIMEOUT_MILLIS, 5, index, _writer -> false);
+        store.start();
+        return store;
     }
 
-    private long won() {
+    private long acquiredCount() {
         return outcomes.stream().filter(ClaimOutcome.Won.class::isInstance).count();
     }
 
--- a/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestHistoryTest.java
@@ -19,86 +19,90 @@
 import org.dogwoodwinch.history.HistoryVerdict;
 
 /**
- * Callers send keyed, un-keyed and repeatable requests through three instances while processes are killed and paused,
- * links to engines and log break, answers are lost, doubled, reordered and crossed, engines crash and the log goes out.
- * Whatever the schedule, a call that may run once runs at most once, "not run" is true, an answer is whole and its own
- * request's, and each call ends: the attempt ledger, the claims and the sequence numbers see to it.
+ * Sends requests with and without idempotency keys, and repeatable ones, through three instances under injected faults:
+ * processes are killed and paused, links to engines and to the log break, answers are lost, duplicated, reordered and
+ * misrouted, engines crash, and the log becomes unavailable. Under every schedule, a request that is not repeatable
+ * runs at most once, "not run" is only reported if it is true, an answer is complete and belongs to its request, and
+ * every call ends. The attempt tracker, the claims and the token sequence numbers ensure this.
  */
 class RequestHistoryTest {
 
-    private static final long CALM_MILLIS = 40_000;
-    private static final long LEAST_AT_STAKE = 1_000;
+    private static final long SETTLE_MILLIS = 40_000;
+    private static final long MIN_CHECKED = 1_000;
 
-    private static final long[] AT_STAKE = new long[3];
+    private static final long[] CHECKED_COUNTS = new long[3];
 
     @Property(tries = 2_000, seed = "50131", generation = GenerationMode.RANDOMIZED, shrinking = ShrinkingMode.OFF)
-    void holdsUnderGeneratedSchedules(
-            @ForAll("schedules") List<RequestDisturbance> schedule, @ForAll("seeds") long seed) {
+    void propertiesHoldUnderGeneratedSchedules(
+            @ForAll("schedules") List<ScenarioStep> schedule, @ForAll("seeds") long seed) {
         HistoryVerdict verdict = run(schedule, seed, RequestPolicies.STANDARD);
         assertTrue(verdict.held(), () -> schedule + " seed " + seed + "\n" + verdict.toText());
-        for (int i = 0; i < AT_STAKE.length; i++) {
-            AT_STAKE[i] += verdict.results().get(i).checked();
+        for (int i = 0; i < CHECKED_COUNTS.length; i++) {
+            CHECKED_COUNTS[i] += verdict.results().get(i).checked();
         }
     }
 
-    /** Schedules in which nothing was refused or sent twice would prove nothing. */
+    /** Schedules that never refuse or resend a request would not test the properties. */
     @AfterContainer
-    static void eachPropertyWasAtStake() {
-        for (long checked : AT_STAKE) {
-            assertTrue(checked >= LEAST_AT_STAKE, () -> "at stake: " + Arrays.toString(AT_STAKE));
+    static void eachPropertyWasCheckedOftenEnough() {
+        for (long checked : CHECKED_COUNTS) {
+            assertTrue(
+                    checked >= MIN_CHECKED,
+                    () -> "times each property was checked: " + Arrays.toString(CHECKED_COUNTS));
         }
     }
 
-    /** The first answer of a call that may run once is lost, and the mutant sends it again. */
+    /** The mutant retries a request that is not repeatable after its answer was lost. */
     @Property(tries = 1, seed = "7001", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void aRetryAfterBytesWereWrittenIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
+    void detectsARetryAfterBytesWereWritten(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
         RetryPolicy retriesAll = (_repeatable, failure) -> RetryPolicy.STANDARD.decide(true, failure);
-        assertNoticed(
-                schedules, new RequestPolicies(retriesAll, AttemptLedger::runState, AnswerMatcher.BY_ATTEMPT_ID, true));
+        assertDetected(
+                schedules, new RequestPolicies(retriesAll, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, true));
     }
 
-    /** Two instances get one key, and the mutant sends before the log has said which of them was first. */
+    /** The mutant sends the request before the log shows which of two claims of the same key is first. */
     @Property(tries = 1, seed = "7002", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void aSendBeforeTheClaimIsReadBackIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
-        assertNoticed(
+    void detectsASendBeforeTheClaimIsReadBack(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
+        assertDetected(
                 schedules,
-                new RequestPolicies(RetryPolicy.STANDARD, AttemptLedger::runState, AnswerMatcher.BY_ATTEMPT_ID, false));
+                new RequestPolicies(RetryPolicy.STANDARD, AttemptTracker::runState, ChunkMatcher.BY_ATTEMPT_ID, false));
     }
 
-    /** Connections cross, and the mutant takes what comes for its own. */
+    /** The mutant accepts misrouted chunks of other attempts. */
     @Property(tries = 1, seed = "7003", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void matchingByOrderIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
-        assertNoticed(
+    void detectsMatchingChunksByConnection(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
+        assertDetected(
                 schedules,
-                new RequestPolicies(RetryPolicy.STANDARD, AttemptLedger::runState, (_attemptId, _chunk) -> true, true));
+                new RequestPolicies(
+                        RetryPolicy.STANDARD, AttemptTracker::runState, (_attemptId, _chunk) -> true, true));
     }
 
-    /** An answer is lost after the run, and the mutant says "not run" of whatever it refuses. */
+    /** The mutant reports "not run" in every refusal, even if the answer was lost after the request ran. */
     @Property(tries = 1, seed = "7004", edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.OFF)
-    void alwaysSayingNotRunIsNoticed(@ForAll("hundredSchedules") List<List<RequestDisturbance>> schedules) {
-        assertNoticed(
+    void detectsRefusalsThatAlwaysSayNotRun(@ForAll("hundredSchedules") List<List<ScenarioStep>> schedules) {
+        assertDetected(
                 schedules,
                 new RequestPolicies(
-                        RetryPolicy.STANDARD, _ledger -> RunState.NOT_RUN, AnswerMatcher.BY_ATTEMPT_ID, true));
+                        RetryPolicy.STANDARD, _attempts -> RunState.NOT_RUN, ChunkMatcher.BY_ATTEMPT_ID, true));
     }
 
-    private static void assertNoticed(List<List<RequestDisturbance>> schedules, RequestPolicies mutant) {
-        boolean noticed = schedules.stream()
+    private static void assertDetected(List<List<ScenarioStep>> schedules, RequestPolicies mutant) {
+        boolean detected = schedules.stream()
                 .anyMatch(schedule -> !run(schedule, 7, mutant).held());
-        assertTrue(noticed, "the mutant passed a hundred schedules");
+        assertTrue(detected, "the mutant was not detected in 100 schedules");
     }
 
-    private static HistoryVerdict run(List<RequestDisturbance> schedule, long seed, RequestPolicies policies) {
-        RequestWorld world = new RequestWorld(seed, policies);
+    private static HistoryVerdict run(List<ScenarioStep> schedule, long seed, RequestPolicies policies) {
+        RequestSimulation simulation = new RequestSimulation(seed, policies);
         int number = 0;
-        for (RequestDisturbance each : schedule) {
-            world.advance(each.afterMillis());
-            each.happen(world, number++);
+        for (ScenarioStep each : schedule) {
+            simulation.advanceMillis(each.afterMillis());
+            each.apply(simulation, number++);
         }
-        world.advance(CALM_MILLIS);
+        simulation.advanceMillis(SETTLE_MILLIS);
         return HistoryChecks.standard()
                 .judge(
-                        world.history(),
+                        simulation.history(),
                         org.dogwoodwinch.history.Property.WHOLE_ANSWER_TO_ITS_CALLER,
                         org.dogwoodwinch.history.Property.NOT_RUN_IS_TRUE,
                         org.dogwoodwinch.history.Property.AT_MOST_ONCE);
@@ -110,21 +114,21 @@
     }
 
     @Provide
-    Arbitrary<List<List<RequestDisturbance>>> hundredSchedules() {
+    Arbitrary<List<List<ScenarioStep>>> hundredSchedules() {
         return schedules().list().ofSize(100);
     }
 
     @Provide
-    Arbitrary<List<RequestDisturbance>> schedules() {
-        Arbitrary<RequestDisturbance.Kind> kinds = Arbitraries.frequencyOf(
-                Tuple.of(1, Arbitraries.of(RequestDisturbance.Kind.values())),
-                Tuple.of(1, Arbitraries.of(RequestDisturbance.requestKinds())));
+    Arbitrary<List<ScenarioStep>> schedules() {
+        Arbitrary<ScenarioStep.Kind> kinds = Arbitraries.frequencyOf(
+                Tuple.of(1, Arbitraries.of(ScenarioStep.Kind.values())),
+                Tuple.of(1, Arbitraries.of(ScenarioStep.requestKinds())));
         return Combinators.combine(
                         kinds,
                         Arbitraries.longs().between(0, 600),
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.integers().between(0, 7))
-                .as(RequestDisturbance::new)
+                .as(ScenarioStep::new)
                 .list()
                 .ofMinSize(4)
                 .ofMaxSize(14);
