--- a/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
+++ b/src/main/java/org/dogwoodwinch/admission/WaitingRequest.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.request.Work;
+import org.dogwoodwinch.request.Operation;
 
 /** A request that waits for admission. Not thread-safe: callers hold the monitor of {@link QueueingAdmissionController}. */
 final class WaitingRequest {
@@ -38,11 +38,11 @@
     }
 
     long promptTokens() {
-        return request.work().match(Work.Generate::promptTokens, _service -> 0L);
+        return request.operation().match(Operation.Generate::promptTokens, _service -> 0L);
     }
 
     int maxTokens() {
-        return request.work().match(Work.Generate::maxTokens, _service -> 0);
+        return request.operation().match(Operation.Generate::maxTokens, _service -> 0);
     }
 
     long maxTotalTokens() {
--- a/src/main/java/org/dogwoodwinch/cli/QuarantineLiftCommand.java
+++ b/src/main/java/org/dogwoodwinch/cli/QuarantineLiftCommand.java
@@ -24,11 +24,11 @@
         return instance.post(
                 QuarantineEndpoint.LIFT_PATH,
                 new QuarantineEndpoint.LiftRequest(fingerprint),
-                QuarantineEndpoint.LiftAnswer.class,
+                QuarantineEndpoint.LiftResponse.class,
                 this::print);
     }
 
-    private int print(QuarantineEndpoint.LiftAnswer answer) {
+    private int print(QuarantineEndpoint.LiftResponse answer) {
         instance.line("%s %s", answer.fingerprint(), answer.lifted() ? "lifted" : "was not in quarantine here");
         return answer.lifted() ? ExitCodes.DONE : ExitCodes.REFUSED;
     }
--- a/src/main/java/org/dogwoodwinch/cli/QuarantineListCommand.java
+++ b/src/main/java/org/dogwoodwinch/cli/QuarantineListCommand.java
@@ -21,7 +21,7 @@
 
     @Override
     public Integer call() {
-        return instance.getList(QuarantineEndpoint.PREFIX, QuarantinedRequest.class, this::print);
+        return instance.getList(QuarantineEndpoint.LIST_PATH, QuarantinedRequest.class, this::print);
     }
 
     private int print(List<QuarantinedRequest> requests) {
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -24,8 +24,8 @@
 import org.dogwoodwinch.external.http.HttpWeightStore;
 import org.dogwoodwinch.metrics.Metrics;
 import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.request.ClaimFold;
-import org.dogwoodwinch.request.LogClaimLedger;
+import org.dogwoodwinch.request.ClaimIndex;
+import org.dogwoodwinch.request.LogClaimStore;
 import org.dogwoodwinch.request.RequestCoordinator;
 import org.dogwoodwinch.request.RequestHandler;
 import org.dogwoodwinch.request.RequestPolicies;
@@ -56,7 +56,7 @@
     private final PeerLoadExchange loads;
     private final LimitShareExchange shares;
     private final EnginePoller poller;
-    private final LogClaimLedger claims;
+    private final LogClaimStore claims;
     private final PeerParts peers;
     private final FleetActivity activity;
     private final DrainExchange drains;
@@ -126,13 +126,13 @@
                 new SentWork(new LeavingTellingRouter(router, peers.leaving()::onRefused), control::outOfService);
         this.drains = new DrainExchange(
                 board, sent::inFlight, control::outOfService, () -> directory.otherEntries(name), context.time());
-        this.claims = new LogClaimLedger(
+        this.claims = new LogClaimStore(
                 log,
                 context.time(),
                 peers.exchange().writer(),
                 settings.requests().claimTimeoutMillis(),
                 settings.requests().claimBatchMillis(),
-                new ClaimFold(settings.requests().keyMemoryMillis(), MOST_KEYS),
+                new ClaimIndex(settings.requests().keyMemoryMillis(), MOST_KEYS),
                 peers.exchange()::isAlive);
         this.handler = new RequestCoordinator(
                 new QueueingAdmissionController(
--- a/src/main/java/org/dogwoodwinch/daemon/EdgeReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EdgeReport.java
@@ -89,7 +89,7 @@
                 .with("request", requestId)
                 .with("entry", entry)
                 .with("reason", refusal.reason().label())
-                .with("run", refusal.run().label())
+                .with("run", refusal.runState().label())
                 .with("midStream", midStream)
                 .with("detail", refusal.detail())
                 .info(log);
--- a/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
@@ -28,7 +28,7 @@
 import org.dogwoodwinch.peer.SuspicionExchange;
 import org.dogwoodwinch.relay.ForwardingMetrics;
 import org.dogwoodwinch.request.Quarantine;
-import org.dogwoodwinch.request.SuspectBook;
+import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.settings.ForwardingSettings;
 import org.dogwoodwinch.time.TimeSource;
 import org.slf4j.Logger;
@@ -65,7 +65,7 @@
     private final RelayExchange exchange;
     private final StreamSharing streams;
     private final LoadSharing loadSharing;
-    private final SuspectBook suspects;
+    private final SuspectRegistry suspects;
 
     FleetExchange(
             ForwardingSettings settings,
@@ -115,7 +115,7 @@
                 settings.instance().dataCentre(),
                 settings.peers().roundMillis());
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
-        this.suspects = new SuspectBook(time, SUSPECT_MILLIS, QUARANTINE_MILLIS, suspicions);
+        this.suspects = new SuspectRegistry(time, SUSPECT_MILLIS, QUARANTINE_MILLIS, suspicions);
         suspicions.connect(suspects);
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
+++ b/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
@@ -82,7 +82,7 @@
                 _call -> now(readyPage()),
                 "/status",
                 _call -> now(OperatorAnswer.json(status())),
-                QuarantineEndpoint.PREFIX,
+                QuarantineEndpoint.LIST_PATH,
                 quarantinePage,
                 QuarantineEndpoint.LIFT_PATH,
                 quarantinePage,
@@ -91,7 +91,7 @@
                         .thenApply(OperatorPages::toAnswer));
     }
 
-    private static OperatorAnswer toAnswer(QuarantineEndpoint.Answer answer) {
+    private static OperatorAnswer toAnswer(QuarantineEndpoint.Response answer) {
         return new OperatorAnswer(answer.status(), "application/json", Bytes.ofUtf8(answer.body()));
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/PeerParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerParts.java
@@ -19,7 +19,7 @@
 import org.dogwoodwinch.peer.PeerObserver;
 import org.dogwoodwinch.peer.PeerRefusal;
 import org.dogwoodwinch.peer.SuspicionExchange;
-import org.dogwoodwinch.request.SuspectBook;
+import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.settings.PeerSettings;
 import org.dogwoodwinch.settings.Settings;
 import org.dogwoodwinch.settings.TlsSettings;
@@ -35,7 +35,7 @@
     private final PeerExchange exchange;
     private final LeavingTargets leaving;
     private final PeerWatch watch;
-    private final SuspectBook suspects;
+    private final SuspectRegistry suspects;
     private int port;
 
     /**
@@ -65,7 +65,7 @@
         this.leaving = new LeavingTargets(exchange, context.time(), LEAVING_KEPT_MILLIS);
         this.watch = new PeerWatch(exchange, context.time());
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
-        this.suspects = new SuspectBook(
+        this.suspects = new SuspectRegistry(
                 context.time(), SUSPECT_MILLIS, settings.requests().quarantineMillis(), suspicions);
         suspicions.connect(suspects);
     }
@@ -108,7 +108,7 @@
     }
 
     /** Returns the suspects. */
-    SuspectBook suspects() {
+    SuspectRegistry suspects() {
         return suspects;
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/RequestReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/RequestReport.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void onAttempt(CallerRequest request, String attemptId, Target target) {
+    public void onAttemptSending(CallerRequest request, String attemptId, Target target) {
         LogEvent.of("attempt")
                 .with("request", request.requestId())
                 .with("attempt", attemptId)
@@ -49,19 +49,19 @@
 
     /** The caller sees only {@code internal}: without this line and count, nobody could find the broken invariant. */
     @Override
-    public void onFault(CallerRequest request, RuntimeException fault) {
+    public void onInternalError(CallerRequest request, RuntimeException fault) {
         metrics.countEvent("request_fault");
         log.error("{}", LogEvent.of("request_fault").with("request", request.requestId()), fault);
     }
 
     @Override
-    public void onLateAnswer(CallerRequest request) {
+    public void onLateAnswerDropped(CallerRequest request) {
         metrics.countEvent("late_answer_dropped");
         LogEvent.of("late_answer_dropped").with("request", request.requestId()).info(log);
     }
 
     @Override
-    public void onJoined(CallerRequest request) {
+    public void onResendJoined(CallerRequest request) {
         metrics.countEvent("resend_joined");
         LogEvent.of("resend_joined").with("request", request.requestId()).info(log);
     }
--- a/src/main/java/org/dogwoodwinch/http/CallerRequestReader.java
+++ b/src/main/java/org/dogwoodwinch/http/CallerRequestReader.java
@@ -19,10 +19,10 @@
 import org.dogwoodwinch.catalogue.CatalogueView;
 import org.dogwoodwinch.catalogue.TargetGroup;
 import org.dogwoodwinch.request.CallerRequest;
+import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.request.RefusalReason;
 import org.dogwoodwinch.request.RunState;
-import org.dogwoodwinch.request.Work;
 import org.dogwoodwinch.time.TimeSource;
 
 /**
@@ -129,7 +129,7 @@
         int mostTokens = entry.limits().maxOutputTokens();
         int maxTokens = fields.maxTokens()
                 .orElseGet(() -> mostTokens == 0 ? DEFAULT_MAX_TOKENS : Math.min(mostTokens, DEFAULT_MAX_TOKENS));
-        Work work = new Work.Generate(fields.prompt(), promptTokens, maxTokens);
+        Operation work = new Operation.Generate(fields.prompt(), promptTokens, maxTokens);
         return accept(http.headers(), requestId, entry, work, fields.shape());
     }
 
@@ -159,14 +159,14 @@
             return refusal.get();
         }
         String contentType = Objects.requireNonNullElse(http.headers().get(HttpHeaderNames.CONTENT_TYPE), "");
-        Work work = new Work.Service(
+        Operation work = new Operation.Service(
                 http.method().name(), route.rest(), contentType, Bytes.of(ByteBufUtil.getBytes(http.content())));
         AnswerShape shape = new AnswerShape(AnswerShape.Kind.SERVICE, false, false);
         return accept(http.headers(), requestId, current.entries().get(route.service()), work, shape);
     }
 
     private ReadOutcome accept(
-            HttpHeaders headers, String requestId, CatalogueEntry entry, Work work, AnswerShape shape) {
+            HttpHeaders headers, String requestId, CatalogueEntry entry, Operation work, AnswerShape shape) {
         String key = headers.get(EdgeHeaders.IDEMPOTENCY_KEY);
         if (key != null && !isKey(key)) {
             return invalid(EdgeHeaders.IDEMPOTENCY_KEY, "must be 1 to 255 visible ASCII characters");
@@ -232,19 +232,19 @@
     }
 
     /** SHA-256, so that nobody can craft a request that looks like another one's resend. */
-    private static long fingerprint(CatalogueEntry entry, Work work) {
+    private static long fingerprint(CatalogueEntry entry, Operation work) {
         Hasher hasher = Hashing.sha256().newHasher();
         putText(hasher, entry.name());
         work.match(generate -> putGenerate(hasher, generate), service -> putService(hasher, service));
         return hasher.hash().asLong();
     }
 
-    private static Hasher putGenerate(Hasher hasher, Work.Generate generate) {
+    private static Hasher putGenerate(Hasher hasher, Operation.Generate generate) {
         putText(hasher, generate.prompt());
         return hasher.putInt(generate.maxTokens());
     }
 
-    private static Hasher putService(Hasher hasher, Work.Service service) {
+    private static Hasher putService(Hasher hasher, Operation.Service service) {
         putText(hasher, service.method());
         putText(hasher, service.path());
         putText(hasher, service.contentType());
--- a/src/main/java/org/dogwoodwinch/http/Problem.java
+++ b/src/main/java/org/dogwoodwinch/http/Problem.java
@@ -48,7 +48,7 @@
                 refusal.reason().status(),
                 refusal.detail(),
                 label,
-                refusal.run().label(),
+                refusal.runState().label(),
                 refusal.field().isEmpty() ? null : refusal.field(),
                 requestId,
                 refusal.retryAfterMillis() > 0 ? refusal.retryAfterMillis() : null);
--- a/src/main/java/org/dogwoodwinch/measure/capacity/InFlightProbe.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/InFlightProbe.java
@@ -10,7 +10,7 @@
 import org.dogwoodwinch.external.ListedInstance;
 import org.dogwoodwinch.measure.MeasurementTable;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.request.Work;
+import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.routing.FleetView;
 import org.dogwoodwinch.routing.LoadAwareRouter;
 import org.dogwoodwinch.routing.RouteQuery;
@@ -63,7 +63,7 @@
         kept.add(router);
         for (int i = 0; i < inFlight; i++) {
             CallerRequest request = request(i);
-            String prompt = ((Work.Generate) request.work()).prompt();
+            String prompt = ((Operation.Generate) request.operation()).prompt();
             RouteQuery query =
                     new RouteQuery(GROUP, WorkClass.STANDARD, prompt, PROMPT_TOKENS, 231, 60_000, Set.of(), false);
             Target target = new Target("engine-" + i % TARGETS, "10.0.0.1", 80, "dc-1", GROUP);
@@ -78,7 +78,7 @@
         return new CallerRequest(
                 "request-" + number,
                 ENTRY,
-                new Work.Generate(prompt, PROMPT_TOKENS, 231),
+                new Operation.Generate(prompt, PROMPT_TOKENS, 231),
                 Optional.empty(),
                 number,
                 0,
--- a/src/main/java/org/dogwoodwinch/measure/requests/ClaimTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/ClaimTrial.java
@@ -7,12 +7,12 @@
 import org.dogwoodwinch.external.AppendResult;
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.external.ReadResult;
-import org.dogwoodwinch.request.ClaimFold;
+import org.dogwoodwinch.request.ClaimIndex;
 import org.dogwoodwinch.request.ClaimOutcome;
 import org.dogwoodwinch.request.ClaimRequest;
-import org.dogwoodwinch.request.KeptAnswer;
-import org.dogwoodwinch.request.LogClaimLedger;
+import org.dogwoodwinch.request.LogClaimStore;
 import org.dogwoodwinch.request.RequestSettings;
+import org.dogwoodwinch.request.StoredAnswer;
 import org.dogwoodwinch.request.StreamPointer;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
@@ -43,15 +43,15 @@
         memoryLog.setAnswerMillis(LOG_ANSWER_MILLIS);
         CountingLog counting = new CountingLog(memoryLog);
         RequestSettings settings = RequestSettings.DEFAULT;
-        List<LogClaimLedger> ledgers = new ArrayList<>();
+        List<LogClaimStore> ledgers = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            LogClaimLedger ledger = new LogClaimLedger(
+            LogClaimStore ledger = new LogClaimStore(
                     counting,
                     time,
                     "entry-" + i + "~1",
-                    settings.claimMillis(),
+                    settings.claimTimeoutMillis(),
                     windowMillis,
-                    new ClaimFold(settings.keyMemoryMillis(), MAX_KEYS),
+                    new ClaimIndex(settings.keyMemoryMillis(), MAX_KEYS),
                     _writer -> true);
             ledger.start();
             ledgers.add(ledger);
@@ -85,14 +85,14 @@
             this.time = time;
         }
 
-        void claim(LogClaimLedger ledger, int number) {
+        void claim(LogClaimStore ledger, int number) {
             long askedMillis = time.monotonicMillis();
             String key = String.format("%032x", number);
             StreamPointer pointer = new StreamPointer("engine-" + number % 11, "1k2j3h4g5f-" + number);
             ledger.claim(new ClaimRequest(key, number, pointer), outcome -> {
-                if (outcome instanceof ClaimOutcome.Won won) {
+                if (outcome instanceof ClaimOutcome.Acquired won) {
                     waits.recordValue(time.monotonicMillis() - askedMillis);
-                    ledger.completed(won.claimId(), new KeptAnswer.Generated(text, new Usage(10, 0, 50), "stop"));
+                    ledger.recordAnswer(won.claimId(), new StoredAnswer.Generated(text, new Usage(10, 0, 50), "stop"));
                 } else {
                     refused++;
                 }
--- a/src/main/java/org/dogwoodwinch/measure/requests/PoisonTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/PoisonTrial.java
@@ -13,8 +13,8 @@
 import org.dogwoodwinch.request.RequestObserver;
 import org.dogwoodwinch.request.RequestPolicies;
 import org.dogwoodwinch.request.RequestSettings;
-import org.dogwoodwinch.request.SuspectBook;
-import org.dogwoodwinch.request.UnreachableClaims;
+import org.dogwoodwinch.request.SuspectRegistry;
+import org.dogwoodwinch.request.UnavailableClaimStore;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** One request that crashes engines, sent again and again through all instances, among innocent ones. */
@@ -39,7 +39,7 @@
         TrialPeers peers = new TrialPeers(INSTANCES, time, seed);
         List<RequestCoordinator> instances = new ArrayList<>();
         for (int i = 0; i < INSTANCES; i++) {
-            SuspectBook book = book(time, peers.exchanges().get(i));
+            SuspectRegistry book = book(time, peers.exchanges().get(i));
             instances.add(coordinator(fleet, time, guarded ? book : Quarantine.NONE, seed + i));
         }
         time.advanceMillis(5_000);
@@ -66,10 +66,11 @@
                 missed);
     }
 
-    private static SuspectBook book(VirtualTimeSource time, PeerExchange exchange) {
+    private static SuspectRegistry book(VirtualTimeSource time, PeerExchange exchange) {
         RequestSettings settings = RequestSettings.DEFAULT;
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
-        SuspectBook book = new SuspectBook(time, settings.suspectMillis(), settings.quarantineMillis(), suspicions);
+        SuspectRegistry book =
+                new SuspectRegistry(time, settings.suspicionMillis(), settings.quarantineMillis(), suspicions);
         suspicions.connect(book);
         return book;
     }
@@ -84,7 +85,7 @@
                 CatalogueEntry::group,
                 time,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed),
-                new UnreachableClaims(),
+                new UnavailableClaimStore(),
                 quarantine,
                 RequestObserver.NONE,
                 RequestSettings.DEFAULT,
--- a/src/main/java/org/dogwoodwinch/measure/requests/RetryTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/RetryTrial.java
@@ -11,7 +11,7 @@
 import org.dogwoodwinch.request.RequestObserver;
 import org.dogwoodwinch.request.RequestPolicies;
 import org.dogwoodwinch.request.RequestSettings;
-import org.dogwoodwinch.request.UnreachableClaims;
+import org.dogwoodwinch.request.UnavailableClaimStore;
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.ServiceClient;
@@ -40,13 +40,13 @@
                 1_000_000,
                 base.backoffBaseMillis(),
                 base.backoffMaxMillis(),
-                base.stallMillis(),
-                base.claimMillis(),
+                base.stallTimeoutMillis(),
+                base.claimTimeoutMillis(),
                 base.keyMemoryMillis(),
                 base.logRetentionMillis(),
-                base.maxKeptAnswerBytes(),
+                base.maxStoredAnswerBytes(),
                 base.joinWaitMillis(),
-                base.suspectMillis(),
+                base.suspicionMillis(),
                 base.quarantineMillis());
     }
 
@@ -64,7 +64,7 @@
                 CatalogueEntry::group,
                 time,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1),
-                new UnreachableClaims(),
+                new UnavailableClaimStore(),
                 Quarantine.NONE,
                 RequestObserver.NONE,
                 settings,
--- a/src/main/java/org/dogwoodwinch/measure/requests/TrialRequests.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/TrialRequests.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.catalogue.Limits;
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.request.Work;
+import org.dogwoodwinch.request.Operation;
 
 /** The requests that trials send. */
 final class TrialRequests {
@@ -25,14 +25,14 @@
     private TrialRequests() {}
 
     static CallerRequest generate(String prompt, long nowMillis) {
-        return request(new Work.Generate(prompt, 10, MAX_TOKENS), prompt.hashCode(), nowMillis);
+        return request(new Operation.Generate(prompt, 10, MAX_TOKENS), prompt.hashCode(), nowMillis);
     }
 
     static CallerRequest service(int number, long nowMillis) {
-        return request(new Work.Service("POST", "/", "text/plain", Bytes.EMPTY), number, nowMillis);
+        return request(new Operation.Service("POST", "/", "text/plain", Bytes.EMPTY), number, nowMillis);
     }
 
-    private static CallerRequest request(Work work, long fingerprint, long nowMillis) {
+    private static CallerRequest request(Operation work, long fingerprint, long nowMillis) {
         CatalogueEntry entry = new CatalogueEntry(
                 "entry", "malabar", WorkClass.STANDARD, TrialFleet.GROUP, true, DEADLINE_MILLIS, Limits.NONE);
         return new CallerRequest(
--- a/src/main/java/org/dogwoodwinch/metrics/Metrics.java
+++ b/src/main/java/org/dogwoodwinch/metrics/Metrics.java
@@ -90,7 +90,8 @@
      * @param refusal the refusal, not null
      */
     public void countRefusal(Refusal refusal) {
-        refusals.labelValues(refusal.reason().label(), refusal.run().label()).inc();
+        refusals.labelValues(refusal.reason().label(), refusal.runState().label())
+                .inc();
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.bytes.Packing;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.request.SuspectBook;
+import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.request.SuspicionNotice;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -36,7 +36,7 @@
      *
      * @param book the book, not null
      */
-    public void connect(SuspectBook book) {
+    public void connect(SuspectRegistry book) {
         board.subscribe(
                 PeerTopic.QUARANTINE,
                 item -> decode(item.payload()).ifPresent(notice -> book.onPeerNotice(notice, item.ageMillis())));
@@ -47,7 +47,7 @@
     public void accept(SuspicionNotice notice) {
         boolean trial =
                 notice.kind() == SuspicionNotice.Kind.TRIAL || notice.kind() == SuspicionNotice.Kind.TRIAL_ENDED;
-        String key = (trial ? TRIAL_PREFIX : "") + SuspectBook.toHex(notice.fingerprint());
+        String key = (trial ? TRIAL_PREFIX : "") + SuspectRegistry.formatFingerprint(notice.fingerprint());
         board.publish(PeerTopic.QUARANTINE, key, encode(notice), Math.max(LEAST_KEPT_MILLIS, notice.remainingMillis()));
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/Suspicions.java
+++ b/src/main/java/org/dogwoodwinch/relay/Suspicions.java
@@ -9,8 +9,8 @@
 import org.dogwoodwinch.forwarding.CrashEvidence.LostCall;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.request.Quarantine;
-import org.dogwoodwinch.request.Quarantine.Standing;
-import org.dogwoodwinch.request.SuspectBook;
+import org.dogwoodwinch.request.Quarantine.Status;
+import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -48,22 +48,22 @@
     }
 
     boolean quarantined(long fingerprint) {
-        return quarantine.standing(fingerprint) == Standing.QUARANTINED;
+        return quarantine.statusOf(fingerprint) == Status.QUARANTINED;
     }
 
     /** The targets that a call should not go to: a suspect not to where another one runs. */
     Set<String> avoided(long fingerprint) {
-        return quarantine.standing(fingerprint) == Standing.CLEAR ? Set.of() : quarantine.trialTargets();
+        return quarantine.statusOf(fingerprint) == Status.CLEAR ? Set.of() : quarantine.trialTargets();
     }
 
     void sending(long fingerprint, String attemptId, String targetId) {
-        if (quarantine.standing(fingerprint) != Standing.CLEAR) {
-            quarantine.onTrial(fingerprint, attemptId, targetId);
+        if (quarantine.statusOf(fingerprint) != Status.CLEAR) {
+            quarantine.onTrialStarted(fingerprint, attemptId, targetId);
         }
     }
 
     void ended(long fingerprint, String attemptId, boolean completed) {
-        quarantine.onEnded(fingerprint, attemptId, completed);
+        quarantine.onAttemptEnded(fingerprint, attemptId, completed);
     }
 
     /** An answer was lost with its connection: that alone proves nothing of the target. */
@@ -78,9 +78,9 @@
             quarantine.onCrash(call.fingerprint(), call.attemptId(), targetId);
             LogEvent.of("crash_suspect")
                     .with("request", call.attemptId())
-                    .with("fingerprint", SuspectBook.toHex(call.fingerprint()))
+                    .with("fingerprint", SuspectRegistry.formatFingerprint(call.fingerprint()))
                     .with("target", targetId)
-                    .with("standing", quarantine.standing(call.fingerprint()))
+                    .with("standing", quarantine.statusOf(call.fingerprint()))
                     .info(log);
         }
     }
--- a/src/main/java/org/dogwoodwinch/replay/ReplayRequest.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayRequest.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.catalogue.Limits;
 import org.dogwoodwinch.catalogue.WorkClass;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.request.Work;
+import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.routing.Route;
 import org.dogwoodwinch.routing.RouteQuery;
 import org.dogwoodwinch.standin.EngineCost;
@@ -60,7 +60,7 @@
         CallerRequest request = new CallerRequest(
                 traced.id(),
                 entry,
-                new Work.Generate(prompt, traced.promptTokens(), traced.maxTokens()),
+                new Operation.Generate(prompt, traced.promptTokens(), traced.maxTokens()),
                 Optional.empty(),
                 0,
                 nowMillis(),
--- a/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
@@ -24,18 +24,18 @@
         }
     }
 
-    KeptAnswer toStoredAnswer(Usage usage, String finishReason) {
+    StoredAnswer toStoredAnswer(Usage usage, String finishReason) {
         if (totalChars > maxBytes) {
-            return new KeptAnswer.TooLong(totalChars);
+            return new StoredAnswer.TooLong(totalChars);
         }
-        return bounded(new KeptAnswer.Generated(text.toString(), usage, finishReason));
+        return bounded(new StoredAnswer.Generated(text.toString(), usage, finishReason));
     }
 
-    KeptAnswer toStoredAnswer(ServiceAnswer answer) {
-        return bounded(new KeptAnswer.Service(answer));
+    StoredAnswer toStoredAnswer(ServiceAnswer answer) {
+        return bounded(new StoredAnswer.Service(answer));
     }
 
-    private KeptAnswer bounded(KeptAnswer answer) {
-        return answer.answerBytes() > maxBytes ? new KeptAnswer.TooLong(answer.answerBytes()) : answer;
+    private StoredAnswer bounded(StoredAnswer answer) {
+        return answer.answerBytes() > maxBytes ? new StoredAnswer.TooLong(answer.answerBytes()) : answer;
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/CallerRequest.java
+++ b/src/main/java/org/dogwoodwinch/request/CallerRequest.java
@@ -9,7 +9,7 @@
  *
  * @param requestId the id of the request, which is returned to the caller, not null
  * @param entry the catalogue entry that the request addresses, as it was on arrival, not null
- * @param work the operation to perform, not null
+ * @param operation the operation to perform, not null
  * @param idempotencyKey the caller's idempotency key, scoped to the owner; empty if none was sent, not null
  * @param fingerprint a hash of entry and operation, equal for every resend of the request regardless of its key or of
  *     the instance that receives it
@@ -19,7 +19,7 @@
 public record CallerRequest(
         String requestId,
         CatalogueEntry entry,
-        Work work,
+        Operation operation,
         Optional<String> idempotencyKey,
         long fingerprint,
         long arrivedMillis,
@@ -29,7 +29,7 @@
     public CallerRequest {
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(entry, "entry");
-        Objects.requireNonNull(work, "work");
+        Objects.requireNonNull(operation, "operation");
         Objects.requireNonNull(idempotencyKey, "idempotencyKey");
     }
 
--- a/src/main/java/org/dogwoodwinch/request/ClaimFold.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimIndex.java
@@ -16,7 +16,7 @@
  * instance, and only the instance that made a claim acts on it. Answers stay on the log; the index stores their
  * offsets. Not thread-safe.
  */
-public final class ClaimFold {
+public final class ClaimIndex {
 
     private final long keyMemoryMillis;
     private final int maxKeys;
@@ -32,7 +32,7 @@
      * @param maxKeys the number of keys at which the index is full; a full index still applies records of the log, but
      *     no new claim may be made against it
      */
-    public ClaimFold(long keyMemoryMillis, int maxKeys) {
+    public ClaimIndex(long keyMemoryMillis, int maxKeys) {
         this.keyMemoryMillis = keyMemoryMillis;
         this.maxKeys = maxKeys;
     }
--- a/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
@@ -87,7 +87,7 @@
         }
     }
 
-    private void onAnswerRead(HeldClaim held, Optional<KeptAnswer> stored) {
+    private void onAnswerRead(HeldClaim held, Optional<StoredAnswer> stored) {
         if (finished) {
             return;
         }
@@ -113,7 +113,7 @@
                         });
     }
 
-    private void deliverStored(HeldClaim held, KeptAnswer.Generated generated) {
+    private void deliverStored(HeldClaim held, StoredAnswer.Generated generated) {
         finished = true;
         int tokens = (int) Math.max(1, generated.usage().completionTokens());
         delivery.progress().restart();
@@ -132,7 +132,7 @@
 
     private void joinStream(HeldClaim held) {
         Optional<Target> target = context.targetLookup().apply(held.pointer().target());
-        boolean generates = request.work() instanceof Work.Generate;
+        boolean generates = request.operation() instanceof Operation.Generate;
         streamJoinTried = true;
         if (target.isEmpty() || !generates) {
             schedulePoll();
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutbox.java
@@ -12,7 +12,7 @@
  *
  * <p>If the reply to an append is lost, the batch is neither dropped nor appended again at once: its records are queued
  * again later, and only if the batch has not been read back from the stream by then. A duplicate append is harmless,
- * because {@link ClaimFold} ignores it.
+ * because {@link ClaimIndex} ignores it.
  */
 final class ClaimOutbox {
 
--- a/src/main/java/org/dogwoodwinch/request/ClaimOutcome.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimOutcome.java
@@ -10,7 +10,7 @@
      *
      * @param claimId the claim's id
      */
-    record Won(String claimId) implements ClaimOutcome {}
+    record Acquired(String claimId) implements ClaimOutcome {}
 
     /**
      * An earlier claim holds the key.
@@ -33,7 +33,7 @@
     /**
      * Applies the function that corresponds to the type of this outcome.
      *
-     * @param acquired for {@link Won}
+     * @param acquired for {@link Acquired}
      * @param alreadyClaimed for {@link AlreadyClaimed}
      * @param keyReused for {@link KeyReused}
      * @param unavailable for {@link Unavailable}
@@ -41,11 +41,11 @@
      * @return the result of the function applied
      */
     default <T> T match(
-            Function<Won, T> acquired,
+            Function<Acquired, T> acquired,
             Function<AlreadyClaimed, T> alreadyClaimed,
             Function<KeyReused, T> keyReused,
             Function<Unavailable, T> unavailable) {
-        if (this instanceof Won value) {
+        if (this instanceof Acquired value) {
             return acquired.apply(value);
         }
         if (this instanceof AlreadyClaimed value) {
--- a/src/main/java/org/dogwoodwinch/request/ClaimStore.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimStore.java
@@ -37,7 +37,7 @@
      * @param claimId the claim's id, not null
      * @param answer the answer, not null
      */
-    void completed(String claimId, KeptAnswer answer);
+    void recordAnswer(String claimId, StoredAnswer answer);
 
     /**
      * Releases an acquired claim whose request is proved not to have run, so that a resend may run.
@@ -60,5 +60,5 @@
      * @param claim a claim that has an outcome, not null
      * @param answer receives the answer, or empty if the log does not reply or no longer holds it, not null
      */
-    void readAnswer(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer);
+    void readAnswer(HeldClaim claim, Consumer<Optional<StoredAnswer>> answer);
 }
--- a/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
@@ -150,7 +150,7 @@
 
     private long allowedSilenceMillis() {
         long queueMillis = firstChunkReceived ? 0 : FIRST_TOKEN_TOLERANCE_FACTOR * expectedFirstTokenMillis;
-        return context.settings().stallMillis() + queueMillis;
+        return context.settings().stallTimeoutMillis() + queueMillis;
     }
 
     private void checkStall() {
@@ -169,7 +169,7 @@
         onFailure(
                 stalled,
                 new TargetFailure.TimedOut(
-                        "engine sent nothing for at least " + context.settings().stallMillis() + " ms"));
+                        "engine sent nothing for at least " + context.settings().stallTimeoutMillis() + " ms"));
         if (!finished) {
             armStallTimer();
         }
@@ -177,7 +177,7 @@
 
     private void onChunk(Reader source, AnswerChunk chunk) {
         if (isStale(source) || !context.policies().chunkMatcher().matches(attemptId(), chunk)) {
-            context.observer().onLateAnswer(request);
+            context.observer().onLateAnswerDropped(request);
             return;
         }
         markReceived();
@@ -209,7 +209,7 @@
 
     private void onComplete(Reader source, Usage usage, String finishReason) {
         if (isStale(source)) {
-            context.observer().onLateAnswer(request);
+            context.observer().onLateAnswerDropped(request);
             return;
         }
         if (usage.completionTokens() > progress.nextExpectedSequence()) {
@@ -231,7 +231,7 @@
 
     private void onFailure(Reader source, TargetFailure failure) {
         if (isStale(source)) {
-            context.observer().onLateAnswer(request);
+            context.observer().onLateAnswerDropped(request);
             return;
         }
         if (source.interruption != null && !isInterruption(failure)) {
--- a/src/main/java/org/dogwoodwinch/request/LogClaimLedger.java
+++ b/src/main/java/org/dogwoodwinch/request/LogClaimStore.java
@@ -24,7 +24,7 @@
  * is released if it appears on the log later. Until then, other instances treat it as a request that may have run,
  * which is the safe assumption.
  */
-public final class LogClaimLedger implements ClaimStore {
+public final class LogClaimStore implements ClaimStore {
 
     /** The stream's name on the log. */
     public static final String STREAM_NAME = "claims";
@@ -42,7 +42,7 @@
     private final String writerId;
     private final long claimTimeoutMillis;
     private final long batchWindowMillis;
-    private final ClaimFold index;
+    private final ClaimIndex index;
     private final Predicate<String> liveWriters;
     private final ClaimOutbox outbox;
     private final Map<String, PendingClaim> pendingClaims = new HashMap<>();
@@ -72,13 +72,13 @@
      * @param index the empty index that the stream is applied to, not null; the caller must not use it afterwards
      * @param liveWriters tests whether the writer with a given id is believed to be alive, not null
      */
-    public LogClaimLedger(
+    public LogClaimStore(
             LogService logService,
             TimeSource time,
             String writerId,
             long claimTimeoutMillis,
             long batchWindowMillis,
-            ClaimFold index,
+            ClaimIndex index,
             Predicate<String> liveWriters) {
         this.logService = Objects.requireNonNull(logService, "logService");
         this.time = Objects.requireNonNull(time, "time");
@@ -113,7 +113,7 @@
 
     private synchronized Optional<ClaimOutcome> startClaim(ClaimRequest claim, Consumer<ClaimOutcome> outcome) {
         long nowMillis = time.monotonicMillis();
-        Optional<ClaimFold.Entry> held = index.find(claim.keyHash(), nowMillis);
+        Optional<ClaimIndex.Entry> held = index.find(claim.keyHash(), nowMillis);
         if (held.isPresent()) {
             return Optional.of(outcomeOf(claim, held.get()));
         }
@@ -138,7 +138,7 @@
         return Optional.empty();
     }
 
-    private ClaimOutcome outcomeOf(ClaimRequest claim, ClaimFold.Entry held) {
+    private ClaimOutcome outcomeOf(ClaimRequest claim, ClaimIndex.Entry held) {
         return held.fingerprint() == claim.fingerprint()
                 ? new ClaimOutcome.AlreadyClaimed(withProgress(held.claim()))
                 : new ClaimOutcome.KeyReused();
@@ -185,7 +185,7 @@
     }
 
     @Override
-    public synchronized void completed(String claimId, KeptAnswer answer) {
+    public synchronized void recordAnswer(String claimId, StoredAnswer answer) {
         String keyHash = activeClaimKeys.remove(claimId);
         if (keyHash != null) {
             append(new ClaimRecord.Completed(claimId, keyHash, StoredAnswerRecord.of(answer)));
@@ -206,14 +206,14 @@
     }
 
     @Override
-    public void readAnswer(HeldClaim claim, Consumer<Optional<KeptAnswer>> answer) {
+    public void readAnswer(HeldClaim claim, Consumer<Optional<StoredAnswer>> answer) {
         logService
                 .read(STREAM_NAME, claim.outcomeOffset(), 1, 0)
                 .whenComplete((result, _fault) ->
                         answer.accept(Optional.ofNullable(result).flatMap(found -> findAnswer(found, claim))));
     }
 
-    private static Optional<KeptAnswer> findAnswer(ReadResult result, HeldClaim claim) {
+    private static Optional<StoredAnswer> findAnswer(ReadResult result, HeldClaim claim) {
         List<LogRecord> records = result.match(ReadResult.Records::records, _expired -> List.of(), _out -> List.of());
         return records.stream()
                 .filter(each -> each.offset() == claim.outcomeOffset())
@@ -386,7 +386,7 @@
 
     private Optional<Runnable> onOwnClaim(ClaimRecord.Claimed claimed) {
         long nowMillis = time.monotonicMillis();
-        Optional<ClaimFold.Entry> held = index.find(claimed.keyHash(), nowMillis);
+        Optional<ClaimIndex.Entry> held = index.find(claimed.keyHash(), nowMillis);
         boolean first = held.isPresent() && held.get().claim().claimId().equals(claimed.claimId());
         PendingClaim pendingClaim = pendingClaims.remove(claimed.claimId());
         if (pendingClaim == null) {
@@ -409,7 +409,7 @@
             if (activeClaimKeys.size() > MAX_ACTIVE_CLAIMS) {
                 activeClaimKeys.remove(activeClaimKeys.keySet().iterator().next());
             }
-            return Optional.of(() -> pendingClaim.outcome().accept(new ClaimOutcome.Won(claimed.claimId())));
+            return Optional.of(() -> pendingClaim.outcome().accept(new ClaimOutcome.Acquired(claimed.claimId())));
         }
         ClaimOutcome outcome = held.map(entry -> outcomeOf(pendingClaim.claim(), entry))
                 .orElseGet(() -> new ClaimOutcome.Unavailable(
--- a/src/main/java/org/dogwoodwinch/request/Work.java
+++ b/src/main/java/org/dogwoodwinch/request/Operation.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /** The operation that a caller requests. */
-public sealed interface Work {
+public sealed interface Operation {
 
     /**
      * Generates an answer to a prompt.
@@ -14,7 +14,7 @@
      * @param promptTokens the estimated length of the prompt, in tokens
      * @param maxTokens the maximum number of tokens to generate
      */
-    record Generate(String prompt, long promptTokens, int maxTokens) implements Work {
+    record Generate(String prompt, long promptTokens, int maxTokens) implements Operation {
 
         /** Checks that the prompt is not null. */
         public Generate {
@@ -30,7 +30,7 @@
      * @param contentType the body's media type, not null
      * @param body the body, not null
      */
-    record Service(String method, String path, String contentType, Bytes body) implements Work {
+    record Service(String method, String path, String contentType, Bytes body) implements Operation {
 
         /** Checks that no component is null. */
         public Service {
--- a/src/main/java/org/dogwoodwinch/request/Quarantine.java
+++ b/src/main/java/org/dogwoodwinch/request/Quarantine.java
@@ -8,8 +8,8 @@
     /** A quarantine without suspects, which ignores all events. */
     Quarantine NONE = new Quarantine() {
         @Override
-        public Standing standing(long _fingerprint) {
-            return Standing.CLEAR;
+        public Status statusOf(long _fingerprint) {
+            return Status.CLEAR;
         }
 
         @Override
@@ -18,17 +18,17 @@
         }
 
         @Override
-        public void onTrial(long _fingerprint, String _attemptId, String _target) {}
+        public void onTrialStarted(long _fingerprint, String _attemptId, String _target) {}
 
         @Override
         public void onCrash(long _fingerprint, String _attemptId, String _target) {}
 
         @Override
-        public void onEnded(long _fingerprint, String _attemptId, boolean _completed) {}
+        public void onAttemptEnded(long _fingerprint, String _attemptId, boolean _completed) {}
     };
 
     /** The quarantine status of a request. */
-    enum Standing {
+    enum Status {
         /** The request is not suspected. */
         CLEAR,
         /** The request was in flight on a target that crashed; it runs alone if a target is available for that. */
@@ -45,7 +45,7 @@
      * @param fingerprint the request's fingerprint
      * @return the status
      */
-    Standing standing(long fingerprint);
+    Status statusOf(long fingerprint);
 
     /**
      * Returns the targets on which a suspect runs in a trial, so that other requests can avoid them.
@@ -61,7 +61,7 @@
      * @param attemptId the attempt's id, not null
      * @param target the target's name, not null
      */
-    void onTrial(long fingerprint, String attemptId, String target);
+    void onTrialStarted(long fingerprint, String attemptId, String target);
 
     /**
      * Called when a target crashed while an attempt was in flight on it.
@@ -79,5 +79,5 @@
      * @param attemptId the attempt's id, not null
      * @param completed whether the answer is complete, which clears the request of suspicion
      */
-    void onEnded(long fingerprint, String attemptId, boolean completed);
+    void onAttemptEnded(long fingerprint, String attemptId, boolean completed);
 }
--- a/src/main/java/org/dogwoodwinch/request/QuarantineEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/request/QuarantineEndpoint.java
@@ -5,16 +5,16 @@
 import java.util.Objects;
 
 /**
- * Operator endpoint under {@link #PREFIX}: {@code GET /quarantine} lists the requests in quarantine, and {@code POST
+ * Operator endpoint under {@link #LIST_PATH}: {@code GET /quarantine} lists the requests in quarantine, and {@code POST
  * /quarantine/lift} with a {@link LiftRequest} ends the quarantine of one.
  */
 public final class QuarantineEndpoint {
 
     /** The path that lists the requests in quarantine, and the prefix of all paths of this endpoint. */
-    public static final String PREFIX = "/quarantine";
+    public static final String LIST_PATH = "/quarantine";
 
     /** The path that lifts a quarantine. */
-    public static final String LIFT_PATH = PREFIX + "/lift";
+    public static final String LIFT_PATH = LIST_PATH + "/lift";
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -22,14 +22,14 @@
     private static final int HEX_RADIX = 16;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private final SuspectBook suspects;
+    private final SuspectRegistry suspects;
 
     /**
      * Creates the endpoint.
      *
      * @param suspects the registry of suspected requests, not null
      */
-    public QuarantineEndpoint(SuspectBook suspects) {
+    public QuarantineEndpoint(SuspectRegistry suspects) {
         this.suspects = Objects.requireNonNull(suspects, "suspects");
     }
 
@@ -41,8 +41,8 @@
      * @param body the JSON body, empty if there is none, not null
      * @return the response
      */
-    public Answer handle(String method, String path, String body) {
-        if (method.equals("GET") && path.equals(PREFIX)) {
+    public Response handle(String method, String path, String body) {
+        if (method.equals("GET") && path.equals(LIST_PATH)) {
             return json(OK, suspects.listQuarantined());
         }
         if (method.equals("POST") && path.equals(LIFT_PATH)) {
@@ -51,19 +51,19 @@
         return json(NOT_FOUND, new Problem("not found: " + method + " " + path));
     }
 
-    private Answer lift(String body) {
+    private Response lift(String body) {
         try {
             String fingerprint = MAPPER.readValue(body, LiftRequest.class).fingerprint();
             boolean lifted = suspects.lift(Long.parseUnsignedLong(fingerprint, HEX_RADIX));
-            return json(OK, new LiftAnswer(fingerprint, lifted));
+            return json(OK, new LiftResponse(fingerprint, lifted));
         } catch (JsonProcessingException | NumberFormatException _e) {
             return json(BAD_REQUEST, new Problem("fingerprint must be a hexadecimal number of at most 16 digits"));
         }
     }
 
-    private static Answer json(int status, Object value) {
+    private static Response json(int status, Object value) {
         try {
-            return new Answer(status, MAPPER.writeValueAsString(value));
+            return new Response(status, MAPPER.writeValueAsString(value));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("quarantine response could not be serialized as JSON", e);
         }
@@ -75,7 +75,7 @@
      * @param status the HTTP status
      * @param body the JSON body, not null
      */
-    public record Answer(int status, String body) {}
+    public record Response(int status, String body) {}
 
     /**
      * The body of a call that lifts a quarantine.
@@ -97,7 +97,7 @@
      * @param lifted whether the request was in quarantine on the instance that was called; the other instances are
      *     notified in either case
      */
-    public record LiftAnswer(String fingerprint, boolean lifted) {}
+    public record LiftResponse(String fingerprint, boolean lifted) {}
 
     /**
      * The body of an error response.
--- a/src/main/java/org/dogwoodwinch/request/Refusal.java
+++ b/src/main/java/org/dogwoodwinch/request/Refusal.java
@@ -6,17 +6,17 @@
  * The refusal of a request, as returned to the caller.
  *
  * @param reason the reason, not null
- * @param run whether the request may have run, not null
+ * @param runState whether the request may have run, not null
  * @param detail a human-readable description, not null
  * @param field the invalid field of the request; empty if the refusal is not about a field, not null
  * @param retryAfterMillis the delay after which a retry is useful, in milliseconds; zero if a retry does not help
  */
-public record Refusal(RefusalReason reason, RunState run, String detail, String field, long retryAfterMillis) {
+public record Refusal(RefusalReason reason, RunState runState, String detail, String field, long retryAfterMillis) {
 
     /** Checks that no component is null. */
     public Refusal {
         Objects.requireNonNull(reason, "reason");
-        Objects.requireNonNull(run, "run");
+        Objects.requireNonNull(runState, "runState");
         Objects.requireNonNull(detail, "detail");
         Objects.requireNonNull(field, "field");
     }
--- a/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
@@ -20,7 +20,7 @@
     /** Receives the result of the attempt, exactly once. */
     interface Listener {
 
-        void onCompleted(KeptAnswer stored, Usage usage);
+        void onCompleted(StoredAnswer stored, Usage usage);
 
         void onFailed(Target target, TargetFailure failure);
 
@@ -65,11 +65,11 @@
         this.query = query;
         this.attemptId = attemptId;
         this.listener = listener;
-        this.answerBuffer = new AnswerBuffer(context.settings().maxKeptAnswerBytes());
+        this.answerBuffer = new AnswerBuffer(context.settings().maxStoredAnswerBytes());
     }
 
     void start() {
-        request.work()
+        request.operation()
                 .match(
                         operation -> {
                             startGenerate(operation);
@@ -99,10 +99,10 @@
                 each.detach();
             }
         });
-        context.quarantine().onEnded(request.fingerprint(), attemptId, false);
+        context.quarantine().onAttemptEnded(request.fingerprint(), attemptId, false);
     }
 
-    private void startGenerate(Work.Generate work) {
+    private void startGenerate(Operation.Generate work) {
         if (route.prefillTarget().isPresent()) {
             startPrefill(work, route.prefillTarget().get());
         } else {
@@ -110,7 +110,7 @@
         }
     }
 
-    private void startPrefill(Work.Generate work, Target target) {
+    private void startPrefill(Operation.Generate work, Target target) {
         String prefillId = attemptId + PREFILL_SUFFIX;
         PrefillStep step = new PrefillStep(
                 executor,
@@ -119,13 +119,13 @@
                 reply -> onPrefilled(work, target, prefillId, reply));
         prefill = Optional.of(step);
         attempts.onSend(prefillId);
-        context.observer().onAttempt(request, prefillId, target);
+        context.observer().onAttemptSending(request, prefillId, target);
         context.router().onSent(prefillId, target, query);
         step.start(TargetCalls.prefill(
                 request, work, context.modelLookup().apply(request.entry()), prefillId, context.nowMillis()));
     }
 
-    private void onPrefilled(Work.Generate work, Target target, String prefillId, TargetReply<KvReference> reply) {
+    private void onPrefilled(Operation.Generate work, Target target, String prefillId, TargetReply<KvReference> reply) {
         Usage usage = prefill.map(PrefillStep::usage).orElse(NO_USAGE);
         prefill = Optional.empty();
         reply.match(
@@ -144,10 +144,10 @@
                 });
     }
 
-    private void generate(Work.Generate work, Optional<KvReference> reference) {
+    private void generate(Operation.Generate work, Optional<KvReference> reference) {
         Target target = route.target();
         attempts.onSend(attemptId);
-        context.observer().onAttempt(request, attemptId, target);
+        context.observer().onAttemptSending(request, attemptId, target);
         StreamPointer pointer = new StreamPointer(target.name(), attemptId);
         EngineAttempt attempt = new EngineAttempt(
                 context,
@@ -165,10 +165,10 @@
         attempt.start(TargetCalls.generate(request, work, model, attemptId, context.nowMillis(), reference), query);
     }
 
-    private void callService(Work.Service work) {
+    private void callService(Operation.Service work) {
         Target target = route.target();
         attempts.onSend(attemptId);
-        context.observer().onAttempt(request, attemptId, target);
+        context.observer().onAttemptSending(request, attemptId, target);
         context.router().onSent(attemptId, target, query);
         context.clients()
                 .service(target)
@@ -182,12 +182,12 @@
 
     private void onServiceReply(TargetReply<ServiceAnswer> reply) {
         if (stopped) {
-            context.observer().onLateAnswer(request);
+            context.observer().onLateAnswerDropped(request);
         }
         reply.match(
                 serviceAnswer -> {
                     context.router().onCompleted(attemptId, NO_USAGE);
-                    context.quarantine().onEnded(request.fingerprint(), attemptId, true);
+                    context.quarantine().onAttemptEnded(request.fingerprint(), attemptId, true);
                     if (!stopped) {
                         delivery.completeServiceAnswer(serviceAnswer);
                     }
@@ -209,7 +209,7 @@
 
     @Override
     public void onCompleted(Usage usage, String finishReason) {
-        context.quarantine().onEnded(request.fingerprint(), attemptId, true);
+        context.quarantine().onAttemptEnded(request.fingerprint(), attemptId, true);
         delivery.complete(usage, finishReason);
         listener.onCompleted(answerBuffer.toStoredAnswer(usage, finishReason), usage);
     }
@@ -221,7 +221,7 @@
 
     @Override
     public void onDiverged() {
-        context.quarantine().onEnded(request.fingerprint(), attemptId, false);
+        context.quarantine().onAttemptEnded(request.fingerprint(), attemptId, false);
         listener.onDiverged();
     }
 
@@ -232,7 +232,7 @@
         if (crashed) {
             context.quarantine().onCrash(request.fingerprint(), attemptId, target.name());
         } else {
-            context.quarantine().onEnded(request.fingerprint(), attemptId, false);
+            context.quarantine().onAttemptEnded(request.fingerprint(), attemptId, false);
         }
         listener.onFailed(target, failure);
     }
--- a/src/main/java/org/dogwoodwinch/request/RequestExecution.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestExecution.java
@@ -79,7 +79,7 @@
 
     /** Refuses this request after an unexpected exception; other requests are not affected. */
     private void onFault(RuntimeException fault) {
-        context.observer().onFault(request, fault);
+        context.observer().onInternalError(request, fault);
         if (!finished) {
             stopAttempts();
             fail(RefusalReason.INTERNAL, "an internal error occurred", 0);
@@ -87,7 +87,7 @@
     }
 
     private void admit() {
-        if (context.quarantine().standing(request.fingerprint()) == Quarantine.Standing.QUARANTINED) {
+        if (context.quarantine().statusOf(request.fingerprint()) == Quarantine.Status.QUARANTINED) {
             refuseQuarantined();
             return;
         }
@@ -123,7 +123,7 @@
         if (finished) {
             return;
         }
-        if (context.quarantine().standing(request.fingerprint()) == Quarantine.Standing.QUARANTINED) {
+        if (context.quarantine().statusOf(request.fingerprint()) == Quarantine.Status.QUARANTINED) {
             refuseQuarantined();
             return;
         }
@@ -180,7 +180,7 @@
         }
         if (finished) {
             // The request ended while the claim was pending; nothing was sent, so a resend may run.
-            if (outcome instanceof ClaimOutcome.Won acquired) {
+            if (outcome instanceof ClaimOutcome.Acquired acquired) {
                 context.claimStore().release(acquired.claimId());
             }
             return;
@@ -210,7 +210,7 @@
     }
 
     private void startJoin(ClaimRequest claim, HeldClaim held) {
-        context.observer().onJoined(request);
+        context.observer().onResendJoined(request);
         ClaimJoin newJoin = new ClaimJoin(context, executor, request, delivery, claim, new ClaimJoin.Listener() {
             @Override
             public void onAnswered(Usage usage) {
@@ -240,7 +240,8 @@
     private void send(Route.Chosen chosen, RouteQuery query, String attemptId) {
         if (query.crashSuspect()) {
             context.quarantine()
-                    .onTrial(request.fingerprint(), attemptId, chosen.target().name());
+                    .onTrialStarted(
+                            request.fingerprint(), attemptId, chosen.target().name());
         }
         RequestAttempt attempt = new RequestAttempt(
                 context, executor, request, delivery, attempts, chosen, query, attemptId, attemptListener());
@@ -252,7 +253,7 @@
     private RequestAttempt.Listener attemptListener() {
         return new RequestAttempt.Listener() {
             @Override
-            public void onCompleted(KeptAnswer stored, Usage usage) {
+            public void onCompleted(StoredAnswer stored, Usage usage) {
                 RequestExecution.this.onCompleted(stored, usage);
             }
 
@@ -271,9 +272,9 @@
         };
     }
 
-    private void onCompleted(KeptAnswer stored, Usage usage) {
+    private void onCompleted(StoredAnswer stored, Usage usage) {
         if (!claimId.isEmpty()) {
-            context.claimStore().completed(claimId, stored);
+            context.claimStore().recordAnswer(claimId, stored);
         }
         if (finished) {
             return;
@@ -386,7 +387,7 @@
         }
         if (attempts.runState() == RunState.NOT_RUN) {
             context.claimStore().release(claimId);
-        } else if (request.work() instanceof Work.Generate) {
+        } else if (request.operation() instanceof Operation.Generate) {
             context.claimStore().abandon(claimId);
         }
     }
--- a/src/main/java/org/dogwoodwinch/request/RequestObserver.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestObserver.java
@@ -16,7 +16,7 @@
      * @param attemptId the attempt's id, not null
      * @param target the target that it is sent to, not null
      */
-    default void onAttempt(CallerRequest request, String attemptId, Target target) {}
+    default void onAttemptSending(CallerRequest request, String attemptId, Target target) {}
 
     /**
      * Called when a failed attempt is retried or an interrupted stream is resumed.
@@ -70,7 +70,7 @@
      *
      * @param request the request on whose connection it arrived, not null
      */
-    default void onLateAnswer(CallerRequest request) {}
+    default void onLateAnswerDropped(CallerRequest request) {}
 
     /**
      * Called when a resend starts waiting for the outcome or the stream of the earlier request with the same
@@ -78,7 +78,7 @@
      *
      * @param request the resend, not null
      */
-    default void onJoined(CallerRequest request) {}
+    default void onResendJoined(CallerRequest request) {}
 
     /**
      * Called when an unexpected exception ended the request, so that it can be logged.
@@ -86,5 +86,5 @@
      * @param request the request, not null
      * @param fault the exception, not null
      */
-    default void onFault(CallerRequest request, RuntimeException fault) {}
+    default void onInternalError(CallerRequest request, RuntimeException fault) {}
 }
--- a/src/main/java/org/dogwoodwinch/request/RequestSettings.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestSettings.java
@@ -8,13 +8,13 @@
  * @param retryBurst the number of retries that can be saved up, which allows retries at a low request rate
  * @param backoffBaseMillis the upper bound of the first retry delay, in milliseconds
  * @param backoffMaxMillis the upper bound of every retry delay, in milliseconds
- * @param stallMillis how long a target may send nothing before the attempt times out, in milliseconds
- * @param claimMillis how long to wait for a claim before the request is refused as not run, in milliseconds
+ * @param stallTimeoutMillis how long a target may send nothing before the attempt times out, in milliseconds
+ * @param claimTimeoutMillis how long to wait for a claim before the request is refused as not run, in milliseconds
  * @param keyMemoryMillis how long an idempotency key is retained, in milliseconds
  * @param logRetentionMillis how long the platform's log retains records, in milliseconds
- * @param maxKeptAnswerBytes the size of the largest answer that is stored on the log for resends, in bytes of UTF-8
+ * @param maxStoredAnswerBytes the size of the largest answer that is stored on the log for resends, in bytes of UTF-8
  * @param joinWaitMillis how long a resend waits for the earlier request's outcome, in milliseconds
- * @param suspectMillis how long a request remains a suspect, in milliseconds
+ * @param suspicionMillis how long a request remains a suspect, in milliseconds
  * @param quarantineMillis how long a request remains in quarantine, in milliseconds
  */
 public record RequestSettings(
@@ -23,13 +23,13 @@
         int retryBurst,
         long backoffBaseMillis,
         long backoffMaxMillis,
-        long stallMillis,
-        long claimMillis,
+        long stallTimeoutMillis,
+        long claimTimeoutMillis,
         long keyMemoryMillis,
         long logRetentionMillis,
-        int maxKeptAnswerBytes,
+        int maxStoredAnswerBytes,
         long joinWaitMillis,
-        long suspectMillis,
+        long suspicionMillis,
         long quarantineMillis) {
 
     /** The largest fraction of the log's retention that the key retention may take. */
@@ -53,14 +53,18 @@
         require(
                 backoffBaseMillis > 0 && backoffMaxMillis >= backoffBaseMillis,
                 "backoffMaxMillis must be at least backoffBaseMillis, and both more than zero");
-        require(stallMillis > 0 && claimMillis > 0, "stallMillis and claimMillis must be more than zero");
+        require(
+                stallTimeoutMillis > 0 && claimTimeoutMillis > 0,
+                "stallTimeoutMillis and claimTimeoutMillis must be more than zero");
         require(keyMemoryMillis > 0, "keyMemoryMillis must be more than zero");
         require(
                 keyMemoryMillis <= logRetentionMillis * MAX_RETENTION_FRACTION,
                 "keyMemoryMillis must be at most four fifths of logRetentionMillis");
-        require(maxKeptAnswerBytes >= 0, "maxKeptAnswerBytes must not be negative");
+        require(maxStoredAnswerBytes >= 0, "maxStoredAnswerBytes must not be negative");
         require(joinWaitMillis >= 0, "joinWaitMillis must not be negative");
-        require(suspectMillis > 0 && quarantineMillis > 0, "suspectMillis and quarantineMillis must be more than zero");
+        require(
+                suspicionMillis > 0 && quarantineMillis > 0,
+                "suspicionMillis and quarantineMillis must be more than zero");
     }
 
     private static void require(boolean condition, String message) {
--- a/src/main/java/org/dogwoodwinch/request/RouteQueries.java
+++ b/src/main/java/org/dogwoodwinch/request/RouteQueries.java
@@ -22,15 +22,15 @@
 
     static List<RouteQuery> forRequest(
             CallerRequest request, Quarantine quarantine, Set<String> failedTargets, long nowMillis) {
-        Quarantine.Standing standing = quarantine.standing(request.fingerprint());
+        Quarantine.Status standing = quarantine.statusOf(request.fingerprint());
         Set<String> trialTargets = quarantine.trialTargets();
         Set<String> excluded = new HashSet<>(failedTargets);
         excluded.addAll(trialTargets);
         List<RouteQuery> queries = new ArrayList<>();
-        boolean repeatedSuspect = standing == Quarantine.Standing.REPEATED_SUSPECT;
+        boolean repeatedSuspect = standing == Quarantine.Status.REPEATED_SUSPECT;
         // Requests that were in one crash start a trial only if no other trial is running: concurrent trials would
         // occupy all targets of a small group.
-        if (repeatedSuspect || (standing == Quarantine.Standing.SUSPECT && trialTargets.isEmpty())) {
+        if (repeatedSuspect || (standing == Quarantine.Status.SUSPECT && trialTargets.isEmpty())) {
             queries.add(TargetCalls.routeQuery(request, nowMillis, excluded, true));
         }
         if (!repeatedSuspect) {
--- a/src/main/java/org/dogwoodwinch/request/KeptAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswer.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.target.Usage;
 
 /** The answer to a claimed request, stored on the log for resends. */
-public sealed interface KeptAnswer {
+public sealed interface StoredAnswer {
 
     /**
      * A generated answer.
@@ -16,7 +16,7 @@
      * @param usage the tokens used, not null
      * @param finishReason the reason for which the generation ended, not null
      */
-    record Generated(String text, Usage usage, String finishReason) implements KeptAnswer {
+    record Generated(String text, Usage usage, String finishReason) implements StoredAnswer {
 
         /** Checks that no component is null. */
         public Generated {
@@ -31,7 +31,7 @@
      *
      * @param answer the answer, not null
      */
-    record Service(ServiceAnswer answer) implements KeptAnswer {
+    record Service(ServiceAnswer answer) implements StoredAnswer {
 
         /** Checks that the answer is not null. */
         public Service {
@@ -44,7 +44,7 @@
      *
      * @param answerBytes the length of the answer, in bytes or, where its text was not collected, in characters
      */
-    record TooLong(long answerBytes) implements KeptAnswer {}
+    record TooLong(long answerBytes) implements StoredAnswer {}
 
     /**
      * Applies the function that corresponds to the type of this answer.
--- a/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * The form in which a {@link KeptAnswer} is stored on the log.
+ * The form in which a {@link StoredAnswer} is stored on the log.
  *
  * @param kind {@code g} for a generated answer, {@code s} for a service answer, {@code l} for an answer that was too
  *     long
@@ -29,7 +29,7 @@
     private static final String SERVICE = "s";
     private static final String TOO_LONG = "l";
 
-    static StoredAnswerRecord of(KeptAnswer answer) {
+    static StoredAnswerRecord of(StoredAnswer answer) {
         return answer.match(
                 generated -> new StoredAnswerRecord(
                         GENERATED,
@@ -48,14 +48,14 @@
                 tooLong -> new StoredAnswerRecord(TOO_LONG, "", "", tooLong.answerBytes(), 0, 0));
     }
 
-    KeptAnswer toStoredAnswer() {
+    StoredAnswer toStoredAnswer() {
         if (kind.equals(GENERATED)) {
-            return new KeptAnswer.Generated(text, new Usage(first, second, third), label);
+            return new StoredAnswer.Generated(text, new Usage(first, second, third), label);
         }
         if (kind.equals(SERVICE)) {
             Bytes body = Bytes.of(Base64.getDecoder().decode(text));
-            return new KeptAnswer.Service(new ServiceAnswer((int) first, label, body));
+            return new StoredAnswer.Service(new ServiceAnswer((int) first, label, body));
         }
-        return new KeptAnswer.TooLong(first);
+        return new StoredAnswer.TooLong(first);
     }
 }
--- a/src/main/java/org/dogwoodwinch/request/SuspectBook.java
+++ b/src/main/java/org/dogwoodwinch/request/SuspectRegistry.java
@@ -20,7 +20,7 @@
  * other suspect on the same target, is the cause and is quarantined. A crash during a trial that two suspects shared is
  * not conclusive, and both remain suspects. Thread-safe.
  */
-public final class SuspectBook implements Quarantine {
+public final class SuspectRegistry implements Quarantine {
 
     private static final int MAX_SUSPECTS = 10_000;
     private static final long MAX_TRIAL_MILLIS = 60_000;
@@ -43,7 +43,7 @@
      * @param noticePublisher sends notices to the other instances, not null; called under this object's lock, so it
      *     must not call back
      */
-    public SuspectBook(
+    public SuspectRegistry(
             TimeSource time, long suspicionMillis, long quarantineMillis, Consumer<SuspicionNotice> noticePublisher) {
         this.time = Objects.requireNonNull(time, "time");
         this.suspicionMillis = suspicionMillis;
@@ -52,16 +52,16 @@
     }
 
     @Override
-    public synchronized Standing standing(long fingerprint) {
+    public synchronized Status statusOf(long fingerprint) {
         Suspect suspect = suspects.get(fingerprint);
         if (suspect == null || suspect.untilMillis() <= time.monotonicMillis()) {
             suspects.remove(fingerprint);
-            return Standing.CLEAR;
+            return Status.CLEAR;
         }
         if (suspect.quarantined()) {
-            return Standing.QUARANTINED;
+            return Status.QUARANTINED;
         }
-        return suspect.crashes() > 1 ? Standing.REPEATED_SUSPECT : Standing.SUSPECT;
+        return suspect.crashes() > 1 ? Status.REPEATED_SUSPECT : Status.SUSPECT;
     }
 
     @Override
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public synchronized void onTrial(long fingerprint, String attemptId, String target) {
+    public synchronized void onTrialStarted(long fingerprint, String attemptId, String target) {
         ownTrials.put(attemptId, new Trial(fingerprint, target, time.monotonicMillis() + MAX_TRIAL_MILLIS));
         noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.TRIAL, fingerprint, target, MAX_TRIAL_MILLIS));
     }
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public synchronized void onEnded(long fingerprint, String attemptId, boolean completed) {
+    public synchronized void onAttemptEnded(long fingerprint, String attemptId, boolean completed) {
         publishTrialEnd(ownTrials.remove(attemptId));
         Suspect suspect = suspects.get(fingerprint);
         if (completed && suspect != null && !suspect.quarantined()) {
@@ -119,7 +119,7 @@
             case TRIAL -> peerTrials.put(fingerprint, new Trial(fingerprint, notice.target(), untilMillis));
             case TRIAL_ENDED -> peerTrials.remove(fingerprint);
             case CLEARED -> {
-                if (standing(fingerprint) != Standing.QUARANTINED) {
+                if (statusOf(fingerprint) != Status.QUARANTINED) {
                     suspects.remove(fingerprint);
                 }
             }
@@ -140,7 +140,7 @@
         return suspects.entrySet().stream()
                 .filter(each -> each.getValue().quarantined() && each.getValue().untilMillis() > nowMillis)
                 .map(each -> new QuarantinedRequest(
-                        toHex(each.getKey()),
+                        formatFingerprint(each.getKey()),
                         each.getValue().crashes(),
                         each.getValue().untilMillis() - nowMillis))
                 .toList();
@@ -153,7 +153,7 @@
      * @return false if the request was not in quarantine on this instance
      */
     public synchronized boolean lift(long fingerprint) {
-        boolean wasQuarantined = standing(fingerprint) == Standing.QUARANTINED;
+        boolean wasQuarantined = statusOf(fingerprint) == Status.QUARANTINED;
         suspects.remove(fingerprint);
         recordLift(fingerprint, time.monotonicMillis());
         noticePublisher.accept(new SuspicionNotice(SuspicionNotice.Kind.LIFTED, fingerprint, "", quarantineMillis));
@@ -166,7 +166,7 @@
      * @param fingerprint the fingerprint
      * @return sixteen hexadecimal digits
      */
-    public static String toHex(long fingerprint) {
+    public static String formatFingerprint(long fingerprint) {
         return String.format(Locale.ROOT, "%016x", fingerprint);
     }
 
--- a/src/main/java/org/dogwoodwinch/request/TargetCalls.java
+++ b/src/main/java/org/dogwoodwinch/request/TargetCalls.java
@@ -21,7 +21,7 @@
         String group = request.entry().group();
         WorkClass workClass = request.entry().workClass();
         long remainingMillis = request.remainingMillis(nowMillis);
-        return request.work()
+        return request.operation()
                 .match(
                         work -> new RouteQuery(
                                 group,
@@ -37,7 +37,7 @@
 
     static GenerateCall generate(
             CallerRequest request,
-            Work.Generate work,
+            Operation.Generate work,
             String model,
             String attemptId,
             long nowMillis,
@@ -54,7 +54,7 @@
     }
 
     static GenerateCall prefill(
-            CallerRequest request, Work.Generate work, String model, String attemptId, long nowMillis) {
+            CallerRequest request, Operation.Generate work, String model, String attemptId, long nowMillis) {
         return new GenerateCall(
                 attemptId,
                 model,
@@ -66,7 +66,7 @@
                 Optional.empty());
     }
 
-    static ServiceCall service(CallerRequest request, Work.Service work, String attemptId, long nowMillis) {
+    static ServiceCall service(CallerRequest request, Operation.Service work, String attemptId, long nowMillis) {
         return new ServiceCall(
                 attemptId,
                 work.method(),
--- a/src/main/java/org/dogwoodwinch/request/UnreachableClaims.java
+++ b/src/main/java/org/dogwoodwinch/request/UnavailableClaimStore.java
@@ -6,12 +6,12 @@
 /**
  * The claim store of an instance without a log. Every claim is unavailable, so that its request is refused as not run.
  */
-public final class UnreachableClaims implements ClaimStore {
+public final class UnavailableClaimStore implements ClaimStore {
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     /** Creates the store. */
-    public UnreachableClaims() {}
+    public UnavailableClaimStore() {}
 
     @Override
     public void claim(ClaimRequest _claim, Consumer<ClaimOutcome> outcome) {
@@ -27,7 +27,7 @@
     public void recordMove(String _claimId, StreamPointer _pointer) {}
 
     @Override
-    public void completed(String _claimId, KeptAnswer _answer) {}
+    public void recordAnswer(String _claimId, StoredAnswer _answer) {}
 
     @Override
     public void abandon(String _claimId) {}
@@ -36,7 +36,7 @@
     public void release(String _claimId) {}
 
     @Override
-    public void readAnswer(HeldClaim _claim, Consumer<Optional<KeptAnswer>> answer) {
+    public void readAnswer(HeldClaim _claim, Consumer<Optional<StoredAnswer>> answer) {
         answer.accept(Optional.empty());
     }
 }
--- a/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
@@ -22,10 +22,10 @@
 import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.request.CallerRequest;
+import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.request.RefusalReason;
 import org.dogwoodwinch.request.RunState;
-import org.dogwoodwinch.request.Work;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -47,7 +47,7 @@
         targetWaitMillis = 3_000;
         admission.admit(request("u", WorkClass.URGENT, 2_000, 10), recordOutcome("u"));
         assertEquals(RefusalReason.DEADLINE_UNMEETABLE, refusals.get(0).reason());
-        assertEquals(RunState.NOT_RUN, refusals.get(0).run());
+        assertEquals(RunState.NOT_RUN, refusals.get(0).runState());
         assertTrue(refusals.get(0).retryAfterMillis() > 0);
     }
 
@@ -230,7 +230,7 @@
         return new CallerRequest(
                 id,
                 entry,
-                new Work.Generate("prompt", promptTokens, 0),
+                new Operation.Generate("prompt", promptTokens, 0),
                 Optional.empty(),
                 1,
                 nowMillis,
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualCall.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualCall.java
@@ -46,7 +46,7 @@
 
     @Override
     public void onRefused(Refusal refusal) {
-        end(new RequestEvent.Refused(run.time.wallMillis(), id, refusal.reason(), refusal.run()));
+        end(new RequestEvent.Refused(run.time.wallMillis(), id, refusal.reason(), refusal.runState()));
     }
 
     private void end(RequestEvent event) {
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
@@ -27,8 +27,8 @@
 import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.request.ClaimFold;
-import org.dogwoodwinch.request.LogClaimLedger;
+import org.dogwoodwinch.request.ClaimIndex;
+import org.dogwoodwinch.request.LogClaimStore;
 import org.dogwoodwinch.request.Quarantine;
 import org.dogwoodwinch.request.RequestCoordinator;
 import org.dogwoodwinch.request.RequestObserver;
@@ -50,7 +50,7 @@
     private final String name;
     private final int life;
     private final ControlNode control;
-    private final LogClaimLedger claims;
+    private final LogClaimStore claims;
     private final RequestCoordinator coordinator;
     private boolean alive = true;
     private boolean ready;
@@ -78,13 +78,13 @@
                 RandomSource.XO_RO_SHI_RO_128_PP.create(number + 100L * life));
         control.catalogue().onChange(this::inForce);
         RequestSettings settings = RequestSettings.DEFAULT;
-        claims = new LogClaimLedger(
+        claims = new LogClaimStore(
                 this,
                 run.time,
                 writer(),
-                settings.claimMillis(),
+                settings.claimTimeoutMillis(),
                 5,
-                new ClaimFold(settings.keyMemoryMillis(), MOST_KEYS),
+                new ClaimIndex(settings.keyMemoryMillis(), MOST_KEYS),
                 run::isAlive);
         coordinator = new RequestCoordinator(
                 (_request, decision) -> {
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualRun.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualRun.java
@@ -20,7 +20,7 @@
 import org.dogwoodwinch.history.MemoryRecorder;
 import org.dogwoodwinch.history.RequestEvent;
 import org.dogwoodwinch.request.CallerRequest;
-import org.dogwoodwinch.request.Work;
+import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.standin.HistoryEngineObserver;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
@@ -208,7 +208,7 @@
                 new CallerRequest(
                         call.id(),
                         entry,
-                        new Work.Generate(prompt, 16, 64),
+                        new Operation.Generate(prompt, 16, 64),
                         key,
                         requestId.hashCode(),
                         nowMillis,
--- a/src/test/java/org/dogwoodwinch/http/CallerHandlerTest.java
+++ b/src/test/java/org/dogwoodwinch/http/CallerHandlerTest.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.request.AnswerSink;
+import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.request.RefusalReason;
-import org.dogwoodwinch.request.Work;
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.Usage;
@@ -61,7 +61,7 @@
         assertTrue(body.endsWith("data: [DONE]\n\n"), body);
         assertEquals(
                 "<|user|>\np\n<|assistant|>\n",
-                ((Work.Generate) edge.handler().last().work()).prompt());
+                ((Operation.Generate) edge.handler().last().operation()).prompt());
     }
 
     @Test
@@ -85,7 +85,7 @@
                         .asText());
         assertEquals(Optional.of("key-1"), edge.handler().last().idempotencyKey());
         assertEquals(250, edge.handler().last().remainingMillis(time.monotonicMillis()));
-        assertEquals(9, ((Work.Generate) edge.handler().last().work()).maxTokens());
+        assertEquals(9, ((Operation.Generate) edge.handler().last().operation()).maxTokens());
     }
 
     @Test
@@ -98,8 +98,8 @@
         assertEquals("no tea", response.body());
         assertFalse(response.headers().firstValue("Dogwoodwinch-Refusal").isPresent());
         assertEquals(
-                new Work.Service("PUT", "/a/b?c=d", "x/y", Bytes.ofUtf8("body")),
-                edge.handler().last().work());
+                new Operation.Service("PUT", "/a/b?c=d", "x/y", Bytes.ofUtf8("body")),
+                edge.handler().last().operation());
     }
 
     @Test
--- a/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
+++ b/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
@@ -38,7 +38,7 @@
 import org.dogwoodwinch.forwarding.TargetLimits;
 import org.dogwoodwinch.forwarding.WeightedService;
 import org.dogwoodwinch.platform.PlatformHeaders;
-import org.dogwoodwinch.request.SuspectBook;
+import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** The whole way of a call between connections made of memory, on a paused clock. */
@@ -64,7 +64,7 @@
     final Set<String> connectingSlowly = new HashSet<>();
 
     private final List<Runnable> connecting = new ArrayList<>();
-    final SuspectBook suspects;
+    final SuspectRegistry suspects;
     final ForwardingService service;
     int sharersCount = 1;
     private long nextOffset;
@@ -83,7 +83,7 @@
         this.shares = new LimitShares(instance, () -> Optional.of(instances), time::monotonicMillis);
         this.limits = new TargetLimits(time::monotonicMillis, shares);
         this.directory = new TargetDirectory(health, limits);
-        this.suspects = new SuspectBook(time, 600_000, 600_000, _notice -> {});
+        this.suspects = new SuspectRegistry(time, 600_000, 600_000, _notice -> {});
         ReadRates rates = new ReadRates(30);
         EngineChooser chooser = new EngineChooser(
                 directory,
--- a/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
@@ -13,7 +13,7 @@
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.request.Quarantine;
-import org.dogwoodwinch.request.SuspectBook;
+import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.request.SuspicionNotice;
 import org.junit.jupiter.api.Test;
 
@@ -71,7 +71,7 @@
         }
         long fingerprint = Suspicions.fingerprint(new IncomingCall(
                 HttpMethod.POST, "/once/p", EmptyHttpHeaders.INSTANCE, Bytes.ofUtf8("poison"), true, 0));
-        assertFalse(relay.suspects.standing(fingerprint) == Quarantine.Standing.QUARANTINED);
+        assertFalse(relay.suspects.statusOf(fingerprint) == Quarantine.Status.QUARANTINED);
         assertEquals(5, relay.opened.size());
     }
 
@@ -93,14 +93,14 @@
     @Test
     void whatAnotherInstanceProvedIsRefusedHere() {
         List<SuspicionNotice> told = new ArrayList<>();
-        SuspectBook book = new SuspectBook(relay.time, 600_000, 600_000, told::add);
+        SuspectRegistry book = new SuspectRegistry(relay.time, 600_000, 600_000, told::add);
         long fingerprint = 99;
         book.onCrash(fingerprint, "a", "t");
-        book.onTrial(fingerprint, "b", "t2");
+        book.onTrialStarted(fingerprint, "b", "t2");
         book.onCrash(fingerprint, "b", "t2");
 
         told.forEach(notice -> relay.suspects.onPeerNotice(notice, 0));
 
-        assertEquals(Quarantine.Standing.QUARANTINED, relay.suspects.standing(fingerprint));
+        assertEquals(Quarantine.Status.QUARANTINED, relay.suspects.statusOf(fingerprint));
     }
 }
--- a/src/test/java/org/dogwoodwinch/request/LogClaimLedgerTest.java
+++ b/src/test/java/org/dogwoodwinch/request/LogClaimStoreTest.java
@@ -12,15 +12,15 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class LogClaimLedgerTest {
+class LogClaimStoreTest {
 
     private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
     private static final long KEY_MEMORY_MILLIS = 600_000;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final MemoryLog memoryLog = new MemoryLog(time, MemoryLogLimits.STANDARD);
-    private final LogClaimLedger firstStore = newStore("first~1");
-    private final LogClaimLedger secondStore = newStore("second~1");
+    private final LogClaimStore firstStore = newStore("first~1");
+    private final LogClaimStore secondStore = newStore("second~1");
     private final List<ClaimOutcome> outcomes = new ArrayList<>();
 
     /** Two instances receive the same key at once: if both acquired it, the request would run twice. */
@@ -95,12 +95,12 @@
     void resendReadsTheAnswerOfACompletedClaim() {
         firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        KeptAnswer answer = new KeptAnswer.Generated("checked", new Usage(3, 0, 1), "stop");
-        firstStore.completed(((ClaimOutcome.Won) outcomes.get(0)).claimId(), answer);
+        StoredAnswer answer = new StoredAnswer.Generated("checked", new Usage(3, 0, 1), "stop");
+        firstStore.recordAnswer(((ClaimOutcome.Acquired) outcomes.get(0)).claimId(), answer);
         time.advanceMillis(100);
         secondStore.claim(claim("key", 1), outcomes::add);
         HeldClaim held = ((ClaimOutcome.AlreadyClaimed) outcomes.get(1)).claim();
-        List<KeptAnswer> kept = new ArrayList<>();
+        List<StoredAnswer> kept = new ArrayList<>();
         secondStore.readAnswer(held, found -> kept.add(found.orElseThrow()));
         time.advanceMillis(10);
         assertEquals(List.of(answer), kept);
@@ -127,16 +127,16 @@
         assertEquals(1, firstStore.keyCount());
     }
 
-    private LogClaimLedger newStore(String writer) {
-        ClaimFold index = new ClaimFold(KEY_MEMORY_MILLIS, 10_000);
-        LogClaimLedger store =
-                new LogClaimLedger(memoryLog, time, writer, CLAIM_TIMEOUT_MILLIS, 5, index, _writer -> false);
+    private LogClaimStore newStore(String writer) {
+        ClaimIndex index = new ClaimIndex(KEY_MEMORY_MILLIS, 10_000);
+        LogClaimStore store =
+                new LogClaimStore(memoryLog, time, writer, CLAIM_TIMEOUT_MILLIS, 5, index, _writer -> false);
         store.start();
         return store;
     }
 
     private long acquiredCount() {
-        return outcomes.stream().filter(ClaimOutcome.Won.class::isInstance).count();
+        return outcomes.stream().filter(ClaimOutcome.Acquired.class::isInstance).count();
     }
 
     private static ClaimRequest claim(String key, long fingerprint) {
--- a/src/test/java/org/dogwoodwinch/request/QuarantineEndpointTest.java
+++ b/src/test/java/org/dogwoodwinch/request/QuarantineEndpointTest.java
@@ -10,12 +10,13 @@
 
     private static final long FINGERPRINT = -2;
 
-    private final SuspectBook suspects = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
+    private final SuspectRegistry suspects =
+            new SuspectRegistry(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
     private final QuarantineEndpoint endpoint = new QuarantineEndpoint(suspects);
 
     @Test
     void listsQuarantinedRequestsAndLiftsThem() {
-        suspects.onTrial(FINGERPRINT, "a", "engine-0");
+        suspects.onTrialStarted(FINGERPRINT, "a", "engine-0");
         suspects.onCrash(FINGERPRINT, "a", "engine-0");
         assertEquals(
                 "[{\"fingerprint\":\"fffffffffffffffe\",\"crashes\":1,\"remainingMillis\":60000}]",
--- a/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestCoordinatorTest.java
@@ -58,7 +58,7 @@
         fixture.time.advanceMillis(20);
         fixture.engines.get("engine-0").crash();
         fixture.time.advanceMillis(10_000);
-        assertEquals(RunState.MAY_HAVE_RUN, caller.refusal.orElseThrow().run());
+        assertEquals(RunState.MAY_HAVE_RUN, caller.refusal.orElseThrow().runState());
         assertEquals(1, fixture.executedPrompts.size());
     }
 
@@ -68,7 +68,7 @@
         fixture.engines.values().forEach(StandInEngine::crash);
         submit(fixture.generateRequest(PROMPT, false, ""));
         fixture.time.advanceMillis(2_900);
-        assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().run());
+        assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().runState());
         assertEquals(RefusalReason.TARGET_FAILED, caller.refusal.orElseThrow().reason());
         assertEquals(0, fixture.executedPrompts.size());
     }
@@ -85,7 +85,7 @@
         submit(fixture.serviceRequest("script", false, ""));
         fixture.time.advanceMillis(10_000);
         assertEquals(1, calls[0]);
-        assertEquals(RunState.MAY_HAVE_RUN, caller.refusal.orElseThrow().run());
+        assertEquals(RunState.MAY_HAVE_RUN, caller.refusal.orElseThrow().runState());
     }
 
     @Test
@@ -110,7 +110,7 @@
         assertEquals(
                 RefusalReason.TARGETS_OVERLOADED, caller.refusal.orElseThrow().reason());
         assertEquals(700, caller.refusal.orElseThrow().retryAfterMillis());
-        assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().run());
+        assertEquals(RunState.NOT_RUN, caller.refusal.orElseThrow().runState());
     }
 
     /** All targets fail for a while: unlimited retries would build up a retry storm. */
@@ -135,7 +135,7 @@
     /** A request that crashes every engine is sent fifty times: after two crashes it must be refused at once. */
     @Test
     void quarantinesARequestThatCrashesTargets() {
-        fixture.quarantine = new SuspectBook(fixture.time, 600_000, 3_600_000, _notice -> {});
+        fixture.quarantine = new SuspectRegistry(fixture.time, 600_000, 3_600_000, _notice -> {});
         RequestCoordinator coordinator = fixture.coordinator(1);
         for (int i = 0; i < 50; i++) {
             coordinator.submit(fixture.generateRequest("[crash]", true, ""), caller);
--- a/src/test/java/org/dogwoodwinch/request/RequestFixture.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestFixture.java
@@ -47,7 +47,7 @@
     };
     RequestSettings settings = RequestSettings.DEFAULT;
     RequestPolicies policies = RequestPolicies.STANDARD;
-    ClaimStore claims = new UnreachableClaims();
+    ClaimStore claims = new UnavailableClaimStore();
     Quarantine quarantine = Quarantine.NONE;
 
     RequestFixture(int engineCount) {
@@ -106,7 +106,7 @@
                     }
 
                     @Override
-                    public void onLateAnswer(CallerRequest _request) {
+                    public void onLateAnswerDropped(CallerRequest _request) {
                         lateAnswers++;
                     }
                 },
@@ -115,16 +115,16 @@
     }
 
     CallerRequest generateRequest(String prompt, boolean repeatable, String key) {
-        Work work = new Work.Generate(prompt, prompt.length() / 4 + 1, 64);
+        Operation work = new Operation.Generate(prompt, prompt.length() / 4 + 1, 64);
         return request(work, prompt.hashCode(), repeatable, key);
     }
 
     CallerRequest serviceRequest(String body, boolean repeatable, String key) {
-        Work work = new Work.Service("POST", "/check", "text/plain", Bytes.ofUtf8(body));
+        Operation work = new Operation.Service("POST", "/check", "text/plain", Bytes.ofUtf8(body));
         return request(work, body.hashCode(), repeatable, key);
     }
 
-    private CallerRequest request(Work work, long fingerprint, boolean repeatable, String key) {
+    private CallerRequest request(Operation work, long fingerprint, boolean repeatable, String key) {
         CatalogueEntry entry =
                 new CatalogueEntry("entry", "malabar", WorkClass.STANDARD, GROUP, repeatable, 60_000, Limits.NONE);
         Optional<String> idempotencyKey = key.isEmpty() ? Optional.empty() : Optional.of(key);
--- a/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
@@ -117,9 +117,9 @@
         if (!instance.isUp()) {
             return;
         }
-        Work work = service
-                ? new Work.Service("POST", "/check", "text/plain", Bytes.ofUtf8(text))
-                : new Work.Generate(text, 10, MAX_TOKENS);
+        Operation work = service
+                ? new Operation.Service("POST", "/check", "text/plain", Bytes.ofUtf8(text))
+                : new Operation.Generate(text, 10, MAX_TOKENS);
         CatalogueEntry entry = new CatalogueEntry(
                 "entry",
                 "malabar",
@@ -189,7 +189,7 @@
 
         @Override
         public void onRefused(Refusal refusal) {
-            end(new RequestEvent.Refused(time.wallMillis(), callId, refusal.reason(), refusal.run()), true);
+            end(new RequestEvent.Refused(time.wallMillis(), callId, refusal.reason(), refusal.runState()), true);
         }
 
         private void end(RequestEvent event, boolean resend) {
--- a/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
+++ b/src/test/java/org/dogwoodwinch/request/RouteQueriesTest.java
@@ -10,7 +10,8 @@
 
 class RouteQueriesTest {
 
-    private final SuspectBook suspects = new SuspectBook(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
+    private final SuspectRegistry suspects =
+            new SuspectRegistry(new VirtualTimeSource(0), 600_000, 60_000, _notice -> {});
     private final CallerRequest request = new RequestFixture(1).generateRequest("prompt", true, "");
 
     /** If one crash bound every affected request to an idle target, a busy urgent group would refuse all of them. */
@@ -25,7 +26,7 @@
 
     @Test
     void avoidsTargetsOfTrialsWhenPossible() {
-        suspects.onTrial(request.fingerprint() + 1, "a", "engine-0");
+        suspects.onTrialStarted(request.fingerprint() + 1, "a", "engine-0");
         List<RouteQuery> queries = RouteQueries.forRequest(request, suspects, Set.of("engine-1"), 0);
         assertEquals(Set.of("engine-0", "engine-1"), queries.get(0).excludedTargets());
         assertEquals(Set.of("engine-1"), queries.get(1).excludedTargets());
--- a/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
+++ b/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
@@ -60,13 +60,13 @@
         simulation.engines.forEach((target, engine) ->
                 links.put(target, new FaultyEngineLink(simulation.time, process, engine, simulation.random)));
         RequestSettings settings = RequestSettings.DEFAULT;
-        LogClaimLedger claimStore = new LogClaimLedger(
+        LogClaimStore claimStore = new LogClaimStore(
                 logLink,
                 process,
                 name + "~" + starts++,
-                settings.claimMillis(),
+                settings.claimTimeoutMillis(),
                 5,
-                new ClaimFold(settings.keyMemoryMillis(), 10_000),
+                new ClaimIndex(settings.keyMemoryMillis(), 10_000),
                 this::isAlive);
         claimStore.start();
         coordinator = new RequestCoordinator(
@@ -81,7 +81,7 @@
                 process,
                 simulation.random,
                 claimStore,
-                new SuspectBook(process, 600_000, 3_600_000, _notice -> {}),
+                new SuspectRegistry(process, 600_000, 3_600_000, _notice -> {}),
                 RequestObserver.NONE,
                 settings,
                 simulation.policies);
--- a/src/test/java/org/dogwoodwinch/request/SuspectBookTest.java
+++ b/src/test/java/org/dogwoodwinch/request/SuspectRegistryTest.java
@@ -8,27 +8,27 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class SuspectBookTest {
+class SuspectRegistryTest {
 
     private static final long CRASHING = 1;
     private static final long HARMLESS = 2;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final List<SuspicionNotice> notices = new ArrayList<>();
-    private final SuspectBook suspects = new SuspectBook(time, 600_000, 3_600_000, notices::add);
+    private final SuspectRegistry suspects = new SuspectRegistry(time, 600_000, 3_600_000, notices::add);
 
     /** Two requests share a crash: the harmless one must not be refused, and the crashing one must not run again. */
     @Test
     void trialsClearTheHarmlessRequestAndQuarantineTheCrashingOne() {
         suspects.onCrash(CRASHING, "a", "engine-0");
         suspects.onCrash(HARMLESS, "b", "engine-0");
-        assertEquals(Quarantine.Standing.SUSPECT, suspects.standing(HARMLESS));
-        suspects.onTrial(CRASHING, "c", "engine-1");
-        suspects.onTrial(HARMLESS, "d", "engine-2");
-        suspects.onEnded(HARMLESS, "d", true);
+        assertEquals(Quarantine.Status.SUSPECT, suspects.statusOf(HARMLESS));
+        suspects.onTrialStarted(CRASHING, "c", "engine-1");
+        suspects.onTrialStarted(HARMLESS, "d", "engine-2");
+        suspects.onAttemptEnded(HARMLESS, "d", true);
         suspects.onCrash(CRASHING, "c", "engine-1");
-        assertEquals(Quarantine.Standing.CLEAR, suspects.standing(HARMLESS));
-        assertEquals(Quarantine.Standing.QUARANTINED, suspects.standing(CRASHING));
+        assertEquals(Quarantine.Status.CLEAR, suspects.statusOf(HARMLESS));
+        assertEquals(Quarantine.Status.QUARANTINED, suspects.statusOf(CRASHING));
         assertTrue(suspects.trialTargets().isEmpty());
     }
 
@@ -36,10 +36,10 @@
     @Test
     void crashDuringASharedTrialQuarantinesNeitherRequest() {
         suspects.onCrash(HARMLESS, "a", "engine-0");
-        suspects.onTrial(HARMLESS, "b", "engine-1");
+        suspects.onTrialStarted(HARMLESS, "b", "engine-1");
         suspects.onPeerNotice(new SuspicionNotice(SuspicionNotice.Kind.TRIAL, CRASHING, "engine-1", 60_000), 100);
         suspects.onCrash(HARMLESS, "b", "engine-1");
-        assertEquals(Quarantine.Standing.REPEATED_SUSPECT, suspects.standing(HARMLESS));
+        assertEquals(Quarantine.Status.REPEATED_SUSPECT, suspects.statusOf(HARMLESS));
     }
 
     /** A peer's notice that was sent before an operator lifted the quarantine arrives after the lift. */
@@ -50,16 +50,16 @@
         assertEquals(1, suspects.listQuarantined().size());
         assertTrue(suspects.lift(CRASHING));
         suspects.onPeerNotice(new SuspicionNotice(SuspicionNotice.Kind.QUARANTINED, CRASHING, "engine-1", 60_000), 500);
-        assertEquals(Quarantine.Standing.CLEAR, suspects.standing(CRASHING));
+        assertEquals(Quarantine.Status.CLEAR, suspects.statusOf(CRASHING));
         time.advanceMillis(1_000);
         suspects.onPeerNotice(new SuspicionNotice(SuspicionNotice.Kind.QUARANTINED, CRASHING, "engine-1", 60_000), 0);
-        assertEquals(Quarantine.Standing.QUARANTINED, suspects.standing(CRASHING));
+        assertEquals(Quarantine.Status.QUARANTINED, suspects.statusOf(CRASHING));
     }
 
     @Test
     void suspicionExpiresAfterItsDuration() {
         suspects.onCrash(CRASHING, "a", "engine-0");
         time.advanceMillis(600_001);
-        assertEquals(Quarantine.Standing.CLEAR, suspects.standing(CRASHING));
+        assertEquals(Quarantine.Status.CLEAR, suspects.statusOf(CRASHING));
     }
 }
