--- a/src/main/java/org/dogwoodwinch/forwarding/CallProgress.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CallProgress.java
@@ -4,7 +4,7 @@
  * What was done for a call so far.
  *
  * @param idempotent whether a second run does no harm
- * @param runsCount targets that may have run it
+ * @param possibleRunsCount targets that may have run it
  * @param rejectionsCount targets that got it and did not run it: they stated so, or were only to read its prompt
  * @param failedConnectsCount tries that ended before a byte was written
  * @param maxRunsCount the most targets that may run it
@@ -12,7 +12,7 @@
  */
 public record CallProgress(
         boolean idempotent,
-        int runsCount,
+        int possibleRunsCount,
         int rejectionsCount,
         int failedConnectsCount,
         int maxRunsCount,
@@ -24,7 +24,7 @@
      * @return whether an earlier send may have run
      */
     public boolean mayHaveRun() {
-        return runsCount > 0;
+        return possibleRunsCount > 0;
     }
 
     /**
@@ -33,6 +33,6 @@
      * @return whether another send would be a repeat
      */
     public boolean sent() {
-        return runsCount + rejectionsCount > 0;
+        return possibleRunsCount + rejectionsCount > 0;
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ChoiceQuery.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ChoiceQuery.java
@@ -10,24 +10,24 @@
  * @param service the service, not null
  * @param prompt the work asked of a model, empty for a plain call
  * @param urgency the rank of its route, where zero is the most urgent
- * @param objectiveMillis the time left until its first event earns less; {@link Long#MAX_VALUE} where none is stated
+ * @param firstEventObjectiveMillis the time left until its first event earns less; {@link Long#MAX_VALUE} where none is stated
  * @param pauseMillis the longest pause between two events of its answer that is still on time; zero where none is stated
- * @param triedIds targets that got the call already, not null
- * @param readApart whether another engine than the one that runs it may read its prompt
+ * @param triedTargetIds targets that got the call already, not null
+ * @param separatePrefillAllowed whether another engine than the one that runs it may read its prompt
  */
 public record ChoiceQuery(
         ServiceEntry service,
         Optional<Prompt> prompt,
         int urgency,
-        long objectiveMillis,
+        long firstEventObjectiveMillis,
         long pauseMillis,
-        Set<String> triedIds,
-        boolean readApart) {
+        Set<String> triedTargetIds,
+        boolean separatePrefillAllowed) {
 
     /** Checks and copies. */
     public ChoiceQuery {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(prompt, "prompt");
-        triedIds = Set.copyOf(triedIds);
+        triedTargetIds = Set.copyOf(triedTargetIds);
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ConnectionSharers.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ConnectionSharers.java
@@ -13,24 +13,24 @@
 public final class ConnectionSharers {
 
     /** Of the instances seen, the part that may join before it is seen; spares are few. */
-    private static final int JOINING_PART = 4;
+    private static final int JOINING_DIVISOR = 4;
 
-    private static final int MOST_JOINING_COUNT = 4;
+    private static final int MAX_JOINING_COUNT = 4;
 
     private ConnectionSharers() {}
 
     /**
      * Counts the sharers.
      *
-     * @param seenCount the most instances that were believed in at once; empty before any list was read, not null
-     * @param otherwise what is assumed then
+     * @param maxSeenCount the most instances that were believed in at once; empty before any list was read, not null
+     * @param defaultCount what is assumed then
      * @return the instances to deal out to, at least two
      */
-    public static int count(OptionalInt seenCount, int otherwise) {
-        if (seenCount.isEmpty()) {
-            return otherwise;
+    public static int count(OptionalInt maxSeenCount, int defaultCount) {
+        if (maxSeenCount.isEmpty()) {
+            return defaultCount;
         }
-        int seen = seenCount.getAsInt();
-        return seen + Math.max(1, Math.min(MOST_JOINING_COUNT, seen / JOINING_PART));
+        int seen = maxSeenCount.getAsInt();
+        return seen + Math.max(1, Math.min(MAX_JOINING_COUNT, seen / JOINING_DIVISOR));
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
@@ -13,16 +13,16 @@
  */
 public final class CrashEvidence {
 
-    private final long keptMillis;
-    private final Map<String, List<LostCall>> lostByTarget = new HashMap<>();
+    private final long correlationMillis;
+    private final Map<String, List<LostCall>> lostCallsByTarget = new HashMap<>();
 
     /**
      * Creates evidence of nothing.
      *
-     * @param keptMillis how long after a loss the target's end is put down to it
+     * @param correlationMillis how long after a loss the target's end is put down to it
      */
-    public CrashEvidence(long keptMillis) {
-        this.keptMillis = keptMillis;
+    public CrashEvidence(long correlationMillis) {
+        this.correlationMillis = correlationMillis;
     }
 
     /**
@@ -41,7 +41,7 @@
      * @param call the call, not null
      */
     public void lost(String targetId, LostCall call) {
-        lostByTarget.computeIfAbsent(targetId, _id -> new ArrayList<>()).add(call);
+        lostCallsByTarget.computeIfAbsent(targetId, _id -> new ArrayList<>()).add(call);
     }
 
     /**
@@ -52,12 +52,12 @@
      * @return the calls that it crashed with, each told once
      */
     public List<LostCall> foundGone(String targetId, long nowMillis) {
-        List<LostCall> lost = lostByTarget.remove(targetId);
-        if (lost == null) {
+        List<LostCall> lostCalls = lostCallsByTarget.remove(targetId);
+        if (lostCalls == null) {
             return List.of();
         }
-        return lost.stream()
-                .filter(call -> nowMillis - call.atMillis() <= keptMillis)
+        return lostCalls.stream()
+                .filter(call -> nowMillis - call.atMillis() <= correlationMillis)
                 .toList();
     }
 
@@ -67,7 +67,9 @@
      * @param nowMillis monotonic milliseconds
      */
     public void expire(long nowMillis) {
-        lostByTarget.values().forEach(lost -> lost.removeIf(call -> nowMillis - call.atMillis() > keptMillis));
-        lostByTarget.values().removeIf(List::isEmpty);
+        lostCallsByTarget
+                .values()
+                .forEach(lostCalls -> lostCalls.removeIf(call -> nowMillis - call.atMillis() > correlationMillis));
+        lostCallsByTarget.values().removeIf(List::isEmpty);
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineChooser.java
@@ -18,17 +18,17 @@
     private static final double BITS_PER_MILLI_OF_MEGABIT = 1_000;
 
     /** Memory takes twice as long between data centres, as the platform states. */
-    private static final double ABROAD_RATIO = 2;
+    private static final double CROSS_DATA_CENTRE_RATIO = 2;
 
     /** A pause holds the steps of an event's own tokens beside the reading; they take about half of it. */
-    private static final double PAUSE_PART = 2;
+    private static final double GAP_TO_PREFILL_RATIO = 2;
 
     private final TargetDirectory directory;
     private final LoadBook loads;
-    private final PartIndex parts;
-    private final ReadRates rates;
-    private final EngineChoicePolicy policy;
-    private final TargetChooser plain;
+    private final PartIndex cacheIndex;
+    private final ReadRates prefillRates;
+    private final EngineChoicePolicy costModel;
+    private final TargetChooser fallback;
     private final String dataCentre;
 
     /**
@@ -36,107 +36,113 @@
      *
      * @param directory the targets, not null
      * @param loads what is under way at them, not null
-     * @param parts which parts they keep, not null
-     * @param rates how fast they read, not null
-     * @param policy the prices, not null
-     * @param plain chooses where a call names no prompt, not null
+     * @param cacheIndex which parts they keep, not null
+     * @param prefillRates how fast they read, not null
+     * @param costModel the prices, not null
+     * @param fallback chooses where a call names no prompt, not null
      * @param dataCentre where this instance stands, not null
      */
     public EngineChooser(
             TargetDirectory directory,
             LoadBook loads,
-            PartIndex parts,
-            ReadRates rates,
-            EngineChoicePolicy policy,
-            TargetChooser plain,
+            PartIndex cacheIndex,
+            ReadRates prefillRates,
+            EngineChoicePolicy costModel,
+            TargetChooser fallback,
             String dataCentre) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.loads = Objects.requireNonNull(loads, "loads");
-        this.parts = Objects.requireNonNull(parts, "parts");
-        this.rates = Objects.requireNonNull(rates, "rates");
-        this.policy = Objects.requireNonNull(policy, "policy");
-        this.plain = Objects.requireNonNull(plain, "plain");
+        this.cacheIndex = Objects.requireNonNull(cacheIndex, "parts");
+        this.prefillRates = Objects.requireNonNull(prefillRates, "rates");
+        this.costModel = Objects.requireNonNull(costModel, "policy");
+        this.fallback = Objects.requireNonNull(fallback, "plain");
         this.dataCentre = Objects.requireNonNull(dataCentre, "dataCentre");
     }
 
     @Override
     public Optional<Plan> choose(ChoiceQuery query) {
         if (query.prompt().isEmpty() || query.service().engine().isEmpty()) {
-            return plain.choose(query);
+            return fallback.choose(query);
         }
         Prompt prompt = query.prompt().get();
         List<Incarnation> ready = directory.ready(query.service().name());
-        int[] kept = keptTokens(ready, prompt);
-        Optional<Kept> most = mostKept(ready, kept);
-        String home = home(atEase(ready), homeKey(prompt));
+        int[] cachedTokens = cachedPrefixTokens(ready, prompt);
+        Optional<CachedPrefix> largestPrefix = largestCachedPrefix(ready, cachedTokens);
+        String affinityEngineId = affinityEngineId(withoutRateLimit(ready), affinityKey(prompt));
         Candidate best = null;
-        for (int i = 0; i < kept.length; i++) {
+        for (int i = 0; i < cachedTokens.length; i++) {
             Incarnation engine = ready.get(i);
-            boolean readsOnly = engine.stage() == Stage.PREFILL && !query.readApart();
-            if (readsOnly || !mayGet(engine, query)) {
+            boolean prefillOnly = engine.stage() == Stage.PREFILL && !query.separatePrefillAllowed();
+            if (prefillOnly || !isEligible(engine, query)) {
                 continue;
             }
-            Candidate candidate =
-                    candidate(engine, kept[i], query, prompt, most, engine.id().equals(home));
+            Candidate candidate = evaluate(
+                    engine,
+                    cachedTokens[i],
+                    query,
+                    prompt,
+                    largestPrefix,
+                    engine.id().equals(affinityEngineId));
             if (best == null || candidate.cost < best.cost) {
                 best = candidate;
             }
         }
-        return best == null ? Optional.empty() : plan(query, best);
+        return best == null ? Optional.empty() : toPlan(query, best);
     }
 
-    private Optional<Plan> plan(ChoiceQuery query, Candidate best) {
+    private Optional<Plan> toPlan(ChoiceQuery query, Candidate best) {
         // By the wait alone: a long prompt must not be read last because of its own length.
-        int level = waitMillis(best.engine, query) > query.objectiveMillis()
+        int level = queueWaitMillis(best.engine, query) > query.firstEventObjectiveMillis()
                 ? QueueLevel.late(query.urgency())
-                : QueueLevel.inTime(query.urgency());
-        Plan.Reading reading = new Plan.Reading(level, best.unreadTokens, best.keeper);
+                : QueueLevel.onTime(query.urgency());
+        Plan.Reading prefillWork = new Plan.Reading(level, best.prefillTokens, best.cacheSource);
         if (best.engine.stage() != Stage.PREFILL) {
-            return Optional.of(new Plan(best.engine, Optional.empty(), reading));
+            return Optional.of(new Plan(best.engine, Optional.empty(), prefillWork));
         }
-        Optional<Incarnation> reader = Optional.of(best.engine);
-        return chooseRunner(query, best.engine).map(runner -> new Plan(runner, reader, reading));
+        Optional<Incarnation> prefillTarget = Optional.of(best.engine);
+        return chooseRunner(query, best.engine).map(decodeTarget -> new Plan(decodeTarget, prefillTarget, prefillWork));
     }
 
     /**
      * Chooses the engine that generates after another has read the prompt.
      *
      * @param query the call, not null
-     * @param reader the engine that reads, not null
+     * @param prefillTarget the engine that reads, not null
      * @return the engine with the least under way, one near the reader first
      */
     @Override
-    public Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation reader) {
+    public Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation prefillTarget) {
         Incarnation best = null;
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (Incarnation engine : directory.ready(query.service().name())) {
-            if (engine.stage() == Stage.PREFILL || !mayGet(engine, query)) {
+            if (engine.stage() == Stage.PREFILL || !isEligible(engine, query)) {
                 continue;
             }
-            double cost = waitMillis(engine, query) + loads.at(engine.id()).callsCount() * policy.runningCallMillis();
-            if (!engine.dataCentre().equals(reader.dataCentre())) {
-                cost += policy.borderMillis();
+            double cost = queueWaitMillis(engine, query)
+                    + loads.at(engine.id()).callsCount() * costModel.runningCallDelayMillis();
+            if (!engine.dataCentre().equals(prefillTarget.dataCentre())) {
+                cost += costModel.crossDataCentreMillis();
             }
             if (!engine.dataCentre().equals(dataCentre)) {
-                cost += policy.borderMillis();
+                cost += costModel.crossDataCentreMillis();
             }
-            if (cost < least) {
-                least = cost;
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best = engine;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    private boolean mayGet(Incarnation engine, ChoiceQuery query) {
-        return !query.triedIds().contains(engine.id()) && directory.hasRoom(engine);
+    private boolean isEligible(Incarnation engine, ChoiceQuery query) {
+        return !query.triedTargetIds().contains(engine.id()) && directory.hasRoom(engine);
     }
 
     /** The home of a part moves from an engine that names a limit, on all instances alike, whoever has a share of it. */
-    private List<Incarnation> atEase(List<Incarnation> ready) {
-        List<Incarnation> atEase =
+    private List<Incarnation> withoutRateLimit(List<Incarnation> ready) {
+        List<Incarnation> unlimited =
                 ready.stream().filter(engine -> !directory.isLimited(engine)).toList();
-        return atEase.isEmpty() ? ready : atEase;
+        return unlimited.isEmpty() ? ready : unlimited;
     }
 
     @Override
@@ -146,35 +152,42 @@
 
     @Override
     public long roomMillis(ChoiceQuery query) {
-        return directory.roomMillis(query.service().name(), query.triedIds());
+        return directory.roomMillis(query.service().name(), query.triedTargetIds());
     }
 
-    private Candidate candidate(
-            Incarnation engine, int kept, ChoiceQuery query, Prompt prompt, Optional<Kept> most, boolean home) {
-        int reached = kept;
-        double fetchMillis = 0;
-        Optional<Incarnation> keeper = Optional.empty();
-        if (most.isPresent() && most.get().tokens > kept) {
-            double way = fetchMillis(engine, most.get(), query, kept);
-            if (way < (most.get().tokens - kept) / rate(engine)) {
-                reached = most.get().tokens;
-                fetchMillis = way;
-                keeper = Optional.of(most.get().engine);
+    private Candidate evaluate(
+            Incarnation engine,
+            int cachedTokens,
+            ChoiceQuery query,
+            Prompt prompt,
+            Optional<CachedPrefix> largestPrefix,
+            boolean isAffinityEngine) {
+        int reusableTokens = cachedTokens;
+        double kvFetchMillis = 0;
+        Optional<Incarnation> cacheSource = Optional.empty();
+        if (largestPrefix.isPresent() && largestPrefix.get().tokens > cachedTokens) {
+            double transferMillis = kvFetchMillis(engine, largestPrefix.get(), query, cachedTokens);
+            if (transferMillis < (largestPrefix.get().tokens - cachedTokens) / tokensPerMilli(engine)) {
+                reusableTokens = largestPrefix.get().tokens;
+                kvFetchMillis = transferMillis;
+                cacheSource = Optional.of(largestPrefix.get().engine);
             }
         }
-        int unread = prompt.inputTokens() - reached;
-        double expected =
-                waitMillis(engine, query) + unread / rate(engine) + fetchMillis + handOverMillis(engine, query, prompt);
-        double border = engine.dataCentre().equals(dataCentre) ? 0 : policy.borderMillis();
-        double price = holdUpMillis(unread / rate(engine))
-                + stallMillis(engine, query, unread / rate(engine))
-                + (home ? 0 : awayMillis(engine, prompt, unread));
-        return new Candidate(engine, unread, keeper, expected + border + price);
+        int prefillTokens = prompt.inputTokens() - reusableTokens;
+        double expected = queueWaitMillis(engine, query)
+                + prefillTokens / tokensPerMilli(engine)
+                + kvFetchMillis
+                + decodeStartMillis(engine, query, prompt);
+        double crossDataCentreMillis = engine.dataCentre().equals(dataCentre) ? 0 : costModel.crossDataCentreMillis();
+        double costToOthersMillis = queueingCostMillis(prefillTokens / tokensPerMilli(engine))
+                + streamStallMillis(engine, query, prefillTokens / tokensPerMilli(engine))
+                + (isAffinityEngine ? 0 : affinityMissMillis(engine, prompt, prefillTokens));
+        return new Candidate(engine, prefillTokens, cacheSource, expected + crossDataCentreMillis + costToOthersMillis);
     }
 
     /** What it costs the others: those that arrive while the prompt is read wait half of that time on average. */
-    private double holdUpMillis(double readMillis) {
-        return readMillis * readMillis / (2 * policy.arrivalGapMillis());
+    private double queueingCostMillis(double prefillMillis) {
+        return prefillMillis * prefillMillis / (2 * costModel.interarrivalMillis());
     }
 
     /**
@@ -184,69 +197,70 @@
      * One long prompt stretches the next event of every stream there beyond the pause that its callers accept: all of them
      * are late, though their first events came in time.
      */
-    private double stallMillis(Incarnation engine, ChoiceQuery query, double readMillis) {
-        boolean noticed = query.pauseMillis() > 0 && readMillis * PAUSE_PART > query.pauseMillis();
-        if (engine.stage() == Stage.PREFILL || !noticed) {
+    private double streamStallMillis(Incarnation engine, ChoiceQuery query, double prefillMillis) {
+        boolean exceedsGap = query.pauseMillis() > 0 && prefillMillis * GAP_TO_PREFILL_RATIO > query.pauseMillis();
+        if (engine.stage() == Stage.PREFILL || !exceedsGap) {
             return 0;
         }
-        return policy.stallMillis() * (1 + loads.at(engine.id()).callsCount());
+        return costModel.stallMillis() * (1 + loads.at(engine.id()).callsCount());
     }
 
     /** What it costs the others that shared tokens are read in a second place. */
-    private double awayMillis(Incarnation engine, Prompt prompt, int unread) {
-        int own = prompt.parts().isEmpty()
-                ? unread
+    private double affinityMissMillis(Incarnation engine, Prompt prompt, int prefillTokens) {
+        int ownTokens = prompt.parts().isEmpty()
+                ? prefillTokens
                 : prompt.parts().get(prompt.parts().size() - 1).tokens();
-        return Math.max(0, unread - own) * policy.awayFromHomeRatio() / rate(engine);
+        return Math.max(0, prefillTokens - ownTokens) * costModel.affinityMissRatio() / tokensPerMilli(engine);
     }
 
-    private int[] keptTokens(List<Incarnation> ready, Prompt prompt) {
+    private int[] cachedPrefixTokens(List<Incarnation> ready, Prompt prompt) {
         return ready.stream()
-                .mapToInt(engine -> parts.keptTokens(engine.id(), prompt))
+                .mapToInt(engine -> cacheIndex.keptTokens(engine.id(), prompt))
                 .toArray();
     }
 
-    private static Optional<Kept> mostKept(List<Incarnation> ready, int[] kept) {
-        Incarnation keeper = null;
-        int most = 0;
-        for (int i = 0; i < kept.length; i++) {
-            if (kept[i] > most) {
-                most = kept[i];
-                keeper = ready.get(i);
+    private static Optional<CachedPrefix> largestCachedPrefix(List<Incarnation> ready, int[] cachedTokens) {
+        Incarnation cacheSource = null;
+        int mostTokens = 0;
+        for (int i = 0; i < cachedTokens.length; i++) {
+            if (cachedTokens[i] > mostTokens) {
+                mostTokens = cachedTokens[i];
+                cacheSource = ready.get(i);
             }
         }
-        return keeper == null ? Optional.empty() : Optional.of(new Kept(keeper, most));
+        return cacheSource == null ? Optional.empty() : Optional.of(new CachedPrefix(cacheSource, mostTokens));
     }
 
-    private double fetchMillis(Incarnation engine, Kept from, ChoiceQuery query, int kept) {
-        double way = transferMillis(query, from.tokens - kept);
-        boolean abroad = !engine.dataCentre().equals(from.engine.dataCentre());
-        return policy.fetchMillis() + (abroad ? ABROAD_RATIO * way : way);
+    private double kvFetchMillis(Incarnation engine, CachedPrefix from, ChoiceQuery query, int cachedTokens) {
+        double transferMillis = kvTransferMillis(query, from.tokens - cachedTokens);
+        boolean crossesDataCentres = !engine.dataCentre().equals(from.engine.dataCentre());
+        return costModel.kvFetchMillis()
+                + (crossesDataCentres ? CROSS_DATA_CENTRE_RATIO * transferMillis : transferMillis);
     }
 
-    private double waitMillis(Incarnation engine, ChoiceQuery query) {
-        return loads.at(engine.id()).unread().aheadOf(QueueLevel.inTime(query.urgency())) / rate(engine);
+    private double queueWaitMillis(Incarnation engine, ChoiceQuery query) {
+        return loads.at(engine.id()).unread().aheadOf(QueueLevel.onTime(query.urgency())) / tokensPerMilli(engine);
     }
 
-    private double rate(Incarnation engine) {
-        return rates.tokensPerMilli(engine.service(), engine.stage());
+    private double tokensPerMilli(Incarnation engine) {
+        return prefillRates.tokensPerMilli(engine.service(), engine.stage());
     }
 
-    private double handOverMillis(Incarnation engine, ChoiceQuery query, Prompt prompt) {
+    private double decodeStartMillis(Incarnation engine, ChoiceQuery query, Prompt prompt) {
         if (engine.stage() != Stage.PREFILL) {
-            return loads.at(engine.id()).callsCount() * policy.runningCallMillis();
+            return loads.at(engine.id()).callsCount() * costModel.runningCallDelayMillis();
         }
-        return policy.handOverMillis() + transferMillis(query, prompt.inputTokens());
+        return costModel.kvHandoffMillis() + kvTransferMillis(query, prompt.inputTokens());
     }
 
-    private static double transferMillis(ChoiceQuery query, int tokens) {
+    private static double kvTransferMillis(ChoiceQuery query, int tokens) {
         EngineTraits traits = query.service().engine().orElseThrow();
         double bits = tokens * (double) traits.kvTokenBytes() * BITS_PER_BYTE;
         return bits / Math.max(1, traits.linkMbitPerSecond() * BITS_PER_MILLI_OF_MEGABIT);
     }
 
     /** The last part that other requests share, or the only one. */
-    private static String homeKey(Prompt prompt) {
+    private static String affinityKey(Prompt prompt) {
         int count = prompt.parts().size();
         if (count == 0) {
             return "";
@@ -255,24 +269,24 @@
     }
 
     /** Engines that only read are homes before those that a long prompt would keep from generating. */
-    private static String home(List<Incarnation> ready, String key) {
-        String home = "";
+    private static String affinityEngineId(List<Incarnation> ready, String key) {
+        String affinityEngineId = "";
         double highest = -1;
-        boolean readers = ready.stream().anyMatch(engine -> engine.stage() == Stage.PREFILL);
+        boolean hasPrefillEngines = ready.stream().anyMatch(engine -> engine.stage() == Stage.PREFILL);
         for (Incarnation engine : ready) {
-            if (readers && engine.stage() != Stage.PREFILL) {
+            if (hasPrefillEngines && engine.stage() != Stage.PREFILL) {
                 continue;
             }
             double score = Rendezvous.score(key, engine.id());
             if (score > highest) {
                 highest = score;
-                home = engine.id();
+                affinityEngineId = engine.id();
             }
         }
-        return home;
+        return affinityEngineId;
     }
 
-    private record Kept(Incarnation engine, int tokens) {}
+    private record CachedPrefix(Incarnation engine, int tokens) {}
 
-    private record Candidate(Incarnation engine, int unreadTokens, Optional<Incarnation> keeper, double cost) {}
+    private record Candidate(Incarnation engine, int prefillTokens, Optional<Incarnation> cacheSource, double cost) {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineTraits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineTraits.java
@@ -7,7 +7,7 @@
  * @param kvCapacityTokens the memory shared by running requests and cached parts, in tokens
  * @param kvTokenBytes the memory of one token
  * @param linkMbitPerSecond the rate at which memory moves between engines
- * @param handleTtlMillis how long a prefilled prompt is kept until it is taken
+ * @param kvHandleTtlMillis how long a prefilled prompt is kept until it is taken
  * @param switchMillis how long an engine is away when it changes its stage; zero where none is stated
  */
 public record EngineTraits(
@@ -15,5 +15,5 @@
         long kvCapacityTokens,
         long kvTokenBytes,
         double linkMbitPerSecond,
-        long handleTtlMillis,
+        long kvHandleTtlMillis,
         long switchMillis) {}
--- a/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
@@ -29,19 +29,19 @@
     @Override
     public Optional<Plan> choose(ChoiceQuery query) {
         List<Incarnation> best = new ArrayList<>();
-        double least = Double.MAX_VALUE;
+        double lowestLoad = Double.MAX_VALUE;
         for (Incarnation target : directory.ready(query.service().name())) {
-            if (query.triedIds().contains(target.id())
+            if (query.triedTargetIds().contains(target.id())
                     || target.stage() == Stage.PREFILL
                     || !directory.hasRoom(target)) {
                 continue;
             }
             double load = loads.at(target.id()).callsCount() / (double) Math.max(1, target.slotsCount());
-            if (load < least) {
-                least = load;
+            if (load < lowestLoad) {
+                lowestLoad = load;
                 best.clear();
             }
-            if (load == least) {
+            if (load == lowestLoad) {
                 best.add(target);
             }
         }
@@ -57,6 +57,6 @@
 
     @Override
     public long roomMillis(ChoiceQuery query) {
-        return directory.roomMillis(query.service().name(), query.triedIds());
+        return directory.roomMillis(query.service().name(), query.triedTargetIds());
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
@@ -25,62 +25,62 @@
 public final class LimitShares {
 
     /** With two, the loss of one holder leaves a target half of its calls. */
-    private static final int LEAST_HOLDERS_COUNT = 2;
+    private static final int MIN_HOLDERS_COUNT = 2;
 
     /** A fleet that looks smaller may be one whose other instances were not heard yet. */
-    private static final int FEWEST_BELIEVED_COUNT = 4;
+    private static final int MIN_UNCONFIRMED_COUNT = 4;
 
     /** Each instance announces itself several times in this time. */
-    private static final long CONFIRMED_MILLIS = 60_000;
+    private static final long CONFIRMATION_MILLIS = 60_000;
 
     /** Of a target that takes next to nothing: a call now and then finds out that it takes more again. */
-    private static final double LEAST_PER_SECOND = 0.2;
+    private static final double MIN_PER_SECOND = 0.2;
 
     /** The way of an instance's announcement to the others. */
-    private static final long SETTLED_MILLIS = 2_000;
+    private static final long PROPAGATION_MILLIS = 2_000;
 
     /** The names among which nobody has a share. */
-    private static final Set<String> NOBODY = Set.of();
+    private static final Set<String> NO_MEMBERS = Set.of();
 
     private final String ownName;
-    private final Supplier<Optional<Set<String>>> countedOn;
+    private final Supplier<Optional<Set<String>>> members;
     private final LongSupplier clockMillis;
-    private final Deque<Fleet> fleets = new ArrayDeque<>();
-    private final Map<String, Integer> ranks = new HashMap<>();
+    private final Deque<Membership> recentMemberships = new ArrayDeque<>();
+    private final Map<String, Integer> rankByTarget = new HashMap<>();
     private long unchangedSinceMillis;
 
     /**
      * Creates a dealer that has no share until it has looked at the fleet.
      *
      * @param ownName this instance's name, not null
-     * @param countedOn the instances that count on each other, this one among them, empty while it is not sure, not null
+     * @param members the instances that count on each other, this one among them, empty while it is not sure, not null
      * @param clockMillis monotonic milliseconds, not null
      */
-    public LimitShares(String ownName, Supplier<Optional<Set<String>>> countedOn, LongSupplier clockMillis) {
+    public LimitShares(String ownName, Supplier<Optional<Set<String>>> members, LongSupplier clockMillis) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
-        this.countedOn = Objects.requireNonNull(countedOn, "countedOn");
+        this.members = Objects.requireNonNull(members, "countedOn");
         this.clockMillis = Objects.requireNonNull(clockMillis, "clockMillis");
-        fleets.add(new Fleet(NOBODY, Long.MAX_VALUE));
+        recentMemberships.add(new Membership(NO_MEMBERS, Long.MAX_VALUE));
     }
 
     /** Looks at who is there; to be called several times a second. */
     public void look() {
         long nowMillis = clockMillis.getAsLong();
-        Set<String> names = countedOn.get().map(Set::copyOf).orElse(NOBODY);
-        Fleet current = fleets.getLast();
+        Set<String> names = members.get().map(Set::copyOf).orElse(NO_MEMBERS);
+        Membership current = recentMemberships.getLast();
         boolean changed = !names.equals(current.names);
         if (changed) {
-            fleets.removeLast();
-            fleets.addLast(new Fleet(current.names, nowMillis));
-            fleets.addLast(new Fleet(names, Long.MAX_VALUE));
+            recentMemberships.removeLast();
+            recentMemberships.addLast(new Membership(current.names, nowMillis));
+            recentMemberships.addLast(new Membership(names, Long.MAX_VALUE));
             unchangedSinceMillis = nowMillis;
         }
-        while (fleets.getFirst().untilMillis < nowMillis - SETTLED_MILLIS) {
-            fleets.removeFirst();
+        while (recentMemberships.getFirst().untilMillis < nowMillis - PROPAGATION_MILLIS) {
+            recentMemberships.removeFirst();
             changed = true;
         }
         if (changed) {
-            ranks.clear();
+            rankByTarget.clear();
         }
     }
 
@@ -93,7 +93,7 @@
      */
     public double perSecond(String targetId, double limitPerSecond) {
         long holdersCount = holdersCount(limitPerSecond);
-        return rank(targetId) < holdersCount ? Math.max(LEAST_PER_SECOND, limitPerSecond) / holdersCount : 0;
+        return rank(targetId) < holdersCount ? Math.max(MIN_PER_SECOND, limitPerSecond) / holdersCount : 0;
     }
 
     /**
@@ -101,8 +101,8 @@
      *
      * @return whether the others count on it as far as it knows
      */
-    public boolean sure() {
-        return !fleets.getLast().names.isEmpty();
+    public boolean isMembershipKnown() {
+        return !recentMemberships.getLast().names.isEmpty();
     }
 
     /**
@@ -112,38 +112,42 @@
      * @param limitPerSecond the limit
      * @return whether it does; false while it is not sure of the fleet
      */
-    public boolean holds(String targetId, double limitPerSecond) {
-        return sure() && rankAmong(fleets.getLast().names, targetId) < holdersCount(limitPerSecond);
+    public boolean isShareHolder(String targetId, double limitPerSecond) {
+        return isMembershipKnown()
+                && rankIn(recentMemberships.getLast().names, targetId) < holdersCount(limitPerSecond);
     }
 
     private long holdersCount(double limitPerSecond) {
-        long wanted = Math.max(LEAST_HOLDERS_COUNT, Math.round(limitPerSecond));
-        boolean confirmed = clockMillis.getAsLong() - unchangedSinceMillis >= CONFIRMED_MILLIS;
-        int fewest = confirmed ? 1 : FEWEST_BELIEVED_COUNT;
-        return Math.min(wanted, Math.max(fewest, fleets.getLast().names.size()));
+        long desiredCount = Math.max(MIN_HOLDERS_COUNT, Math.round(limitPerSecond));
+        boolean confirmed = clockMillis.getAsLong() - unchangedSinceMillis >= CONFIRMATION_MILLIS;
+        int minMembersCount = confirmed ? 1 : MIN_UNCONFIRMED_COUNT;
+        return Math.min(
+                desiredCount,
+                Math.max(minMembersCount, recentMemberships.getLast().names.size()));
     }
 
     /** The worst among the fleets of late, beyond any share where this instance was not sure. */
     private int rank(String targetId) {
-        return ranks.computeIfAbsent(
+        return rankByTarget.computeIfAbsent(
                 targetId,
-                id -> fleets.stream()
-                        .mapToInt(fleet -> fleet.names.isEmpty() ? Integer.MAX_VALUE : rankAmong(fleet.names, id))
+                id -> recentMemberships.stream()
+                        .mapToInt(membership ->
+                                membership.names.isEmpty() ? Integer.MAX_VALUE : rankIn(membership.names, id))
                         .max()
                         .orElse(Integer.MAX_VALUE));
     }
 
-    private int rankAmong(Set<String> names, String targetId) {
-        double own = Rendezvous.score(targetId, ownName);
-        int before = 0;
+    private int rankIn(Set<String> names, String targetId) {
+        double ownScore = Rendezvous.score(targetId, ownName);
+        int higherRankedCount = 0;
         for (String name : names) {
-            if (Rendezvous.score(targetId, name) > own) {
-                before++;
+            if (Rendezvous.score(targetId, name) > ownScore) {
+                higherRankedCount++;
             }
         }
-        return before;
+        return higherRankedCount;
     }
 
     /** Who counted on each other, and until when: the end of time for those who do now. */
-    private record Fleet(Set<String> names, long untilMillis) {}
+    private record Membership(Set<String> names, long untilMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LoadBook.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LoadBook.java
@@ -13,18 +13,18 @@
 public final class LoadBook {
 
     private final Map<String, TargetLoad> own = new HashMap<>();
-    private final Map<String, TargetLoad> ofAll = new HashMap<>();
-    private final Map<String, Map<String, TargetLoad>> ofPeers = new HashMap<>();
+    private final Map<String, TargetLoad> totalLoads = new HashMap<>();
+    private final Map<String, Map<String, TargetLoad>> peerLoads = new HashMap<>();
 
     /**
      * A call was sent.
      *
      * @param targetId the target's id, not null
      * @param level the call's level in the target's queue
-     * @param unreadTokens the tokens that the target has to read before its first event
+     * @param prefillTokens the tokens that the target has to read before its first event
      */
-    public void sent(String targetId, int level, int unreadTokens) {
-        change(targetId, new TargetLoad(1, ReadQueue.one(level, unreadTokens)));
+    public void sent(String targetId, int level, int prefillTokens) {
+        adjust(targetId, new TargetLoad(1, ReadQueue.one(level, prefillTokens)));
     }
 
     /**
@@ -32,10 +32,10 @@
      *
      * @param targetId the target's id, not null
      * @param level as told to {@link #sent}
-     * @param unreadTokens as told to {@link #sent}
+     * @param prefillTokens as told to {@link #sent}
      */
-    public void read(String targetId, int level, int unreadTokens) {
-        change(targetId, new TargetLoad(0, ReadQueue.EMPTY.minus(ReadQueue.one(level, unreadTokens))));
+    public void read(String targetId, int level, int prefillTokens) {
+        adjust(targetId, new TargetLoad(0, ReadQueue.EMPTY.minus(ReadQueue.one(level, prefillTokens))));
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param targetId the target's id, not null
      */
     public void ended(String targetId) {
-        change(targetId, new TargetLoad(-1, ReadQueue.EMPTY));
+        adjust(targetId, new TargetLoad(-1, ReadQueue.EMPTY));
     }
 
     /**
@@ -54,21 +54,21 @@
      * @param loads by target, not null
      */
     public void heard(String peer, Map<String, TargetLoad> loads) {
-        forget(peer);
-        Map<String, TargetLoad> told = Map.copyOf(loads);
-        ofPeers.put(peer, told);
-        told.forEach((id, load) -> put(ofAll, id, known -> known.plus(load)));
+        removePeer(peer);
+        Map<String, TargetLoad> reported = Map.copyOf(loads);
+        peerLoads.put(peer, reported);
+        reported.forEach((id, load) -> update(totalLoads, id, current -> current.plus(load)));
     }
 
     /**
      * Forgets instances that are not heard of any more.
      *
-     * @param alive the names of those that are, not null
+     * @param livePeers the names of those that are, not null
      */
-    public void retainPeers(Set<String> alive) {
-        Set<String> silent = new HashSet<>(ofPeers.keySet());
-        silent.removeAll(alive);
-        silent.forEach(this::forget);
+    public void retainPeers(Set<String> livePeers) {
+        Set<String> stalePeers = new HashSet<>(peerLoads.keySet());
+        stalePeers.removeAll(livePeers);
+        stalePeers.forEach(this::removePeer);
     }
 
     /**
@@ -87,24 +87,24 @@
      * @return the sum
      */
     public TargetLoad at(String targetId) {
-        return ofAll.getOrDefault(targetId, TargetLoad.NOTHING);
+        return totalLoads.getOrDefault(targetId, TargetLoad.EMPTY);
     }
 
-    private void forget(String peer) {
-        Map<String, TargetLoad> told = ofPeers.remove(peer);
-        if (told != null) {
-            told.forEach((id, load) -> put(ofAll, id, known -> known.minus(load)));
+    private void removePeer(String peer) {
+        Map<String, TargetLoad> reported = peerLoads.remove(peer);
+        if (reported != null) {
+            reported.forEach((id, load) -> update(totalLoads, id, current -> current.minus(load)));
         }
     }
 
-    private void change(String targetId, TargetLoad difference) {
-        put(own, targetId, known -> known.plus(difference));
-        put(ofAll, targetId, known -> known.plus(difference));
+    private void adjust(String targetId, TargetLoad difference) {
+        update(own, targetId, current -> current.plus(difference));
+        update(totalLoads, targetId, current -> current.plus(difference));
     }
 
-    private static void put(Map<String, TargetLoad> loads, String targetId, UnaryOperator<TargetLoad> change) {
-        TargetLoad changed = change.apply(loads.getOrDefault(targetId, TargetLoad.NOTHING));
-        if (changed.isNothing()) {
+    private static void update(Map<String, TargetLoad> loads, String targetId, UnaryOperator<TargetLoad> change) {
+        TargetLoad changed = change.apply(loads.getOrDefault(targetId, TargetLoad.EMPTY));
+        if (changed.isEmpty()) {
             loads.remove(targetId);
         } else {
             loads.put(targetId, changed);
--- a/src/main/java/org/dogwoodwinch/forwarding/OrderLease.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/OrderLease.java
@@ -15,7 +15,7 @@
 public final class OrderLease {
 
     private final long validMillis;
-    private final long apartMillis;
+    private final long separationMillis;
     private long endOffset;
     private long endSeenAtMillis = Long.MIN_VALUE;
     private boolean endIsOwn = true;
@@ -24,11 +24,11 @@
      * Creates a lease that nobody holds: the log is taken for empty until it is known better.
      *
      * @param validMillis how long after the record was sent an order may be given
-     * @param apartMillis how far apart orders of two holders have to be, with what clocks and links may add
+     * @param separationMillis how far apart orders of two holders have to be, with what clocks and links may add
      */
-    public OrderLease(long validMillis, long apartMillis) {
+    public OrderLease(long validMillis, long separationMillis) {
         this.validMillis = validMillis;
-        this.apartMillis = apartMillis;
+        this.separationMillis = separationMillis;
     }
 
     /**
@@ -38,8 +38,8 @@
      * @return the end that the log has to have; empty while another's right may stand
      */
     public OptionalLong mayClaimAt(long nowMillis) {
-        boolean waitedOut = endIsOwn || nowMillis - endSeenAtMillis >= validMillis + apartMillis;
-        return waitedOut ? OptionalLong.of(endOffset) : OptionalLong.empty();
+        boolean otherLeaseOver = endIsOwn || nowMillis - endSeenAtMillis >= validMillis + separationMillis;
+        return otherLeaseOver ? OptionalLong.of(endOffset) : OptionalLong.empty();
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/forwarding/PartIndex.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/PartIndex.java
@@ -12,15 +12,15 @@
  */
 public final class PartIndex {
 
-    private final Map<String, Map<String, Integer>> keptByEngine = new HashMap<>();
-    private final SharedParts shared = new SharedParts();
+    private final Map<String, Map<String, Integer>> cachedTokensByEngine = new HashMap<>();
+    private final SharedSegments shared = new SharedSegments();
 
     /**
      * Returns which parts other requests may name again.
      *
      * @return what is known of it, the same each time
      */
-    public SharedParts shared() {
+    public SharedSegments shared() {
         return shared;
     }
 
@@ -28,26 +28,26 @@
      * Returns how much of a part an engine keeps.
      *
      * @param engineId the engine's id, not null
-     * @param partId the part, not null
+     * @param segmentId the part, not null
      * @return its tokens that are believed kept; zero where none are
      */
-    public int keptOf(String engineId, String partId) {
-        return keptByEngine.getOrDefault(engineId, Map.of()).getOrDefault(partId, 0);
+    public int keptOf(String engineId, String segmentId) {
+        return cachedTokensByEngine.getOrDefault(engineId, Map.of()).getOrDefault(segmentId, 0);
     }
 
     /**
      * An engine keeps a part, or keeps less of it.
      *
      * @param engineId the engine's id, not null
-     * @param partId the part, not null
-     * @param keptTokens how many of its tokens are kept now; zero where it was dropped
+     * @param segmentId the part, not null
+     * @param cachedTokens how many of its tokens are kept now; zero where it was dropped
      */
-    public void kept(String engineId, String partId, int keptTokens) {
-        Map<String, Integer> parts = keptByEngine.computeIfAbsent(engineId, _id -> new HashMap<>());
-        if (keptTokens <= 0) {
-            parts.remove(partId);
+    public void kept(String engineId, String segmentId, int cachedTokens) {
+        Map<String, Integer> tokensBySegment = cachedTokensByEngine.computeIfAbsent(engineId, _id -> new HashMap<>());
+        if (cachedTokens <= 0) {
+            tokensBySegment.remove(segmentId);
         } else {
-            parts.put(partId, keptTokens);
+            tokensBySegment.put(segmentId, cachedTokens);
         }
     }
 
@@ -58,7 +58,7 @@
      * @param prompt the prompt, not null
      */
     public void read(String engineId, Prompt prompt) {
-        prompt.parts().forEach(part -> kept(engineId, part.id(), part.tokens()));
+        prompt.parts().forEach(segment -> kept(engineId, segment.id(), segment.tokens()));
     }
 
     /**
@@ -67,7 +67,7 @@
      * @param engineId the engine's id, not null
      */
     public void forget(String engineId) {
-        keptByEngine.remove(engineId);
+        cachedTokensByEngine.remove(engineId);
     }
 
     /**
@@ -76,21 +76,21 @@
      * @param engineIds those that are, not null
      */
     public void retain(Set<String> engineIds) {
-        keptByEngine.keySet().retainAll(engineIds);
+        cachedTokensByEngine.keySet().retainAll(engineIds);
     }
 
     /**
      * Returns the larger parts that an engine keeps.
      *
      * @param engineId the engine's id, not null
-     * @param leastTokens the tokens from which on a part is returned
+     * @param minTokens the tokens from which on a part is returned
      * @return the tokens kept, by part
      */
-    public Map<String, Integer> keptAtLeast(String engineId, int leastTokens) {
+    public Map<String, Integer> keptAtLeast(String engineId, int minTokens) {
         Map<String, Integer> found = new HashMap<>();
-        keptByEngine.getOrDefault(engineId, Map.of()).forEach((partId, tokens) -> {
-            if (tokens >= leastTokens) {
-                found.put(partId, tokens);
+        cachedTokensByEngine.getOrDefault(engineId, Map.of()).forEach((segmentId, tokens) -> {
+            if (tokens >= minTokens) {
+                found.put(segmentId, tokens);
             }
         });
         return found;
@@ -104,12 +104,12 @@
      * @return the tokens of its first parts that are kept without a gap
      */
     public int keptTokens(String engineId, Prompt prompt) {
-        Map<String, Integer> parts = keptByEngine.getOrDefault(engineId, Map.of());
+        Map<String, Integer> tokensBySegment = cachedTokensByEngine.getOrDefault(engineId, Map.of());
         int sum = 0;
-        for (PromptPart part : prompt.parts()) {
-            int kept = Math.min(part.tokens(), parts.getOrDefault(part.id(), 0));
-            sum += kept;
-            if (kept < part.tokens()) {
+        for (PromptPart segment : prompt.parts()) {
+            int cachedTokens = Math.min(segment.tokens(), tokensBySegment.getOrDefault(segment.id(), 0));
+            sum += cachedTokens;
+            if (cachedTokens < segment.tokens()) {
                 break;
             }
         }
@@ -122,6 +122,6 @@
      * @return the count over all engines
      */
     public int size() {
-        return keptByEngine.values().stream().mapToInt(Map::size).sum();
+        return cachedTokensByEngine.values().stream().mapToInt(Map::size).sum();
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/QueueLevel.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/QueueLevel.java
@@ -15,27 +15,27 @@
     /** Levels that an engine tells apart. */
     public static final int COUNT = 10;
 
-    private static final int PER_URGENCY = 2;
+    private static final int LEVELS_PER_PRIORITY = 2;
 
     private QueueLevel() {}
 
     /**
      * Returns the level of a call that can be answered within its objective.
      *
-     * @param urgency the route's rank, zero is the most urgent
+     * @param priority the route's rank, zero is the most urgent
      * @return a level from 0 to 9; urgencies beyond the fifth share the last
      */
-    public static int inTime(int urgency) {
-        return Math.max(0, Math.min(COUNT - PER_URGENCY, urgency * PER_URGENCY));
+    public static int onTime(int priority) {
+        return Math.max(0, Math.min(COUNT - LEVELS_PER_PRIORITY, priority * LEVELS_PER_PRIORITY));
     }
 
     /**
      * Returns the level of a call that is expected late.
      *
-     * @param urgency the route's rank, zero is the most urgent
+     * @param priority the route's rank, zero is the most urgent
      * @return the level behind that of calls in time
      */
-    public static int late(int urgency) {
-        return inTime(urgency) + 1;
+    public static int late(int priority) {
+        return onTime(priority) + 1;
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ReadQueue.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ReadQueue.java
@@ -54,17 +54,17 @@
      * @return the tokens expected ahead of it
      */
     public long aheadOf(int level) {
-        long before = 0;
+        long earlierTokens = 0;
         for (int i = 0; i <= level; i++) {
-            before += tokens[i];
+            earlierTokens += tokens[i];
         }
-        long behind = 0;
-        long behindPrompts = 0;
+        long laterTokens = 0;
+        long laterPrompts = 0;
         for (int i = level + 1; i < tokens.length; i++) {
-            behind += tokens[i];
-            behindPrompts += prompts[i];
+            laterTokens += tokens[i];
+            laterPrompts += prompts[i];
         }
-        return before + (behindPrompts > 0 ? behind / behindPrompts : 0);
+        return earlierTokens + (laterPrompts > 0 ? laterTokens / laterPrompts : 0);
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/forwarding/ReadRates.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ReadRates.java
@@ -12,21 +12,21 @@
 public final class ReadRates {
 
     /** Smoothing of a new observation: one in ten follows a change within some twenty calls and evens out chance. */
-    private static final double WEIGHT = 0.1;
+    private static final double SMOOTHING_WEIGHT = 0.1;
 
     /** A short prompt's time is mostly overhead and tells nothing of the rate. */
-    private static final long LEAST_TOKENS = 1_500;
+    private static final long MIN_TOKENS = 1_500;
 
-    private final double firstTokensPerMilli;
-    private final Map<String, EnumMap<Stage, Double>> rates = new HashMap<>();
+    private final double initialTokensPerMilli;
+    private final Map<String, EnumMap<Stage, Double>> ratesByService = new HashMap<>();
 
     /**
      * Creates rates that know nothing.
      *
-     * @param firstTokensPerMilli the rate that is assumed until a call was observed, more than zero
+     * @param initialTokensPerMilli the rate that is assumed until a call was observed, more than zero
      */
-    public ReadRates(double firstTokensPerMilli) {
-        this.firstTokensPerMilli = firstTokensPerMilli;
+    public ReadRates(double initialTokensPerMilli) {
+        this.initialTokensPerMilli = initialTokensPerMilli;
     }
 
     /**
@@ -38,12 +38,13 @@
      * @param millis the time that it took
      */
     public void observe(String service, Stage stage, long tokens, long millis) {
-        if (tokens < LEAST_TOKENS || millis <= 0) {
+        if (tokens < MIN_TOKENS || millis <= 0) {
             return;
         }
-        double seen = tokens / (double) millis;
-        EnumMap<Stage, Double> ofService = rates.computeIfAbsent(service, _service -> new EnumMap<>(Stage.class));
-        ofService.merge(stage, seen, (known, fresh) -> known + WEIGHT * (fresh - known));
+        double observed = tokens / (double) millis;
+        EnumMap<Stage, Double> ratesByStage =
+                ratesByService.computeIfAbsent(service, _service -> new EnumMap<>(Stage.class));
+        ratesByStage.merge(stage, observed, (known, fresh) -> known + SMOOTHING_WEIGHT * (fresh - known));
     }
 
     /**
@@ -54,10 +55,10 @@
      * @return tokens in a millisecond
      */
     public double tokensPerMilli(String service, Stage stage) {
-        EnumMap<Stage, Double> ofService = rates.get(service);
-        Double known = ofService == null ? null : ofService.get(stage);
+        EnumMap<Stage, Double> ratesByStage = ratesByService.get(service);
+        Double known = ratesByStage == null ? null : ratesByStage.get(stage);
         // In the midst of generating, an engine reads at about half its speed.
-        double assumed = stage == Stage.PREFILL ? firstTokensPerMilli : firstTokensPerMilli / 2;
+        double assumed = stage == Stage.PREFILL ? initialTokensPerMilli : initialTokensPerMilli / 2;
         return known == null ? assumed : Math.max(known, assumed / 10);
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/Rendezvous.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Rendezvous.java
@@ -3,7 +3,7 @@
 /** Ranks targets for a key so that all instances agree without a word, and few keys move when a target goes. */
 public final class Rendezvous {
 
-    private static final double LARGEST = 0x1.0p53;
+    private static final double UNIFORM_RANGE = 0x1.0p53;
 
     /** Offset and prime of the 64-bit FNV-1a hash. */
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -29,16 +29,16 @@
     public static double score(String key, String targetId) {
         // A score for each target of each call: a library's hash objects cost the interpreter more than the call
         // itself.
-        long hash = add((add(FNV_OFFSET, key) ^ 0xff) * FNV_PRIME, targetId);
+        long hash = fnv1a((fnv1a(FNV_OFFSET, key) ^ 0xff) * FNV_PRIME, targetId);
         hash = (hash ^ (hash >>> SHIFT)) * FIRST_MULTIPLIER;
         hash = (hash ^ (hash >>> SHIFT)) * SECOND_MULTIPLIER;
         hash ^= hash >>> SHIFT;
-        double uniform = ((hash >>> 11) + 1) / LARGEST;
+        double uniform = ((hash >>> 11) + 1) / UNIFORM_RANGE;
         return uniform;
     }
 
-    private static long add(long before, String text) {
-        long hash = before;
+    private static long fnv1a(long initialHash, String text) {
+        long hash = initialHash;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
--- a/src/main/java/org/dogwoodwinch/forwarding/RetryBudget.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RetryBudget.java
@@ -19,19 +19,19 @@
  */
 public final class RetryBudget {
 
-    private static final int SLICES = 20;
+    private static final int SLICES_COUNT = 20;
 
     /**
      * The part of the ratio that is spent. Requests are judged in the span of the repeats, the one before and the one half
      * a span before; the span that ends with the last repeat can lie between two of these and hold a third more.
      */
-    private static final double SPENT_PART = 0.75;
+    private static final double USABLE_RATIO = 0.75;
 
     private double ratio;
     private final DoubleSupplier slackShare;
-    private final long slackFromMillis;
+    private final long slackAvailableFromMillis;
     private final long sliceMillis;
-    private final Map<String, Ledger> ledgers = new HashMap<>();
+    private final Map<String, SlidingWindow> windows = new HashMap<>();
 
     /**
      * Creates a budget.
@@ -43,19 +43,19 @@
      * @param startedMillis when this instance started, in monotonic milliseconds
      */
     public RetryBudget(double ratio, DoubleSupplier slackShare, long windowMillis, long startedMillis) {
-        this.ratio = ratio * SPENT_PART;
+        this.ratio = ratio * USABLE_RATIO;
         this.slackShare = Objects.requireNonNull(slackShare, "slackShare");
-        this.slackFromMillis = startedMillis + windowMillis;
-        this.sliceMillis = Math.max(1, windowMillis / SLICES);
+        this.slackAvailableFromMillis = startedMillis + windowMillis;
+        this.sliceMillis = Math.max(1, windowMillis / SLICES_COUNT);
     }
 
     /**
      * Puts another ratio in force; what was spent stays spent.
      *
-     * @param freshRatio repeats for each request taken here
+     * @param newRatio repeats for each request taken here
      */
-    public void reconfigure(double freshRatio) {
-        ratio = freshRatio * SPENT_PART;
+    public void reconfigure(double newRatio) {
+        ratio = newRatio * USABLE_RATIO;
     }
 
     /**
@@ -65,9 +65,9 @@
      * @param nowMillis monotonic milliseconds
      */
     public void countRequest(String service, long nowMillis) {
-        Ledger ledger = ledger(service);
-        ledger.turn(nowMillis / sliceMillis);
-        ledger.requests[ledger.index()]++;
+        SlidingWindow window = window(service);
+        window.advanceTo(nowMillis / sliceMillis);
+        window.requests[window.currentIndex()]++;
     }
 
     /**
@@ -78,12 +78,12 @@
      * @return whether it was taken
      */
     public boolean takeRepeat(String service, long nowMillis) {
-        Ledger ledger = ledger(service);
-        ledger.turn(nowMillis / sliceMillis);
-        if (sum(ledger.repeats) + 1 > allowed(ledger, nowMillis)) {
+        SlidingWindow window = window(service);
+        window.advanceTo(nowMillis / sliceMillis);
+        if (sum(window.retries) + 1 > allowedRetries(window, nowMillis)) {
             return false;
         }
-        ledger.repeats[ledger.index()]++;
+        window.retries[window.currentIndex()]++;
         return true;
     }
 
@@ -95,17 +95,17 @@
      * @return repeats that could be taken now, not negative
      */
     public double left(String service, long nowMillis) {
-        Ledger ledger = ledger(service);
-        ledger.turn(nowMillis / sliceMillis);
-        return Math.max(0, allowed(ledger, nowMillis) - sum(ledger.repeats));
+        SlidingWindow window = window(service);
+        window.advanceTo(nowMillis / sliceMillis);
+        return Math.max(0, allowedRetries(window, nowMillis) - sum(window.retries));
     }
 
-    private double allowed(Ledger ledger, long nowMillis) {
-        return ratio * sum(ledger.requests) + (nowMillis < slackFromMillis ? 0 : slackShare.getAsDouble());
+    private double allowedRetries(SlidingWindow window, long nowMillis) {
+        return ratio * sum(window.requests) + (nowMillis < slackAvailableFromMillis ? 0 : slackShare.getAsDouble());
     }
 
-    private Ledger ledger(String service) {
-        return ledgers.computeIfAbsent(service, _name -> new Ledger());
+    private SlidingWindow window(String service) {
+        return windows.computeIfAbsent(service, _name -> new SlidingWindow());
     }
 
     private static int sum(int[] slices) {
@@ -116,26 +116,26 @@
         return sum;
     }
 
-    private static final class Ledger {
-        private final int[] requests = new int[SLICES];
-        private final int[] repeats = new int[SLICES];
+    private static final class SlidingWindow {
+        private final int[] requests = new int[SLICES_COUNT];
+        private final int[] retries = new int[SLICES_COUNT];
         private long slice = Long.MIN_VALUE;
 
-        int index() {
-            return Math.floorMod(slice, SLICES);
+        int currentIndex() {
+            return Math.floorMod(slice, SLICES_COUNT);
         }
 
-        void turn(long now) {
-            if (slice == Long.MIN_VALUE || now - slice >= SLICES) {
+        void advanceTo(long currentSlice) {
+            if (slice == Long.MIN_VALUE || currentSlice - slice >= SLICES_COUNT) {
                 Arrays.fill(requests, 0);
-                Arrays.fill(repeats, 0);
-                slice = now;
+                Arrays.fill(retries, 0);
+                slice = currentSlice;
                 return;
             }
-            while (slice < now) {
+            while (slice < currentSlice) {
                 slice++;
-                requests[index()] = 0;
-                repeats[index()] = 0;
+                requests[currentIndex()] = 0;
+                retries[currentIndex()] = 0;
             }
         }
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/RetryPolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RetryPolicy.java
@@ -7,38 +7,38 @@
  *
  * @param maxFailedConnectsCount tries without a byte written after which the caller is told to come back
  * @param maxRejectionsCount targets that may state that they did not run the call before the caller is told to come back
- * @param leastRemainingMillis the time below which another send cannot be answered in time
+ * @param minRemainingMillis the time below which another send cannot be answered in time
  * @param retryAfterMillis when a refused caller is told to come back
  */
 public record RetryPolicy(
-        int maxFailedConnectsCount, int maxRejectionsCount, long leastRemainingMillis, long retryAfterMillis) {
+        int maxFailedConnectsCount, int maxRejectionsCount, long minRemainingMillis, long retryAfterMillis) {
 
     /** Callers heed a time to come back up to a third of what they have left; a quarter leaves room for the answer. */
-    private static final int PARTS_OF_REMAINING = 4;
+    private static final int REMAINING_DIVISOR = 4;
 
     /**
      * Decides what follows.
      *
      * @param outcome what is known of the send that ended, not null
      * @param progress what was done so far, that send included, not null
-     * @param budget takes one repeat from the service's retry budget; asked only where a repeat is otherwise allowed
+     * @param tryTakeRetry takes one repeat from the service's retry budget; asked only where a repeat is otherwise allowed
      * @return the next step
      */
-    public NextStep after(SendOutcome outcome, CallProgress progress, BooleanSupplier budget) {
+    public NextStep after(SendOutcome outcome, CallProgress progress, BooleanSupplier tryTakeRetry) {
         if (outcome instanceof SendOutcome.NotSent) {
-            boolean triesLeft = progress.failedConnectsCount() <= maxFailedConnectsCount && timeLeft(progress);
-            return triesLeft && (!progress.sent() || budget.getAsBoolean())
+            boolean attemptsLeft = progress.failedConnectsCount() <= maxFailedConnectsCount && isTimeLeft(progress);
+            return attemptsLeft && (!progress.sent() || tryTakeRetry.getAsBoolean())
                     ? new NextStep.SendAgain()
                     : giveUp(progress);
         }
         if (outcome instanceof SendOutcome.Rejected || outcome instanceof SendOutcome.NotRead) {
-            boolean triesLeft = progress.rejectionsCount() <= maxRejectionsCount && timeLeft(progress);
-            return triesLeft && runAllowed(progress) && budget.getAsBoolean()
+            boolean attemptsLeft = progress.rejectionsCount() <= maxRejectionsCount && isTimeLeft(progress);
+            return attemptsLeft && isAnotherRunAllowed(progress) && tryTakeRetry.getAsBoolean()
                     ? new NextStep.SendAgain()
                     : giveUp(progress);
         }
-        boolean repeatable = progress.idempotent() && runAllowed(progress) && timeLeft(progress);
-        if (repeatable && budget.getAsBoolean()) {
+        boolean mayRunAgain = progress.idempotent() && isAnotherRunAllowed(progress) && isTimeLeft(progress);
+        if (mayRunAgain && tryTakeRetry.getAsBoolean()) {
             return new NextStep.SendAgain();
         }
         return outcome instanceof SendOutcome.RanAndFailed ? new NextStep.RelayFailure() : new NextStep.FailUnknown();
@@ -58,22 +58,22 @@
      * Ends a call for which no target can be had before a time that is known.
      *
      * @param progress what was done so far, not null
-     * @param roomMillis when a target may have room
+     * @param untilCapacityMillis when a target may have room
      * @return a refusal where nothing may have run
      */
-    public NextStep giveUp(CallProgress progress, long roomMillis) {
-        long comeBackMillis = Math.max(retryAfterMillis, roomMillis);
+    public NextStep giveUp(CallProgress progress, long untilCapacityMillis) {
+        long retryAfterWithCapacity = Math.max(retryAfterMillis, untilCapacityMillis);
         return progress.mayHaveRun()
                 ? new NextStep.FailUnknown()
                 : new NextStep.Refuse(
-                        Math.min(comeBackMillis, Math.max(0, progress.remainingMillis() / PARTS_OF_REMAINING)));
+                        Math.min(retryAfterWithCapacity, Math.max(0, progress.remainingMillis() / REMAINING_DIVISOR)));
     }
 
-    private boolean timeLeft(CallProgress progress) {
-        return progress.remainingMillis() >= leastRemainingMillis;
+    private boolean isTimeLeft(CallProgress progress) {
+        return progress.remainingMillis() >= minRemainingMillis;
     }
 
-    private static boolean runAllowed(CallProgress progress) {
-        return progress.runsCount() < progress.maxRunsCount();
+    private static boolean isAnotherRunAllowed(CallProgress progress) {
+        return progress.possibleRunsCount() < progress.maxRunsCount();
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/RouteTable.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RouteTable.java
@@ -92,16 +92,16 @@
      * Finds the route with the longest prefix that begins a path.
      *
      * @param host the host that the caller named, with or without a port, in any case, not null
-     * @param target the request's path with or without a query, not null
+     * @param requestTarget the request's path with or without a query, not null
      * @return the route, or empty
      */
-    public Optional<ServiceRoute> find(String host, String target) {
-        Map<String, ServiceRoute> routes = routesByHost.get(withoutPort(host).toLowerCase(Locale.ROOT));
+    public Optional<ServiceRoute> find(String host, String requestTarget) {
+        Map<String, ServiceRoute> routes = routesByHost.get(stripPort(host).toLowerCase(Locale.ROOT));
         if (routes == null) {
             return Optional.empty();
         }
-        int query = target.indexOf('?');
-        String path = query < 0 ? target : target.substring(0, query);
+        int queryStart = requestTarget.indexOf('?');
+        String path = queryStart < 0 ? requestTarget : requestTarget.substring(0, queryStart);
         // Every prefix ends with a slash, so only the beginnings of the path that do can be one.
         for (int end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
             ServiceRoute route = routes.get(path.substring(0, end + 1));
@@ -112,7 +112,7 @@
         return Optional.empty();
     }
 
-    private static String withoutPort(String host) {
+    private static String stripPort(String host) {
         int colon = host.lastIndexOf(':');
         return colon < 0 || host.endsWith("]") ? host : host.substring(0, colon);
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/ServiceRoute.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ServiceRoute.java
@@ -66,10 +66,10 @@
      */
     public String chooseService(double uniform) {
         double total = services.stream().mapToDouble(WeightedService::weight).sum();
-        double rest = uniform * total;
+        double remainingWeight = uniform * total;
         for (WeightedService candidate : services) {
-            rest -= candidate.weight();
-            if (rest < 0) {
+            remainingWeight -= candidate.weight();
+            if (remainingWeight < 0) {
                 return candidate.service();
             }
         }
--- a/src/main/java/org/dogwoodwinch/forwarding/SharedParts.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/SharedSegments.java
@@ -11,14 +11,14 @@
  * <p>The last part of a prompt belongs to the request or its session; where two requests end with it, it is a session's. All
  * parts before the last are shared. What was not named for long is forgotten first.
  */
-public final class SharedParts {
+public final class SharedSegments {
 
     /** Some hundred shared parts for each of a dozen engines' memories, in about a megabyte. */
-    private static final int MOST_PARTS = 8_192;
+    private static final int MAX_SEGMENTS = 8_192;
 
-    private final Map<String, Boolean> shared = newestKept();
-    private final Map<String, Boolean> lastOnce = newestKept();
-    private final List<String> news = new ArrayList<>();
+    private final Map<String, Boolean> shared = lruMap();
+    private final Map<String, Boolean> seenLast = lruMap();
+    private final List<String> newlyShared = new ArrayList<>();
 
     /**
      * Sees the prompt of a request.
@@ -28,41 +28,41 @@
     public void saw(Prompt prompt) {
         int lastIndex = prompt.parts().size() - 1;
         for (int i = 0; i < lastIndex; i++) {
-            found(prompt.parts().get(i).id());
+            addShared(prompt.parts().get(i).id());
         }
         if (lastIndex < 0) {
             return;
         }
         String last = prompt.parts().get(lastIndex).id();
-        if (lastOnce.put(last, true) != null) {
-            found(last);
+        if (seenLast.put(last, true) != null) {
+            addShared(last);
         }
     }
 
-    private void found(String partId) {
-        if (learn(partId)) {
-            news.add(partId);
+    private void addShared(String segmentId) {
+        if (learn(segmentId)) {
+            newlyShared.add(segmentId);
         }
     }
 
     /**
      * Learns from others that a part is shared.
      *
-     * @param partId the part, not null
+     * @param segmentId the part, not null
      * @return whether that was news
      */
-    public boolean learn(String partId) {
-        return shared.put(partId, true) == null;
+    public boolean learn(String segmentId) {
+        return shared.put(segmentId, true) == null;
     }
 
     /**
      * Says whether a part is shared, as far as is known here.
      *
-     * @param partId the part, not null
+     * @param segmentId the part, not null
      * @return whether other requests may name it again
      */
-    public boolean isShared(String partId) {
-        return shared.containsKey(partId);
+    public boolean isShared(String segmentId) {
+        return shared.containsKey(segmentId);
     }
 
     /**
@@ -71,16 +71,16 @@
      * @return the parts, in the order in which they were found
      */
     public List<String> takeNews() {
-        List<String> taken = List.copyOf(news);
-        news.clear();
+        List<String> taken = List.copyOf(newlyShared);
+        newlyShared.clear();
         return taken;
     }
 
-    private static Map<String, Boolean> newestKept() {
+    private static Map<String, Boolean> lruMap() {
         return new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Boolean> _eldest) {
-                return size() > MOST_PARTS;
+                return size() > MAX_SEGMENTS;
             }
         };
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanPolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanPolicy.java
@@ -5,21 +5,21 @@
  *
  * @param shortHorizonMillis over which a load counts as recent
  * @param longHorizonMillis over which it counts as lasting; only what is both changes anything
- * @param leastWaitMillis the time that prompts wait to be read below which nobody is late because of it
- * @param advantageRatio how many times longer prompts have to wait at the one stage than at the other, with one engine
+ * @param minWaitMillis the time that prompts wait to be read below which nobody is late because of it
+ * @param minWaitRatio how many times longer prompts have to wait at the one stage than at the other, with one engine
  *     less there: two stages that are alike must not trade engines to and fro
- * @param mostBusyRatio the part of the generating slots that may be taken after an engine has left them
- * @param leastGeneratingCount engines that generate whatever happens, so that the crash of one does not end the service
+ * @param maxBusyRatio the part of the generating slots that may be taken after an engine has left them
+ * @param minDecodeCount engines that generate whatever happens, so that the crash of one does not end the service
  * @param dwellMillis the time between two changes, beside the time that the engine is away: what the first one brought has
  *     to show before the next
  */
 public record StagePlanPolicy(
         long shortHorizonMillis,
         long longHorizonMillis,
-        double leastWaitMillis,
-        double advantageRatio,
-        double mostBusyRatio,
-        int leastGeneratingCount,
+        double minWaitMillis,
+        double minWaitRatio,
+        double maxBusyRatio,
+        int minDecodeCount,
         long dwellMillis) {
 
     /** In force unless settings state others. */
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
@@ -17,32 +17,32 @@
  */
 public final class StagePlanner {
 
-    private static final int ENGINES_OF_ONE_AWAY = 8;
+    private static final int ENGINES_PER_CHANGE = 8;
 
     /** An engine finishes what it runs before it changes; one that has not changed by then is not waited for. */
-    private static final long LONGEST_CHANGE_MILLIS = 15_000;
+    private static final long MAX_CHANGE_MILLIS = 15_000;
 
     private final StagePlanPolicy policy;
-    private final ReadRates rates;
-    private final Pressure reading;
-    private final Pressure generating;
-    private final Pressure busy;
-    private final List<UnderWay> underWay = new ArrayList<>();
-    private long notBeforeMillis = Long.MIN_VALUE;
+    private final ReadRates prefillRates;
+    private final TwoHorizonAverage prefillWait;
+    private final TwoHorizonAverage decodeWait;
+    private final TwoHorizonAverage decodeBusy;
+    private final List<PendingChange> pendingChanges = new ArrayList<>();
+    private long nextChangeMillis = Long.MIN_VALUE;
     private int enginesCount;
 
     /**
      * Creates a planner that has seen nothing.
      *
      * @param policy the thresholds, not null
-     * @param rates how fast engines read, not null
+     * @param prefillRates how fast engines read, not null
      */
-    public StagePlanner(StagePlanPolicy policy, ReadRates rates) {
+    public StagePlanner(StagePlanPolicy policy, ReadRates prefillRates) {
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.rates = Objects.requireNonNull(rates, "rates");
-        this.reading = new Pressure(policy);
-        this.generating = new Pressure(policy);
-        this.busy = new Pressure(policy);
+        this.prefillRates = Objects.requireNonNull(prefillRates, "rates");
+        this.prefillWait = new TwoHorizonAverage(policy);
+        this.decodeWait = new TwoHorizonAverage(policy);
+        this.decodeBusy = new TwoHorizonAverage(policy);
     }
 
     /**
@@ -58,47 +58,47 @@
      * Looks at the loads. Called again and again, whether or not a change is wanted.
      *
      * @param ready the engines of the service that take work, not null
-     * @param limited whether an engine takes no more than the few calls that it names, not null
-     * @param load what is under way at an engine, by its id, not null
-     * @param eligible whether an engine, by its id, may be changed, not null
+     * @param isRateLimited whether an engine takes no more than the few calls that it names, not null
+     * @param loadOf what is under way at an engine, by its id, not null
+     * @param isEligible whether an engine, by its id, may be changed, not null
      * @param nowMillis monotonic milliseconds
      * @return a change that is worth it now
      */
     public Optional<Change> plan(
             List<Incarnation> ready,
-            Predicate<Incarnation> limited,
-            Function<String, TargetLoad> load,
-            Predicate<String> eligible,
+            Predicate<Incarnation> isRateLimited,
+            Function<String, TargetLoad> loadOf,
+            Predicate<String> isEligible,
             long nowMillis) {
-        underWay.removeIf(change -> change.over(ready, nowMillis));
-        List<Incarnation> atEase = ready.stream()
-                .filter(engine -> !limited.test(engine) && !changes(engine))
+        pendingChanges.removeIf(change -> change.isOver(ready, nowMillis));
+        List<Incarnation> unlimited = ready.stream()
+                .filter(engine -> !isRateLimited.test(engine) && !isChanging(engine))
                 .toList();
-        List<Incarnation> readers = ofStage(atEase, Stage.PREFILL);
-        List<Incarnation> generators = ofStage(atEase, Stage.DECODE);
-        if (ready.stream().anyMatch(limited)) {
-            Optional<Change> replaced = replaceLimited(readers, generators, load, eligible);
-            if (replaced.isPresent()) {
-                return replaced;
+        List<Incarnation> prefillEngines = withStage(unlimited, Stage.PREFILL);
+        List<Incarnation> decodeEngines = withStage(unlimited, Stage.DECODE);
+        if (ready.stream().anyMatch(isRateLimited)) {
+            Optional<Change> replacement = replaceRateLimited(prefillEngines, decodeEngines, loadOf, isEligible);
+            if (replacement.isPresent()) {
+                return replacement;
             }
         }
-        if (readers.isEmpty() || generators.isEmpty()) {
+        if (prefillEngines.isEmpty() || decodeEngines.isEmpty()) {
             return Optional.empty();
         }
-        enginesCount = readers.size() + generators.size();
-        reading.see(waitMillis(readers, load), nowMillis);
-        generating.see(waitMillis(generators, load), nowMillis);
-        busy.see(busyRatio(generators, load), nowMillis);
-        if (nowMillis < notBeforeMillis) {
+        enginesCount = prefillEngines.size() + decodeEngines.size();
+        prefillWait.add(meanWaitMillis(prefillEngines, loadOf), nowMillis);
+        decodeWait.add(meanWaitMillis(decodeEngines, loadOf), nowMillis);
+        decodeBusy.add(busyRatio(decodeEngines, loadOf), nowMillis);
+        if (nowMillis < nextChangeMillis) {
             return Optional.empty();
         }
-        long limitedGenerators =
-                ofStage(ready, Stage.DECODE).stream().filter(limited).count();
-        if (wantsReader(generators.size(), limitedGenerators)) {
-            return change(generators, Stage.PREFILL, load, eligible);
+        long limitedDecodeCount =
+                withStage(ready, Stage.DECODE).stream().filter(isRateLimited).count();
+        if (needsPrefillEngine(decodeEngines.size(), limitedDecodeCount)) {
+            return chooseChange(decodeEngines, Stage.PREFILL, loadOf, isEligible);
         }
-        if (wantsGenerator(readers.size())) {
-            return change(readers, Stage.DECODE, load, eligible);
+        if (needsDecodeEngine(prefillEngines.size())) {
+            return chooseChange(prefillEngines, Stage.DECODE, loadOf, isEligible);
         }
         return Optional.empty();
     }
@@ -109,27 +109,30 @@
      * <p>Load: all engines that generate name limits of a few calls a second, and those that read have room. What is read
      * has nowhere to run, and callers are refused; nothing waits at the limited engines, so the waits show no need.
      */
-    private Optional<Change> replaceLimited(
-            List<Incarnation> readers,
-            List<Incarnation> generators,
-            Function<String, TargetLoad> load,
-            Predicate<String> eligible) {
-        if (generators.size() + coming(Stage.DECODE) == 0 && readers.size() > 1) {
-            return change(readers, Stage.DECODE, load, eligible);
+    private Optional<Change> replaceRateLimited(
+            List<Incarnation> prefillEngines,
+            List<Incarnation> decodeEngines,
+            Function<String, TargetLoad> loadOf,
+            Predicate<String> isEligible) {
+        if (decodeEngines.size() + pendingCount(Stage.DECODE) == 0 && prefillEngines.size() > 1) {
+            return chooseChange(prefillEngines, Stage.DECODE, loadOf, isEligible);
         }
-        if (readers.size() + coming(Stage.PREFILL) == 0 && generators.size() > 1) {
-            return change(generators, Stage.PREFILL, load, eligible);
+        if (prefillEngines.size() + pendingCount(Stage.PREFILL) == 0 && decodeEngines.size() > 1) {
+            return chooseChange(decodeEngines, Stage.PREFILL, loadOf, isEligible);
         }
         return Optional.empty();
     }
 
     /** It is listed with its old stage until it has finished what it ran and is back. */
-    private boolean changes(Incarnation engine) {
-        return underWay.stream().anyMatch(each -> each.change.engine().id().equals(engine.id()));
+    private boolean isChanging(Incarnation engine) {
+        return pendingChanges.stream()
+                .anyMatch(pending -> pending.change.engine().id().equals(engine.id()));
     }
 
-    private long coming(Stage stage) {
-        return underWay.stream().filter(each -> each.change.stage() == stage).count();
+    private long pendingCount(Stage stage) {
+        return pendingChanges.stream()
+                .filter(pending -> pending.change.stage() == stage)
+                .count();
     }
 
     /**
@@ -137,13 +140,13 @@
      * does not show there, and a mix that shifts within seconds would be over before one after the other had changed.
      *
      * @param change what was ordered, not null
-     * @param awayMillis how long the engine is away
+     * @param unavailableMillis how long the engine is away
      * @param nowMillis monotonic milliseconds
      */
-    public void ordered(Change change, long awayMillis, long nowMillis) {
-        underWay.add(new UnderWay(change, nowMillis + LONGEST_CHANGE_MILLIS));
-        long pauseMillis = awayMillis + policy.dwellMillis();
-        notBeforeMillis = nowMillis + pauseMillis / Math.max(1, enginesCount / ENGINES_OF_ONE_AWAY);
+    public void ordered(Change change, long unavailableMillis, long nowMillis) {
+        pendingChanges.add(new PendingChange(change, nowMillis + MAX_CHANGE_MILLIS));
+        long intervalMillis = unavailableMillis + policy.dwellMillis();
+        nextChangeMillis = nowMillis + intervalMillis / Math.max(1, enginesCount / ENGINES_PER_CHANGE);
     }
 
     /**
@@ -152,60 +155,64 @@
      * @param change what was ordered, not null
      */
     public void notTaken(Change change) {
-        underWay.removeIf(each -> each.change.equals(change));
+        pendingChanges.removeIf(pending -> pending.change.equals(change));
     }
 
-    private boolean wantsReader(int generatorsCount, long limitedGeneratorsCount) {
-        if (generatorsCount <= 1 || generatorsCount + limitedGeneratorsCount <= policy.leastGeneratingCount()) {
+    private boolean needsPrefillEngine(int decodeCount, long limitedDecodeCount) {
+        if (decodeCount <= 1 || decodeCount + limitedDecodeCount <= policy.minDecodeCount()) {
             return false;
         }
-        double withOneLess = generatorsCount / (generatorsCount - 1.0);
-        return reading.least() >= policy.leastWaitMillis()
-                && reading.least() >= policy.advantageRatio() * withOneLess * generating.most()
-                && busy.most() * withOneLess <= policy.mostBusyRatio();
+        double oneLessFactor = decodeCount / (decodeCount - 1.0);
+        return prefillWait.min() >= policy.minWaitMillis()
+                && prefillWait.min() >= policy.minWaitRatio() * oneLessFactor * decodeWait.max()
+                && decodeBusy.max() * oneLessFactor <= policy.maxBusyRatio();
     }
 
-    private boolean wantsGenerator(int readersCount) {
-        if (readersCount <= 1) {
+    private boolean needsDecodeEngine(int prefillCount) {
+        if (prefillCount <= 1) {
             return false;
         }
-        double withOneLess = readersCount / (readersCount - 1.0);
-        boolean waits = generating.least() >= policy.leastWaitMillis()
-                && generating.least() >= policy.advantageRatio() * withOneLess * reading.most();
-        boolean full = busy.least() > policy.mostBusyRatio() && reading.most() * withOneLess < policy.leastWaitMillis();
-        return waits || full;
+        double oneLessFactor = prefillCount / (prefillCount - 1.0);
+        boolean decodeWaits = decodeWait.min() >= policy.minWaitMillis()
+                && decodeWait.min() >= policy.minWaitRatio() * oneLessFactor * prefillWait.max();
+        boolean decodeFull =
+                decodeBusy.min() > policy.maxBusyRatio() && prefillWait.max() * oneLessFactor < policy.minWaitMillis();
+        return decodeWaits || decodeFull;
     }
 
-    private Optional<Change> change(
-            List<Incarnation> from, Stage stage, Function<String, TargetLoad> load, Predicate<String> eligible) {
-        return from.stream()
-                .filter(engine -> eligible.test(engine.id()))
+    private Optional<Change> chooseChange(
+            List<Incarnation> candidates,
+            Stage stage,
+            Function<String, TargetLoad> loadOf,
+            Predicate<String> isEligible) {
+        return candidates.stream()
+                .filter(engine -> isEligible.test(engine.id()))
                 .min(Comparator.<Incarnation>comparingInt(
-                                engine -> load.apply(engine.id()).callsCount())
+                                engine -> loadOf.apply(engine.id()).callsCount())
                         .thenComparing(Incarnation::id))
                 .map(engine -> new Change(engine, stage, toString()));
     }
 
-    private double waitMillis(List<Incarnation> engines, Function<String, TargetLoad> load) {
+    private double meanWaitMillis(List<Incarnation> engines, Function<String, TargetLoad> loadOf) {
         double sum = 0;
         for (Incarnation engine : engines) {
-            sum += load.apply(engine.id()).unread().totalTokens()
-                    / rates.tokensPerMilli(engine.service(), engine.stage());
+            sum += loadOf.apply(engine.id()).unread().totalTokens()
+                    / prefillRates.tokensPerMilli(engine.service(), engine.stage());
         }
         return sum / engines.size();
     }
 
-    private static double busyRatio(List<Incarnation> engines, Function<String, TargetLoad> load) {
+    private static double busyRatio(List<Incarnation> engines, Function<String, TargetLoad> loadOf) {
         double calls = 0;
         double slots = 0;
         for (Incarnation engine : engines) {
-            calls += load.apply(engine.id()).callsCount();
+            calls += loadOf.apply(engine.id()).callsCount();
             slots += engine.slotsCount();
         }
         return calls / slots;
     }
 
-    private static List<Incarnation> ofStage(List<Incarnation> ready, Stage stage) {
+    private static List<Incarnation> withStage(List<Incarnation> ready, Stage stage) {
         return ready.stream().filter(engine -> engine.stage() == stage).toList();
     }
 
@@ -213,13 +220,18 @@
     public String toString() {
         return String.format(
                 "reading %.0f/%.0f ms, generating %.0f/%.0f ms, busy %.2f/%.2f",
-                reading.recent, reading.lasting, generating.recent, generating.lasting, busy.recent, busy.lasting);
+                prefillWait.shortAverage,
+                prefillWait.longAverage,
+                decodeWait.shortAverage,
+                decodeWait.longAverage,
+                decodeBusy.shortAverage,
+                decodeBusy.longAverage);
     }
 
     /** An engine that is expected to take up a stage. */
-    private record UnderWay(Change change, long untilMillis) {
+    private record PendingChange(Change change, long untilMillis) {
 
-        boolean over(List<Incarnation> ready, long nowMillis) {
+        boolean isOver(List<Incarnation> ready, long nowMillis) {
             return nowMillis >= untilMillis
                     || ready.stream()
                             .anyMatch(engine ->
@@ -228,33 +240,33 @@
     }
 
     /** A figure averaged over both horizons. */
-    private static final class Pressure {
+    private static final class TwoHorizonAverage {
         private final StagePlanPolicy policy;
-        private double recent;
-        private double lasting;
-        private long seenAtMillis = Long.MIN_VALUE;
+        private double shortAverage;
+        private double longAverage;
+        private long lastSampleMillis = Long.MIN_VALUE;
 
-        Pressure(StagePlanPolicy policy) {
+        TwoHorizonAverage(StagePlanPolicy policy) {
             this.policy = policy;
         }
 
-        void see(double value, long nowMillis) {
-            long sinceMillis = seenAtMillis == Long.MIN_VALUE ? 0 : nowMillis - seenAtMillis;
-            seenAtMillis = nowMillis;
-            recent += (value - recent) * weight(sinceMillis, policy.shortHorizonMillis());
-            lasting += (value - lasting) * weight(sinceMillis, policy.longHorizonMillis());
+        void add(double value, long nowMillis) {
+            long elapsedMillis = lastSampleMillis == Long.MIN_VALUE ? 0 : nowMillis - lastSampleMillis;
+            lastSampleMillis = nowMillis;
+            shortAverage += (value - shortAverage) * weight(elapsedMillis, policy.shortHorizonMillis());
+            longAverage += (value - longAverage) * weight(elapsedMillis, policy.longHorizonMillis());
         }
 
-        private static double weight(long sinceMillis, long horizonMillis) {
-            return 1 - Math.exp(-sinceMillis / (double) horizonMillis);
+        private static double weight(long elapsedMillis, long horizonMillis) {
+            return 1 - Math.exp(-elapsedMillis / (double) horizonMillis);
         }
 
-        double least() {
-            return Math.min(recent, lasting);
+        double min() {
+            return Math.min(shortAverage, longAverage);
         }
 
-        double most() {
-            return Math.max(recent, lasting);
+        double max() {
+            return Math.max(shortAverage, longAverage);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetChooser.java
@@ -17,10 +17,10 @@
      * Chooses the target that runs a call whose prompt another has read.
      *
      * @param query the call, not null
-     * @param reader the target that read, not null
+     * @param prefillTarget the target that read, not null
      * @return the target, or empty where none may get it
      */
-    default Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation reader) {
+    default Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation prefillTarget) {
         return choose(query).map(Plan::target);
     }
 
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
@@ -18,7 +18,7 @@
 
     private final TargetHealth health;
     private final TargetLimits limits;
-    private final Map<String, Row> rows = new HashMap<>();
+    private final Map<String, Entry> entries = new HashMap<>();
     private Optional<Map<String, List<Incarnation>>> readyByService = Optional.empty();
     private int readyCount;
 
@@ -43,12 +43,12 @@
      * @return whether it was news
      */
     public boolean apply(String id, long offset, Optional<Incarnation> incarnation) {
-        Row known = rows.get(id);
-        if (known != null && (known.offset >= offset || known.bornAfter(incarnation))) {
+        Entry previous = entries.get(id);
+        if (previous != null && (previous.offset >= offset || previous.startedAfter(incarnation))) {
             return false;
         }
-        boolean changed = known == null || !known.incarnation.equals(incarnation);
-        put(id, new Row(offset, incarnation));
+        boolean changed = previous == null || !previous.incarnation.equals(incarnation);
+        putEntry(id, new Entry(offset, incarnation));
         return changed;
     }
 
@@ -61,12 +61,12 @@
      */
     public List<String> retain(Collection<String> listed, long endOffset) {
         List<String> dropped = new ArrayList<>();
-        rows.forEach((id, row) -> {
-            if (row.offset < endOffset && row.incarnation.isPresent() && !listed.contains(id)) {
+        entries.forEach((id, entry) -> {
+            if (entry.offset < endOffset && entry.incarnation.isPresent() && !listed.contains(id)) {
                 dropped.add(id);
             }
         });
-        dropped.forEach(id -> put(id, new Row(endOffset - 1, Optional.empty())));
+        dropped.forEach(id -> putEntry(id, new Entry(endOffset - 1, Optional.empty())));
         return dropped;
     }
 
@@ -87,7 +87,7 @@
      */
     public List<Incarnation> ready(String service) {
         if (readyByService.isEmpty()) {
-            readyByService = Optional.of(index());
+            readyByService = Optional.of(indexByService());
         }
         return health.usable(readyByService.get().getOrDefault(service, List.of()));
     }
@@ -100,10 +100,10 @@
      */
     public boolean serves(Incarnation target) {
         return find(target.id())
-                .filter(now -> !now.leaving()
-                        && now.bornMillis() == target.bornMillis()
-                        && now.address().equals(target.address())
-                        && now.stage() == target.stage())
+                .filter(current -> !current.leaving()
+                        && current.bornMillis() == target.bornMillis()
+                        && current.address().equals(target.address())
+                        && current.stage() == target.stage())
                 .isPresent();
     }
 
@@ -131,12 +131,12 @@
      * Returns when the first of a service's targets has room again.
      *
      * @param service the service's name, not null
-     * @param triedIds targets that do not count, not null
+     * @param triedTargetIds targets that do not count, not null
      * @return milliseconds from now; zero where one has room, or none is left
      */
-    public long roomMillis(String service, Set<String> triedIds) {
+    public long roomMillis(String service, Set<String> triedTargetIds) {
         return ready(service).stream()
-                .filter(target -> !triedIds.contains(target.id()))
+                .filter(target -> !triedTargetIds.contains(target.id()))
                 .mapToLong(target -> limits.roomMillis(target.id()))
                 .min()
                 .orElse(0);
@@ -149,8 +149,8 @@
      * @return the target where it is listed, leaving or not
      */
     public Optional<Incarnation> find(String id) {
-        Row row = rows.get(id);
-        return row == null ? Optional.empty() : row.incarnation;
+        Entry entry = entries.get(id);
+        return entry == null ? Optional.empty() : entry.incarnation;
     }
 
     /**
@@ -159,37 +159,40 @@
      * @return ready and leaving ones
      */
     public List<Incarnation> all() {
-        return rows.values().stream().flatMap(row -> row.incarnation.stream()).toList();
+        return entries.values().stream()
+                .flatMap(entry -> entry.incarnation.stream())
+                .toList();
     }
 
-    private void put(String id, Row row) {
-        Row known = rows.put(id, row);
-        readyCount += (row.ready() ? 1 : 0) - (known != null && known.ready() ? 1 : 0);
+    private void putEntry(String id, Entry entry) {
+        Entry previous = entries.put(id, entry);
+        readyCount += (entry.isReady() ? 1 : 0) - (previous != null && previous.isReady() ? 1 : 0);
         readyByService = Optional.empty();
     }
 
     /** Made when it is asked for: a first reading brings all targets one after the other. */
-    private Map<String, List<Incarnation>> index() {
-        Map<String, List<Incarnation>> fresh = new HashMap<>();
-        for (Row row : rows.values()) {
-            if (row.ready()) {
-                fresh.computeIfAbsent(row.incarnation.get().service(), _service -> new ArrayList<>())
-                        .add(row.incarnation.get());
+    private Map<String, List<Incarnation>> indexByService() {
+        Map<String, List<Incarnation>> readyTargets = new HashMap<>();
+        for (Entry entry : entries.values()) {
+            if (entry.isReady()) {
+                readyTargets
+                        .computeIfAbsent(entry.incarnation.get().service(), _service -> new ArrayList<>())
+                        .add(entry.incarnation.get());
             }
         }
-        return fresh;
+        return readyTargets;
     }
 
-    private record Row(long offset, Optional<Incarnation> incarnation) {
+    private record Entry(long offset, Optional<Incarnation> incarnation) {
 
-        boolean bornAfter(Optional<Incarnation> other) {
+        boolean startedAfter(Optional<Incarnation> other) {
             return incarnation.isPresent()
                     && other.isPresent()
                     && other.get().bornMillis() != 0
                     && incarnation.get().bornMillis() > other.get().bornMillis();
         }
 
-        boolean ready() {
+        boolean isReady() {
             return incarnation.isPresent() && !incarnation.get().leaving();
         }
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetHealth.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetHealth.java
@@ -26,24 +26,24 @@
 public final class TargetHealth {
 
     /** Less than a target needs to come back, and enough that one in some ten calls tries it. */
-    private static final long FIRST_PAUSE_MILLIS = 500;
+    private static final long FIRST_EJECTION_MILLIS = 500;
 
     /** A target that is gone leaves the list within some seconds; one that came back waits no longer than this. */
-    private static final long MAX_PAUSE_MILLIS = 4_000;
+    private static final long MAX_EJECTION_MILLIS = 4_000;
 
     /** A target that answered this instance so long ago breaks off a part of its calls at the most. */
-    private static final long ALIVE_MILLIS = 2_000;
+    private static final long RECENT_ANSWER_MILLIS = 2_000;
 
     /** Unless so many are broken off without an answer between them. */
-    private static final int BROKEN_IN_A_ROW = 3;
+    private static final int CONSECUTIVE_BROKEN_LIMIT = 3;
 
     /** What one instance finds out serves all, so that a probe a second costs the fleet one call. */
-    private static final long MAX_SHARED_PAUSE_MILLIS = 1_000;
+    private static final long MAX_SHARED_EJECTION_MILLIS = 1_000;
 
     private final LongSupplier clockMillis;
-    private final Map<String, Pause> pauses = new HashMap<>();
-    private final Map<String, Long> awayUntilMillis = new HashMap<>();
-    private final Map<String, Sign> signs = new HashMap<>();
+    private final Map<String, Ejection> ejections = new HashMap<>();
+    private final Map<String, Long> stageChangeUntilMillis = new HashMap<>();
+    private final Map<String, CallHistory> callHistories = new HashMap<>();
 
     /**
      * Creates a judgement that knows nothing.
@@ -61,7 +61,7 @@
      * @return the pause until it is tried again, in milliseconds
      */
     public long unreachable(String targetId) {
-        return pause(targetId, MAX_PAUSE_MILLIS, false);
+        return eject(targetId, MAX_EJECTION_MILLIS, false);
     }
 
     /**
@@ -71,22 +71,22 @@
      * @return the pause until it is tried again, in milliseconds; zero where it goes on being used
      */
     public long brokeOff(String targetId) {
-        Sign sign = signs.computeIfAbsent(targetId, _id -> new Sign());
-        sign.brokenInARow++;
-        if (sign.brokenInARow < BROKEN_IN_A_ROW && aliveOfLate(targetId)) {
+        CallHistory history = callHistories.computeIfAbsent(targetId, _id -> new CallHistory());
+        history.consecutiveBroken++;
+        if (history.consecutiveBroken < CONSECUTIVE_BROKEN_LIMIT && answeredRecently(targetId)) {
             return 0;
         }
-        return pause(targetId, MAX_SHARED_PAUSE_MILLIS, true);
+        return eject(targetId, MAX_SHARED_EJECTION_MILLIS, true);
     }
 
-    private long pause(String targetId, long mostMillis, boolean brokeOff) {
+    private long eject(String targetId, long maxMillis, boolean afterBrokenConnection) {
         long nowMillis = clockMillis.getAsLong();
-        Pause known = pauses.get(targetId);
-        if (known != null && nowMillis < known.untilMillis) {
-            return known.untilMillis - nowMillis;
+        Ejection ejection = ejections.get(targetId);
+        if (ejection != null && nowMillis < ejection.untilMillis) {
+            return ejection.untilMillis - nowMillis;
         }
-        long lengthMillis = known == null ? FIRST_PAUSE_MILLIS : Math.min(mostMillis, 2 * known.lengthMillis);
-        pauses.put(targetId, new Pause(lengthMillis, nowMillis + lengthMillis, brokeOff));
+        long lengthMillis = ejection == null ? FIRST_EJECTION_MILLIS : Math.min(maxMillis, 2 * ejection.lengthMillis);
+        ejections.put(targetId, new Ejection(lengthMillis, nowMillis + lengthMillis, afterBrokenConnection));
         return lengthMillis;
     }
 
@@ -94,14 +94,18 @@
      * Another instance found that a target cannot be used.
      *
      * @param targetId the target's id, not null
-     * @param foundMillis the pause of the instance that found it; a pause of this one's own goes on from there
-     * @param pauseMillis the pause here, none where it is not positive
+     * @param peerEjectionMillis the pause of the instance that found it; a pause of this one's own goes on from there
+     * @param ejectionMillis the pause here, none where it is not positive
      */
-    public void told(String targetId, long foundMillis, long pauseMillis) {
-        long untilMillis = clockMillis.getAsLong() + pauseMillis;
-        Pause known = pauses.get(targetId);
-        if (pauseMillis > 0 && !aliveOfLate(targetId) && (known == null || known.untilMillis < untilMillis)) {
-            pauses.put(targetId, new Pause(Math.min(MAX_SHARED_PAUSE_MILLIS, foundMillis), untilMillis, true));
+    public void told(String targetId, long peerEjectionMillis, long ejectionMillis) {
+        long untilMillis = clockMillis.getAsLong() + ejectionMillis;
+        Ejection ejection = ejections.get(targetId);
+        if (ejectionMillis > 0
+                && !answeredRecently(targetId)
+                && (ejection == null || ejection.untilMillis < untilMillis)) {
+            ejections.put(
+                    targetId,
+                    new Ejection(Math.min(MAX_SHARED_EJECTION_MILLIS, peerEjectionMillis), untilMillis, true));
         }
     }
 
@@ -112,17 +116,17 @@
      * @return whether its pause goes on
      */
     public boolean isPaused(String targetId) {
-        return paused(targetId, clockMillis.getAsLong());
+        return isEjectedAt(targetId, clockMillis.getAsLong());
     }
 
     /**
      * A target changes its stage and takes nothing meanwhile: what has not started there is rejected.
      *
      * @param targetId the target's id, not null
-     * @param millis how long it is left out, unless it is back earlier
+     * @param maxMillis how long it is left out, unless it is back earlier
      */
-    public void away(String targetId, long millis) {
-        awayUntilMillis.put(targetId, clockMillis.getAsLong() + millis);
+    public void away(String targetId, long maxMillis) {
+        stageChangeUntilMillis.put(targetId, clockMillis.getAsLong() + maxMillis);
     }
 
     /**
@@ -131,7 +135,7 @@
      * @param targetId the target's id, not null
      */
     public void back(String targetId) {
-        awayUntilMillis.remove(targetId);
+        stageChangeUntilMillis.remove(targetId);
     }
 
     /**
@@ -141,7 +145,7 @@
      * @return whether it is left out for that
      */
     public boolean isAway(String targetId) {
-        Long untilMillis = awayUntilMillis.get(targetId);
+        Long untilMillis = stageChangeUntilMillis.get(targetId);
         return untilMillis != null && clockMillis.getAsLong() < untilMillis;
     }
 
@@ -152,12 +156,12 @@
      * @param targetId the target's id, not null
      */
     public void answered(String targetId) {
-        Sign sign = signs.computeIfAbsent(targetId, _id -> new Sign());
-        sign.answeredAtMillis = clockMillis.getAsLong();
-        sign.brokenInARow = 0;
-        Pause known = pauses.get(targetId);
-        if (known != null && !(known.brokeOff && paused(targetId, clockMillis.getAsLong()))) {
-            pauses.remove(targetId);
+        CallHistory history = callHistories.computeIfAbsent(targetId, _id -> new CallHistory());
+        history.lastAnswerMillis = clockMillis.getAsLong();
+        history.consecutiveBroken = 0;
+        Ejection ejection = ejections.get(targetId);
+        if (ejection != null && !(ejection.afterBrokenConnection && isEjectedAt(targetId, clockMillis.getAsLong()))) {
+            ejections.remove(targetId);
         }
     }
 
@@ -167,7 +171,7 @@
      * @param targetId the target's id, not null
      */
     public void toldSound(String targetId) {
-        pauses.remove(targetId);
+        ejections.remove(targetId);
     }
 
     /**
@@ -176,9 +180,9 @@
      * @param targetId the target's id, not null
      */
     public void forget(String targetId) {
-        pauses.remove(targetId);
-        awayUntilMillis.remove(targetId);
-        signs.remove(targetId);
+        ejections.remove(targetId);
+        stageChangeUntilMillis.remove(targetId);
+        callHistories.remove(targetId);
     }
 
     /**
@@ -188,33 +192,33 @@
      * @return those that may be tried; all of them where more than half would be left out
      */
     public List<Incarnation> usable(List<Incarnation> targets) {
-        if (pauses.isEmpty() && awayUntilMillis.isEmpty()) {
+        if (ejections.isEmpty() && stageChangeUntilMillis.isEmpty()) {
             return targets;
         }
         long nowMillis = clockMillis.getAsLong();
         List<Incarnation> usable = targets.stream()
-                .filter(target -> !paused(target.id(), nowMillis) && !isAway(target.id()))
+                .filter(target -> !isEjectedAt(target.id(), nowMillis) && !isAway(target.id()))
                 .toList();
         return 2 * usable.size() < targets.size() ? targets : usable;
     }
 
-    private boolean paused(String targetId, long nowMillis) {
-        Pause known = pauses.get(targetId);
-        return known != null && nowMillis < known.untilMillis;
+    private boolean isEjectedAt(String targetId, long nowMillis) {
+        Ejection ejection = ejections.get(targetId);
+        return ejection != null && nowMillis < ejection.untilMillis;
     }
 
-    private boolean aliveOfLate(String targetId) {
-        Sign sign = signs.get(targetId);
-        return sign != null
-                && sign.answeredAtMillis != Long.MIN_VALUE
-                && clockMillis.getAsLong() - sign.answeredAtMillis < ALIVE_MILLIS;
+    private boolean answeredRecently(String targetId) {
+        CallHistory history = callHistories.get(targetId);
+        return history != null
+                && history.lastAnswerMillis != Long.MIN_VALUE
+                && clockMillis.getAsLong() - history.lastAnswerMillis < RECENT_ANSWER_MILLIS;
     }
 
     /** What calls of this instance told of a target. */
-    private static final class Sign {
-        private long answeredAtMillis = Long.MIN_VALUE;
-        private int brokenInARow;
+    private static final class CallHistory {
+        private long lastAnswerMillis = Long.MIN_VALUE;
+        private int consecutiveBroken;
     }
 
-    private record Pause(long lengthMillis, long untilMillis, boolean brokeOff) {}
+    private record Ejection(long lengthMillis, long untilMillis, boolean afterBrokenConnection) {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetLimits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetLimits.java
@@ -19,13 +19,13 @@
 public final class TargetLimits {
 
     /** What was not used of a share is lost after so long: a target in need is to get no burst. */
-    private static final double SHARE_KEPT_MILLIS = 250;
+    private static final double BURST_MILLIS = 250;
 
     /** Kept however slow the share is, so that what falls due while no call comes by is not lost. */
-    private static final double LEAST_KEPT_CALLS = 1.5;
+    private static final double MIN_BURST_CALLS = 1.5;
 
     /** Several words of those who keep the others informed, and time for their successors to do so. */
-    private static final long HEARD_MILLIS = 10_000;
+    private static final long REPORT_TTL_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -45,8 +45,8 @@
 
     private final LongSupplier clockMillis;
     private final LimitShares shares;
-    private final Map<String, Limit> limits = new HashMap<>();
-    private final Map<String, Long> endedMillis = new HashMap<>();
+    private final Map<String, LimitState> limits = new HashMap<>();
+    private final Map<String, Long> endedMillisByTarget = new HashMap<>();
 
     /**
      * Creates a book without limits.
@@ -64,57 +64,61 @@
      * was known: answers of several instances are not read in the order in which they were made.
      *
      * @param targetId the target's id, not null
-     * @param perSecond the limit that the answer names, empty where it names none, not null
+     * @param callsPerSecond the limit that the answer names, empty where it names none, not null
      * @param sentMillis when the call was sent, in monotonic milliseconds
      * @return what is new
      */
-    public News answered(String targetId, OptionalDouble perSecond, long sentMillis) {
-        Limit known = limits.get(targetId);
-        if (perSecond.isPresent()) {
-            return named(targetId, perSecond.getAsDouble(), clockMillis.getAsLong());
+    public News answered(String targetId, OptionalDouble callsPerSecond, long sentMillis) {
+        LimitState limit = limits.get(targetId);
+        if (callsPerSecond.isPresent()) {
+            return setLimit(targetId, callsPerSecond.getAsDouble(), clockMillis.getAsLong());
         }
-        return known != null && sentMillis > known.statedMillis ? ended(targetId, clockMillis.getAsLong()) : News.NONE;
+        return limit != null && sentMillis > limit.statedMillis
+                ? endLimit(targetId, clockMillis.getAsLong())
+                : News.NONE;
     }
 
     /**
      * Another instance tells what a target stated to it. A word that is older than what is known replaces nothing.
      *
      * @param targetId the target's id, not null
-     * @param perSecond the limit, empty where the target names none any more, not null
+     * @param callsPerSecond the limit, empty where the target names none any more, not null
      * @param statedMillis when the target stated it, in monotonic milliseconds of this instance
      * @return what is new
      */
-    public News told(String targetId, OptionalDouble perSecond, long statedMillis) {
-        Limit known = limits.get(targetId);
-        if (perSecond.isEmpty()) {
-            return known != null && statedMillis > known.statedMillis ? ended(targetId, statedMillis) : News.NONE;
+    public News told(String targetId, OptionalDouble callsPerSecond, long statedMillis) {
+        LimitState limit = limits.get(targetId);
+        if (callsPerSecond.isEmpty()) {
+            return limit != null && statedMillis > limit.statedMillis ? endLimit(targetId, statedMillis) : News.NONE;
         }
-        if (known == null) {
-            boolean over = statedMillis <= endedMillis.getOrDefault(targetId, Long.MIN_VALUE);
-            return over ? News.NONE : named(targetId, perSecond.getAsDouble(), statedMillis);
+        if (limit == null) {
+            boolean alreadyEnded = statedMillis <= endedMillisByTarget.getOrDefault(targetId, Long.MIN_VALUE);
+            return alreadyEnded ? News.NONE : setLimit(targetId, callsPerSecond.getAsDouble(), statedMillis);
         }
-        known.heardMillis = clockMillis.getAsLong();
-        return statedMillis > known.statedMillis ? named(targetId, perSecond.getAsDouble(), statedMillis) : News.NONE;
+        limit.lastReportMillis = clockMillis.getAsLong();
+        return statedMillis > limit.statedMillis
+                ? setLimit(targetId, callsPerSecond.getAsDouble(), statedMillis)
+                : News.NONE;
     }
 
-    private News named(String targetId, double perSecond, long statedMillis) {
+    private News setLimit(String targetId, double callsPerSecond, long statedMillis) {
         long nowMillis = clockMillis.getAsLong();
-        Limit known = limits.get(targetId);
-        if (known == null) {
-            TokenBucket unused = TokenBucket.empty(SHARE_KEPT_MILLIS, LEAST_KEPT_CALLS, nowMillis);
-            limits.put(targetId, new Limit(unused, perSecond, statedMillis, nowMillis));
+        LimitState limit = limits.get(targetId);
+        if (limit == null) {
+            TokenBucket unused = TokenBucket.empty(BURST_MILLIS, MIN_BURST_CALLS, nowMillis);
+            limits.put(targetId, new LimitState(unused, callsPerSecond, statedMillis, nowMillis));
             return News.NAMED;
         }
-        double before = known.perSecond;
-        known.perSecond = perSecond;
-        known.statedMillis = statedMillis;
-        known.heardMillis = nowMillis;
-        return before == perSecond ? News.NONE : News.CHANGED;
+        double before = limit.callsPerSecond;
+        limit.callsPerSecond = callsPerSecond;
+        limit.statedMillis = statedMillis;
+        limit.lastReportMillis = nowMillis;
+        return before == callsPerSecond ? News.NONE : News.CHANGED;
     }
 
-    private News ended(String targetId, long atMillis) {
+    private News endLimit(String targetId, long atMillis) {
         limits.remove(targetId);
-        endedMillis.put(targetId, atMillis);
+        endedMillisByTarget.put(targetId, atMillis);
         return News.ENDED;
     }
 
@@ -125,17 +129,17 @@
      * @return the targets whose limits have lapsed
      */
     public List<String> lapse() {
-        long oldestMillis = clockMillis.getAsLong() - HEARD_MILLIS;
-        endedMillis.values().removeIf(atMillis -> atMillis < oldestMillis);
-        List<String> lapsed = new ArrayList<>();
+        long oldestMillis = clockMillis.getAsLong() - REPORT_TTL_MILLIS;
+        endedMillisByTarget.values().removeIf(atMillis -> atMillis < oldestMillis);
+        List<String> expired = new ArrayList<>();
         limits.forEach((id, limit) -> {
-            boolean informed = limit.heardMillis >= oldestMillis;
-            if (!informed && shares.sure() && !shares.holds(id, limit.perSecond)) {
-                lapsed.add(id);
+            boolean isFresh = limit.lastReportMillis >= oldestMillis;
+            if (!isFresh && shares.isMembershipKnown() && !shares.isShareHolder(id, limit.callsPerSecond)) {
+                expired.add(id);
             }
         });
-        lapsed.forEach(limits::remove);
-        return lapsed;
+        expired.forEach(limits::remove);
+        return expired;
     }
 
     /**
@@ -143,14 +147,14 @@
      *
      * @return what is believed, by target
      */
-    public Map<String, Stated> kept() {
-        Map<String, Stated> kept = new HashMap<>();
+    public Map<String, StatedLimit> kept() {
+        Map<String, StatedLimit> held = new HashMap<>();
         limits.forEach((id, limit) -> {
-            if (shares.holds(id, limit.perSecond)) {
-                kept.put(id, new Stated(limit.perSecond, limit.statedMillis));
+            if (shares.isShareHolder(id, limit.callsPerSecond)) {
+                held.put(id, new StatedLimit(limit.callsPerSecond, limit.statedMillis));
             }
         });
-        return kept;
+        return held;
     }
 
     /**
@@ -179,8 +183,8 @@
      * @return false where it is limited and this instance's share is used up, or it has none
      */
     public boolean hasRoom(String targetId) {
-        Limit limit = limits.get(targetId);
-        return limit == null || bucket(targetId, limit).canTake(1, clockMillis.getAsLong());
+        LimitState limit = limits.get(targetId);
+        return limit == null || refreshedBucket(targetId, limit).canTake(1, clockMillis.getAsLong());
     }
 
     /**
@@ -199,11 +203,11 @@
      * @return whether the call may go there
      */
     public boolean take(String targetId) {
-        Limit limit = limits.get(targetId);
+        LimitState limit = limits.get(targetId);
         if (limit == null) {
             return true;
         }
-        TokenBucket bucket = bucket(targetId, limit);
+        TokenBucket bucket = refreshedBucket(targetId, limit);
         if (!bucket.canTake(1, clockMillis.getAsLong())) {
             return false;
         }
@@ -218,15 +222,15 @@
      * @return milliseconds from now; zero where a call may go there at once
      */
     public long roomMillis(String targetId) {
-        Limit limit = limits.get(targetId);
+        LimitState limit = limits.get(targetId);
         if (limit == null) {
             return 0;
         }
         long nowMillis = clockMillis.getAsLong();
-        TokenBucket bucket = bucket(targetId, limit);
-        return shares.perSecond(targetId, limit.perSecond) > 0
+        TokenBucket bucket = refreshedBucket(targetId, limit);
+        return shares.perSecond(targetId, limit.callsPerSecond) > 0
                 ? bucket.millisUntil(1, nowMillis)
-                : Math.round(MILLIS_PER_SECOND / Math.max(limit.perSecond, 1 / MILLIS_PER_SECOND));
+                : Math.round(MILLIS_PER_SECOND / Math.max(limit.callsPerSecond, 1 / MILLIS_PER_SECOND));
     }
 
     /**
@@ -236,11 +240,11 @@
      */
     public void forget(String targetId) {
         limits.remove(targetId);
-        endedMillis.remove(targetId);
+        endedMillisByTarget.remove(targetId);
     }
 
-    private TokenBucket bucket(String targetId, Limit limit) {
-        limit.bucket.setRate(shares.perSecond(targetId, limit.perSecond), clockMillis.getAsLong());
+    private TokenBucket refreshedBucket(String targetId, LimitState limit) {
+        limit.bucket.setRate(shares.perSecond(targetId, limit.callsPerSecond), clockMillis.getAsLong());
         return limit.bucket;
     }
 
@@ -250,20 +254,20 @@
      * @param perSecond the calls a second that it takes from all instances together
      * @param statedMillis when, in monotonic milliseconds of this instance
      */
-    public record Stated(double perSecond, long statedMillis) {}
+    public record StatedLimit(double perSecond, long statedMillis) {}
 
-    private static final class Limit {
+    private static final class LimitState {
 
         private final TokenBucket bucket;
-        private double perSecond;
+        private double callsPerSecond;
         private long statedMillis;
-        private long heardMillis;
+        private long lastReportMillis;
 
-        Limit(TokenBucket bucket, double perSecond, long statedMillis, long heardMillis) {
+        LimitState(TokenBucket bucket, double callsPerSecond, long statedMillis, long lastReportMillis) {
             this.bucket = bucket;
-            this.perSecond = perSecond;
+            this.callsPerSecond = callsPerSecond;
             this.statedMillis = statedMillis;
-            this.heardMillis = heardMillis;
+            this.lastReportMillis = lastReportMillis;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetLoad.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetLoad.java
@@ -11,7 +11,7 @@
 public record TargetLoad(int callsCount, ReadQueue unread) {
 
     /** Nothing is under way. */
-    public static final TargetLoad NOTHING = new TargetLoad(0, ReadQueue.EMPTY);
+    public static final TargetLoad EMPTY = new TargetLoad(0, ReadQueue.EMPTY);
 
     /** Checks. */
     public TargetLoad {
@@ -23,7 +23,7 @@
      *
      * @return whether there is neither a call nor a prompt that waits
      */
-    public boolean isNothing() {
+    public boolean isEmpty() {
         return callsCount == 0 && unread.equals(ReadQueue.EMPTY);
     }
 
--- a/src/test/java/org/dogwoodwinch/forwarding/EngineChooserTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/EngineChooserTest.java
@@ -147,7 +147,7 @@
     @Test
     void aCallThatWillBeLateStandsBehindThoseInTime() {
         assertEquals(
-                QueueLevel.inTime(1),
+                QueueLevel.onTime(1),
                 chooser(1).choose(query("a", "x")).orElseThrow().reading().level());
         Map<String, TargetLoad> busy = new HashMap<>();
         directory.all().forEach(engine -> busy.put(engine.id(), new TargetLoad(9, ReadQueue.one(0, 900_000))));
@@ -163,7 +163,7 @@
     void aLongPromptIsNotLateByItsOwnLength() {
         Plan plan = chooser(1).choose(longCall(60_000)).orElseThrow();
 
-        assertEquals(QueueLevel.inTime(1), plan.reading().level());
+        assertEquals(QueueLevel.onTime(1), plan.reading().level());
     }
 
     private static ChoiceQuery longCall(int tokens) {
--- a/src/test/java/org/dogwoodwinch/forwarding/LoadBookTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/LoadBookTest.java
@@ -19,7 +19,7 @@
         assertEquals(new TargetLoad(1, ReadQueue.EMPTY), book.at("t"));
 
         book.ended("t");
-        assertEquals(TargetLoad.NOTHING, book.at("t"));
+        assertEquals(TargetLoad.EMPTY, book.at("t"));
         assertEquals(Map.of(), book.own());
     }
 
@@ -31,7 +31,7 @@
         assertEquals(0, book.at("t").unread().prompts().get(0));
         book.read("t", 0, 0);
         book.ended("t");
-        assertEquals(TargetLoad.NOTHING, book.at("t"));
+        assertEquals(TargetLoad.EMPTY, book.at("t"));
     }
 
     @Test
@@ -42,7 +42,7 @@
         book.heard("peer", Map.of("t", new TargetLoad(2, ReadQueue.one(4, 300))));
 
         assertEquals(new TargetLoad(3, ReadQueue.one(0, 10).plus(ReadQueue.one(4, 300))), book.at("t"));
-        assertEquals(TargetLoad.NOTHING, book.at("u"));
+        assertEquals(TargetLoad.EMPTY, book.at("u"));
         assertEquals(1, book.own().get("t").callsCount());
     }
 
--- a/src/test/java/org/dogwoodwinch/forwarding/QueueLevelTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/QueueLevelTest.java
@@ -11,15 +11,15 @@
     @Test
     void lateCallsStayWithinTheirUrgency() {
         for (int urgency = 0; urgency < 4; urgency++) {
-            assertTrue(QueueLevel.inTime(urgency) < QueueLevel.late(urgency));
-            assertTrue(QueueLevel.late(urgency) < QueueLevel.inTime(urgency + 1));
+            assertTrue(QueueLevel.onTime(urgency) < QueueLevel.late(urgency));
+            assertTrue(QueueLevel.late(urgency) < QueueLevel.onTime(urgency + 1));
         }
     }
 
     @Test
     void everyRankHasALevelThatEnginesKnow() {
-        assertEquals(0, QueueLevel.inTime(-3));
-        assertEquals(8, QueueLevel.inTime(250));
+        assertEquals(0, QueueLevel.onTime(-3));
+        assertEquals(8, QueueLevel.onTime(250));
         assertEquals(9, QueueLevel.late(250));
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/RetryPolicyTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RetryPolicyTest.java
@@ -54,7 +54,7 @@
                 assertTrue(!(step instanceof NextStep.SendAgain));
             }
         }
-        if (with.runsCount() >= with.maxRunsCount()) {
+        if (with.possibleRunsCount() >= with.maxRunsCount()) {
             assertTrue(!(step instanceof NextStep.SendAgain) || outcome instanceof SendOutcome.NotSent);
         }
     }
@@ -75,7 +75,7 @@
     private static CallProgress oneMoreRun(CallProgress progress) {
         return new CallProgress(
                 progress.idempotent(),
-                progress.runsCount() + 1,
+                progress.possibleRunsCount() + 1,
                 progress.rejectionsCount(),
                 progress.failedConnectsCount(),
                 progress.maxRunsCount(),
--- a/src/test/java/org/dogwoodwinch/forwarding/SharedPartsTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/SharedSegmentsTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SharedPartsTest {
+class SharedSegmentsTest {
 
-    private final SharedParts shared = new SharedParts();
+    private final SharedSegments shared = new SharedSegments();
 
     private static Prompt prompt(String... parts) {
         return new Prompt(
--- a/src/test/java/org/dogwoodwinch/forwarding/StagePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/StagePlannerTest.java
@@ -42,7 +42,7 @@
             change = planner.plan(
                     engines,
                     engine -> limited.contains(engine.id()),
-                    id -> loads.getOrDefault(id, TargetLoad.NOTHING),
+                    id -> loads.getOrDefault(id, TargetLoad.EMPTY),
                     _id -> true,
                     nowMillis);
         }
@@ -175,7 +175,7 @@
         limited.add("e4");
         load(Stage.PREFILL, 4, 12_000);
         load(Stage.DECODE, 4, 0);
-        loads.put("e4", TargetLoad.NOTHING);
+        loads.put("e4", TargetLoad.EMPTY);
 
         assertNotEquals("e4", after(3_000).orElseThrow().engine().id());
     }
