--- a/src/main/java/org/dogwoodwinch/forwarding/CallProgress.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CallProgress.java
@@ -1,14 +1,15 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * What was done for a call so far.
+ * The attempts made for a call so far.
  *
- * @param idempotent whether a second run does no harm
- * @param possibleRunsCount targets that may have run it
- * @param rejectionsCount targets that got it and did not run it: they stated so, or were only to read its prompt
- * @param failedConnectsCount tries that ended before a byte was written
- * @param maxRunsCount the most targets that may run it
- * @param remainingMillis time left of its deadline
+ * @param idempotent whether the call may safely run more than once
+ * @param possibleRunsCount number of targets that may have run the call
+ * @param rejectionsCount number of targets that received the call without running it: they stated so, or were only to
+ *     prefill its prompt
+ * @param failedConnectsCount number of attempts that ended before any byte was written
+ * @param maxRunsCount maximum number of targets that may run the call
+ * @param remainingMillis time left until the call's deadline
  */
 public record CallProgress(
         boolean idempotent,
@@ -19,18 +20,18 @@
         long remainingMillis) {
 
     /**
-     * Says whether a promise that it did not run would be false.
+     * Returns whether an earlier attempt may have run the call, so that reporting it as not run could be false.
      *
-     * @return whether an earlier send may have run
+     * @return whether at least one target may have run the call
      */
     public boolean mayHaveRun() {
         return possibleRunsCount > 0;
     }
 
     /**
-     * Says whether a target got bytes of it.
+     * Returns whether any target received bytes of the call, which makes a further attempt a retry.
      *
-     * @return whether another send would be a repeat
+     * @return whether the call reached a target
      */
     public boolean sent() {
         return possibleRunsCount + rejectionsCount > 0;
--- a/src/main/java/org/dogwoodwinch/forwarding/CallerLimits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CallerLimits.java
@@ -1,15 +1,15 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * What a caller may send, and how long it may take or stay idle.
+ * Limits on the size and timing of callers' requests.
  *
- * @param maxHeaderBytes the largest request line and header block
- * @param maxBodyBytes the largest body
- * @param headerTimeoutMillis how long a caller may take to send its headers
- * @param idleTimeoutMillis how long a connection may stay without a request
+ * @param maxHeaderBytes maximum size of the request line and header block
+ * @param maxBodyBytes maximum size of the request body
+ * @param headerTimeoutMillis maximum time for a caller to send its headers
+ * @param idleTimeoutMillis maximum time for a connection to stay open without a request
  */
 public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
-    /** In force until a configuration states others: the sizes that common servers start with. */
+    /** Limits in force until a configuration sets others: the default sizes of common HTTP servers. */
     public static final CallerLimits INITIAL = new CallerLimits(16_384, 4_194_304, 5_000, 30_000);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ChoiceQuery.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ChoiceQuery.java
@@ -5,15 +5,17 @@
 import java.util.Set;
 
 /**
- * A call that looks for a target.
+ * A call for which a target is to be chosen.
  *
  * @param service the service, not null
- * @param prompt the work asked of a model, empty for a plain call
- * @param urgency the rank of its route, where zero is the most urgent
- * @param firstEventObjectiveMillis the time left until its first event earns less; {@link Long#MAX_VALUE} where none is stated
- * @param pauseMillis the longest pause between two events of its answer that is still on time; zero where none is stated
- * @param triedTargetIds targets that got the call already, not null
- * @param separatePrefillAllowed whether another engine than the one that runs it may read its prompt
+ * @param prompt the prompt of a call to a model, empty for any other call
+ * @param urgency the priority of the call's route, where zero is the most urgent
+ * @param firstEventObjectiveMillis time left until the objective for the first event is missed; {@link
+ *     Long#MAX_VALUE} if the route has no objective
+ * @param pauseMillis maximum gap between two events of the answer that still meets the objective; zero if the route
+ *     has no objective
+ * @param triedTargetIds ids of the targets that already received the call, not null
+ * @param separatePrefillAllowed whether an engine other than the one that runs the call may prefill its prompt
  */
 public record ChoiceQuery(
         ServiceEntry service,
@@ -24,7 +26,7 @@
         Set<String> triedTargetIds,
         boolean separatePrefillAllowed) {
 
-    /** Checks and copies. */
+    /** Validates the components and copies the set. */
     public ChoiceQuery {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(prompt, "prompt");
--- a/src/main/java/org/dogwoodwinch/forwarding/ConnectionSharers.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ConnectionSharers.java
@@ -3,16 +3,17 @@
 import java.util.OptionalInt;
 
 /**
- * How many instances the connections of a target are dealt out to.
+ * Computes the number of instances among which a target's connection limit is divided.
  *
- * <p>Failure: dealt out to the most instances that may ever exist, an instance of nine had thirteen connections to an engine
- * that takes 210. Calls whose answers were lost held them for two seconds each, and others were refused as without a target
- * while the engine had places. Dealt out to those that were seen and a few more, the sum still stays below the bound while
- * spares join: they are seen by the others before callers reach them.
+ * <p>Failure: when the limit was divided by the maximum number of instances, each of nine instances had 13
+ * connections to an engine that accepts 210. Calls whose answers were lost held these connections for two seconds
+ * each, and other calls were refused for want of a target while the engine still had free connections. Dividing by
+ * the number of instances seen plus a few more keeps the sum below the limit while spare instances join, because the
+ * others see a spare before callers reach it.
  */
 public final class ConnectionSharers {
 
-    /** Of the instances seen, the part that may join before it is seen; spares are few. */
+    /** Instances may join before they are seen: one for each this many instances seen, as there are few spares. */
     private static final int JOINING_DIVISOR = 4;
 
     private static final int MAX_JOINING_COUNT = 4;
@@ -20,11 +21,12 @@
     private ConnectionSharers() {}
 
     /**
-     * Counts the sharers.
+     * Returns the number of instances among which the connections are divided.
      *
-     * @param maxSeenCount the most instances that were believed in at once; empty before any list was read, not null
-     * @param defaultCount what is assumed then
-     * @return the instances to deal out to, at least two
+     * @param maxSeenCount the largest number of instances in the membership at one time; empty before the first list
+     *     was read, not null
+     * @param defaultCount the number to return if {@code maxSeenCount} is empty
+     * @return the number of instances, at least two once a list was read
      */
     public static int count(OptionalInt maxSeenCount, int defaultCount) {
         if (maxSeenCount.isEmpty()) {
--- a/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * Tells a lost answer from a crashed target. Not thread-safe.
+ * Distinguishes calls that were lost with their connection from calls that were running when their target crashed.
+ * Not thread-safe.
  *
- * <p>A connection that breaks may be the network's doing, or one answer's. What was under way on a target counts as under
- * way on a crash only where the target was found gone soon after: no connection could be opened, or its entry lapsed.
+ * <p>A connection may also break because of the network, or for one answer alone. A lost call is attributed to a
+ * crash only if its target is found gone soon afterwards: no connection could be opened, or its registration expired.
  */
 public final class CrashEvidence {
 
@@ -17,9 +18,10 @@
     private final Map<String, List<LostCall>> lostCallsByTarget = new HashMap<>();
 
     /**
-     * Creates evidence of nothing.
+     * Creates an instance without lost calls.
      *
-     * @param correlationMillis how long after a loss the target's end is put down to it
+     * @param correlationMillis maximum time between the loss of a call and the discovery of the crash to which it is
+     *     attributed
      */
     public CrashEvidence(long correlationMillis) {
         this.correlationMillis = correlationMillis;
@@ -28,14 +30,14 @@
     /**
      * A call whose answer was lost with its connection.
      *
-     * @param fingerprint tells equal calls of a caller from others
-     * @param attemptId names the send, not null
-     * @param atMillis when it was lost, in monotonic milliseconds
+     * @param fingerprint identifies equal calls of one caller
+     * @param attemptId identifies the attempt, not null
+     * @param lostAtMillis time of the loss, in monotonic milliseconds
      */
     public record LostCall(long fingerprint, String attemptId, long atMillis) {}
 
     /**
-     * A call's answer was lost with its connection.
+     * Records that the answer to a call was lost with its connection.
      *
      * @param targetId the target's id, not null
      * @param call the call, not null
@@ -45,11 +47,11 @@
     }
 
     /**
-     * A target was found gone.
+     * Records that a target is gone, and removes and returns the calls that were running when it crashed.
      *
      * @param targetId the target's id, not null
      * @param nowMillis monotonic milliseconds
-     * @return the calls that it crashed with, each told once
+     * @return the calls attributed to the crash, each returned only once
      */
     public List<LostCall> foundGone(String targetId, long nowMillis) {
         List<LostCall> lostCalls = lostCallsByTarget.remove(targetId);
@@ -62,7 +64,7 @@
     }
 
     /**
-     * Forgets what is too old to count.
+     * Removes lost calls that are too old to be attributed to a crash.
      *
      * @param nowMillis monotonic milliseconds
      */
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineChoicePolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineChoicePolicy.java
@@ -1,15 +1,17 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * The prices of choosing among engines, in milliseconds of expected time to the first event.
+ * The cost model for choosing among engines. Costs are in milliseconds of expected time to the first event.
  *
- * @param affinityMissRatio what a shared token that is read elsewhere than at its home costs beside its reading
- * @param kvHandoffMillis what handing a read prompt to another engine costs beside the transfer
- * @param kvFetchMillis what fetching kept parts from another engine costs beside the transfer
- * @param interarrivalMillis the time between two calls at one engine, which wait while it reads a prompt
- * @param runningCallDelayMillis what each call that an engine runs adds to the next one's wait there
- * @param crossDataCentreMillis what a data centre's border costs
- * @param stallMillis what it costs that a stream pauses for too long, for each stream that the engine generates
+ * @param affinityMissRatio cost of each shared token that is prefilled at an engine other than its affinity engine,
+ *     as a multiple of its prefill time
+ * @param kvHandoffMillis fixed cost of handing a prefilled prompt to another engine, in addition to the transfer
+ * @param kvFetchMillis fixed cost of fetching cached segments from another engine, in addition to the transfer
+ * @param interarrivalMillis mean time between two calls at one engine; calls that arrive during a prefill wait for it
+ * @param runningCallDelayMillis delay that each call running on an engine adds to the next one
+ * @param crossDataCentreMillis cost of crossing from one data centre to another
+ * @param stallMillis cost of one stream whose gap between events exceeds its objective, for each stream that the
+ *     engine decodes
  */
 public record EngineChoicePolicy(
         double affinityMissRatio,
@@ -20,6 +22,6 @@
         double crossDataCentreMillis,
         double stallMillis) {
 
-    /** In force unless settings state others. */
+    /** Used unless the settings define others. */
     public static final EngineChoicePolicy STANDARD = new EngineChoicePolicy(3, 30, 15, 150, 3, 5, 300);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineChooser.java
@@ -5,22 +5,26 @@
 import java.util.Optional;
 
 /**
- * Chooses among model engines by the expected time to the first event: what waits there, what of the prompt is not kept
- * there, and the way of its memory where one engine reads and another generates.
+ * Chooses among model engines by the expected time to the first event. It is estimated from the prefill queue of the
+ * engine, the tokens of the prompt that are not in its KV cache, and the KV cache transfer if one engine prefills and
+ * another decodes.
  *
- * <p>The home of a prompt's last shared part is the engine that ranks first for it on all instances alike. Where nobody
- * keeps the part yet, two instances would read it at two engines; the price of reading it elsewhere than at its home
- * keeps them together.
+ * <p>The affinity engine of a prompt's last shared segment is the engine that ranks first for it by rendezvous
+ * hashing, which is the same on all instances. Without it, two instances would prefill a segment that no engine has
+ * cached yet on two different engines; the extra cost of prefilling it elsewhere keeps these calls on one engine.
  */
 public final class EngineChooser implements TargetChooser {
 
     private static final double BITS_PER_BYTE = 8;
     private static final double BITS_PER_MILLI_OF_MEGABIT = 1_000;
 
-    /** Memory takes twice as long between data centres, as the platform states. */
+    /** The platform states that a KV cache transfer takes twice as long between data centres. */
     private static final double CROSS_DATA_CENTRE_RATIO = 2;
 
-    /** A pause holds the steps of an event's own tokens beside the reading; they take about half of it. */
+    /**
+     * Ratio of the gap between two events to the prefill that fits into it: the decode steps of the event's own
+     * tokens take about half of the gap.
+     */
     private static final double GAP_TO_PREFILL_RATIO = 2;
 
     private final TargetDirectory directory;
@@ -35,12 +39,12 @@
      * Creates a chooser.
      *
      * @param directory the targets, not null
-     * @param loads what is under way at them, not null
-     * @param cacheIndex which parts they keep, not null
-     * @param prefillRates how fast they read, not null
-     * @param costModel the prices, not null
-     * @param fallback chooses where a call names no prompt, not null
-     * @param dataCentre where this instance stands, not null
+     * @param loads the calls in flight at the targets, not null
+     * @param cacheIndex the prompt segments in the targets' KV caches, not null
+     * @param prefillRates the prefill rates of the targets, not null
+     * @param costModel the cost model, not null
+     * @param fallback the chooser for calls without a prompt, not null
+     * @param dataCentre the data centre of this instance, not null
      */
     public EngineChooser(
             TargetDirectory directory,
@@ -52,10 +56,10 @@
             String dataCentre) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.loads = Objects.requireNonNull(loads, "loads");
-        this.cacheIndex = Objects.requireNonNull(cacheIndex, "parts");
-        this.prefillRates = Objects.requireNonNull(prefillRates, "rates");
-        this.costModel = Objects.requireNonNull(costModel, "policy");
-        this.fallback = Objects.requireNonNull(fallback, "plain");
+        this.cacheIndex = Objects.requireNonNull(cacheIndex, "cacheIndex");
+        this.prefillRates = Objects.requireNonNull(prefillRates, "prefillRates");
+        this.costModel = Objects.requireNonNull(costModel, "costModel");
+        this.fallback = Objects.requireNonNull(fallback, "fallback");
         this.dataCentre = Objects.requireNonNull(dataCentre, "dataCentre");
     }
 
@@ -91,7 +95,7 @@
     }
 
     private Optional<Plan> toPlan(ChoiceQuery query, Candidate best) {
-        // By the wait alone: a long prompt must not be read last because of its own length.
+        // Uses the queue wait alone, so that a long prompt is not put behind others because of its own length.
         int level = queueWaitMillis(best.engine, query) > query.firstEventObjectiveMillis()
                 ? QueueLevel.late(query.urgency())
                 : QueueLevel.onTime(query.urgency());
@@ -104,11 +108,11 @@
     }
 
     /**
-     * Chooses the engine that generates after another has read the prompt.
+     * Chooses the engine that decodes after another engine has prefilled the prompt.
      *
      * @param query the call, not null
-     * @param prefillTarget the engine that reads, not null
-     * @return the engine with the least under way, one near the reader first
+     * @param prefillTarget the engine that prefills, not null
+     * @return the engine with the lowest load, preferring the data centres of the prefill engine and of this instance
      */
     @Override
     public Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation prefillTarget) {
@@ -138,7 +142,10 @@
         return !query.triedTargetIds().contains(engine.id()) && directory.hasRoom(engine);
     }
 
-    /** The home of a part moves from an engine that names a limit, on all instances alike, whoever has a share of it. */
+    /**
+     * Leaves out engines that state a rate limit, unless all do. The affinity engine changes on all instances alike,
+     * whether or not they have a share of the limit.
+     */
     private List<Incarnation> withoutRateLimit(List<Incarnation> ready) {
         List<Incarnation> unlimited =
                 ready.stream().filter(engine -> !directory.isLimited(engine)).toList();
@@ -185,17 +192,17 @@
         return new Candidate(engine, prefillTokens, cacheSource, expected + crossDataCentreMillis + costToOthersMillis);
     }
 
-    /** What it costs the others: those that arrive while the prompt is read wait half of that time on average. */
+    /** Returns the cost to other calls: those that arrive during the prefill wait for half of it on average. */
     private double queueingCostMillis(double prefillMillis) {
         return prefillMillis * prefillMillis / (2 * costModel.interarrivalMillis());
     }
 
     /**
-     * What it costs the streams that an engine generates.
+     * Returns the cost to the streams that an engine decodes.
      *
-     * <p>Failure: an engine that generates reads a prompt in pieces between its tokens, and an event holds several tokens.
-     * One long prompt stretches the next event of every stream there beyond the pause that its callers accept: all of them
-     * are late, though their first events came in time.
+     * <p>Failure: a decoding engine prefills a prompt in chunks between decode steps, and an event contains several
+     * tokens. One long prompt delays the next event of every stream on the engine beyond the gap that its caller
+     * accepts, so all of them are late although their first events were on time.
      */
     private double streamStallMillis(Incarnation engine, ChoiceQuery query, double prefillMillis) {
         boolean exceedsGap = query.pauseMillis() > 0 && prefillMillis * GAP_TO_PREFILL_RATIO > query.pauseMillis();
@@ -205,7 +212,7 @@
         return costModel.stallMillis() * (1 + loads.at(engine.id()).callsCount());
     }
 
-    /** What it costs the others that shared tokens are read in a second place. */
+    /** Returns the cost to other calls of caching shared tokens on a second engine. */
     private double affinityMissMillis(Incarnation engine, Prompt prompt, int prefillTokens) {
         int ownTokens = prompt.parts().isEmpty()
                 ? prefillTokens
@@ -259,7 +266,7 @@
         return bits / Math.max(1, traits.linkMbitPerSecond() * BITS_PER_MILLI_OF_MEGABIT);
     }
 
-    /** The last part that other requests share, or the only one. */
+    /** Returns the id of the last segment that is shared with other requests, or of the only segment. */
     private static String affinityKey(Prompt prompt) {
         int count = prompt.parts().size();
         if (count == 0) {
@@ -268,7 +275,7 @@
         return prompt.parts().get(Math.max(0, count - 2)).id();
     }
 
-    /** Engines that only read are homes before those that a long prompt would keep from generating. */
+    /** Prefers prefill-only engines, because a long prefill on a decode engine delays the streams that it decodes. */
     private static String affinityEngineId(List<Incarnation> ready, String key) {
         String affinityEngineId = "";
         double highest = -1;
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineTraits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineTraits.java
@@ -1,14 +1,14 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * What the operator states of a service's model engines.
+ * Properties of a service's model engines, as configured by the operator.
  *
- * @param slotsCount requests that run at once
- * @param kvCapacityTokens the memory shared by running requests and cached parts, in tokens
- * @param kvTokenBytes the memory of one token
- * @param linkMbitPerSecond the rate at which memory moves between engines
- * @param kvHandleTtlMillis how long a prefilled prompt is kept until it is taken
- * @param switchMillis how long an engine is away when it changes its stage; zero where none is stated
+ * @param slotsCount maximum number of requests that run at the same time
+ * @param kvCapacityTokens capacity of the KV cache, which running requests and cached segments share, in tokens
+ * @param kvTokenBytes size of the KV cache of one token
+ * @param linkMbitPerSecond rate of KV cache transfers between engines
+ * @param kvHandleTtlMillis time for which a prefilled prompt is kept for its transfer
+ * @param switchMillis time for which an engine is unavailable while it changes its stage; zero if not configured
  */
 public record EngineTraits(
         int slotsCount,
--- a/src/main/java/org/dogwoodwinch/forwarding/Incarnation.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Incarnation.java
@@ -3,19 +3,20 @@
 import java.util.Objects;
 
 /**
- * One start of a target. Its address may be another target's after its end. Its id may be that of a later start, which
- * knows nothing of what was before: only id and birth together name a start.
+ * One incarnation of a target, from its start to its end. After the end, another target may get its address, and a
+ * later incarnation, which has no state of earlier ones, may have the same id. An incarnation is identified by its id
+ * and its start time.
  *
  * @param id the target's id, not null
- * @param service the service that it belongs to, not null
- * @param host its IP number, not null
- * @param port its port
- * @param dataCentre where it stands, not null
- * @param slotsCount requests that it runs at once, at least one
- * @param leaving whether it has said that it leaves
- * @param stage the part of the work that it takes, not null
- * @param weightVersion the version of its model's weights; zero where none is stated
- * @param bornMillis when it started, in milliseconds of the platform's time; zero where that is not stated
+ * @param service the service to which the target belongs, not null
+ * @param host the target's IP address, not null
+ * @param port the target's port
+ * @param dataCentre the target's data centre, not null
+ * @param slotsCount maximum number of requests that run at the same time, at least one
+ * @param leaving whether the target is draining
+ * @param stage the stage that the target serves, not null
+ * @param weightVersion the version of the model's weights; zero if not stated
+ * @param bornMillis start time, in milliseconds of the platform's clock; zero if not stated
  */
 public record Incarnation(
         String id,
@@ -29,7 +30,7 @@
         long weightVersion,
         long bornMillis) {
 
-    /** Checks. */
+    /** Validates the components. */
     public Incarnation {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(service, "service");
@@ -39,17 +40,17 @@
     }
 
     /**
-     * A start whose birth is not stated.
+     * Creates an incarnation without a stated start time.
      *
      * @param id the target's id, not null
-     * @param service the service that it belongs to, not null
-     * @param host its IP number, not null
-     * @param port its port
-     * @param dataCentre where it stands, not null
-     * @param slotsCount requests that it runs at once, at least one
-     * @param leaving whether it has said that it leaves
-     * @param stage the part of the work that it takes, not null
-     * @param weightVersion the version of its model's weights; zero where none is stated
+     * @param service the service to which the target belongs, not null
+     * @param host the target's IP address, not null
+     * @param port the target's port
+     * @param dataCentre the target's data centre, not null
+     * @param slotsCount maximum number of requests that run at the same time, at least one
+     * @param leaving whether the target is draining
+     * @param stage the stage that the target serves, not null
+     * @param weightVersion the version of the model's weights; zero if not stated
      */
     public Incarnation(
             String id,
@@ -65,11 +66,12 @@
     }
 
     /**
-     * Compares all parts.
+     * Compares all components.
      *
-     * <p>Load: many processes that start at once, each on a small share of a processor. The methods that a record is given
-     * are put together at their first call, by code that is interpreted: some milliseconds for each kind of record, in
-     * which nothing is served. Records that are compared during a start do it by hand.
+     * <p>Load: many processes start at the same time, each with a small share of a processor. The methods that the
+     * compiler generates for a record are linked at their first call, in interpreted code. This takes some
+     * milliseconds for each record class, during which nothing is served. Records that are compared during startup
+     * therefore implement the method by hand.
      */
     @Override
     public boolean equals(Object other) {
@@ -92,9 +94,9 @@
     }
 
     /**
-     * Returns where it listens.
+     * Returns the address at which the target listens.
      *
-     * @return IP number, colon, port
+     * @return the IP address and the port, separated by a colon
      */
     public String address() {
         return host + ":" + port;
--- a/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Chooses the target with the fewest calls from here for each of its slots; any of several by chance. */
+/** Chooses the target with the fewest calls in flight per slot, with random tie-breaking. */
 public final class LeastLoadedChooser implements TargetChooser {
 
     private final TargetDirectory directory;
@@ -17,8 +17,8 @@
      * Creates a chooser.
      *
      * @param directory the targets, not null
-     * @param loads what is under way at them, not null
-     * @param random breaks ties, so that instances do not all begin with one target, not null
+     * @param loads the calls in flight at the targets, not null
+     * @param random breaks ties, so that the instances do not all begin with the same target, not null
      */
     public LeastLoadedChooser(TargetDirectory directory, LoadBook loads, UniformRandomProvider random) {
         this.directory = Objects.requireNonNull(directory, "directory");
--- a/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
@@ -11,35 +11,37 @@
 import java.util.function.Supplier;
 
 /**
- * Deals the limit that a target names out to few instances, the highest ranked for it, without a word between them. Not
- * thread-safe.
+ * Divides the rate limit that a target states among the few instances that rank highest for it by rendezvous hashing,
+ * so that the instances need not communicate. Not thread-safe.
  *
- * <p>Load: many instances before a target that takes two calls a second. Equal shares of all would let each send a first
- * call, dozens at once, and then one in a minute. A share here is about a call a second, so that the calls that all holders
- * may send at once are no more than the target takes in a second, or two.
+ * <p>Load: many instances share a target that accepts two calls per second. With equal shares for all instances, each
+ * could send its first call at once, which makes dozens of calls, and then only one call per minute. A share is
+ * therefore about one call per second, so that the calls that all share holders may send at once are what the target
+ * accepts in one or two seconds.
  *
- * <p>Failure: instances that come, go, or are cut off do not believe in the same fleet. An instance that is not sure that the
- * others count on it has no share; one that has come to rank among the holders waits until those before it have heard so.
- * One that is wrong all the same adds one share, and the sum stays below one and a half times the limit.
+ * <p>Failure: instances that start, stop or are partitioned do not agree on the membership. An instance has no share
+ * while it does not know whether the others consider it a member. An instance that moves up among the share holders
+ * waits until those that ranked before it have received the change. An instance that is wrong in spite of this adds
+ * one share, and the sum stays below one and a half times the limit.
  */
 public final class LimitShares {
 
-    /** With two, the loss of one holder leaves a target half of its calls. */
+    /** With two share holders, the loss of one leaves the target half of its calls. */
     private static final int MIN_HOLDERS_COUNT = 2;
 
-    /** A fleet that looks smaller may be one whose other instances were not heard yet. */
+    /** A small membership may only mean that the other instances were not yet heard from. */
     private static final int MIN_UNCONFIRMED_COUNT = 4;
 
-    /** Each instance announces itself several times in this time. */
+    /** Each instance announces itself several times within this time. */
     private static final long CONFIRMATION_MILLIS = 60_000;
 
-    /** Of a target that takes next to nothing: a call now and then finds out that it takes more again. */
+    /** Minimum rate for targets that state a limit near zero: an occasional call detects that the limit was raised. */
     private static final double MIN_PER_SECOND = 0.2;
 
-    /** The way of an instance's announcement to the others. */
+    /** Time for an instance's announcement to reach the others. */
     private static final long PROPAGATION_MILLIS = 2_000;
 
-    /** The names among which nobody has a share. */
+    /** The membership while this instance is not sure of it; nobody has a share. */
     private static final Set<String> NO_MEMBERS = Set.of();
 
     private final String ownName;
@@ -50,20 +52,21 @@
     private long unchangedSinceMillis;
 
     /**
-     * Creates a dealer that has no share until it has looked at the fleet.
+     * Creates an instance that has no share until the first call of {@link #look}.
      *
-     * @param ownName this instance's name, not null
-     * @param members the instances that count on each other, this one among them, empty while it is not sure, not null
+     * @param ownName the name of this instance, not null
+     * @param members the names of the instances that consider each other members, including this one; empty while
+     *     this instance is not sure of the membership, not null
      * @param clockMillis monotonic milliseconds, not null
      */
     public LimitShares(String ownName, Supplier<Optional<Set<String>>> members, LongSupplier clockMillis) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
-        this.members = Objects.requireNonNull(members, "countedOn");
+        this.members = Objects.requireNonNull(members, "members");
         this.clockMillis = Objects.requireNonNull(clockMillis, "clockMillis");
         recentMemberships.add(new Membership(NO_MEMBERS, Long.MAX_VALUE));
     }
 
-    /** Looks at who is there; to be called several times a second. */
+    /** Reads the current membership. Must be called several times per second. */
     public void look() {
         long nowMillis = clockMillis.getAsLong();
         Set<String> names = members.get().map(Set::copyOf).orElse(NO_MEMBERS);
@@ -85,11 +88,11 @@
     }
 
     /**
-     * Returns this instance's share of a target's limit.
+     * Returns this instance's share of a target's rate limit.
      *
      * @param targetId the target's id, not null
-     * @param limitPerSecond the calls a second that the target takes from all instances together
-     * @return calls a second from here; zero for most instances
+     * @param limitPerSecond the calls per second that the target accepts from all instances together
+     * @return the calls per second of this instance; zero for most instances
      */
     public double perSecond(String targetId, double limitPerSecond) {
         long holdersCount = holdersCount(limitPerSecond);
@@ -97,20 +100,21 @@
     }
 
     /**
-     * Says whether this instance is sure of the fleet.
+     * Returns whether this instance is sure of the membership.
      *
-     * @return whether the others count on it as far as it knows
+     * @return whether the other instances consider this one a member, as far as it knows
      */
     public boolean isMembershipKnown() {
         return !recentMemberships.getLast().names.isEmpty();
     }
 
     /**
-     * Says whether this instance ranks among the holders of a target's limit, also where it does not use its share yet.
+     * Returns whether this instance ranks among the share holders of a target's limit, even if it must not use its
+     * share yet.
      *
      * @param targetId the target's id, not null
      * @param limitPerSecond the limit
-     * @return whether it does; false while it is not sure of the fleet
+     * @return whether it ranks among them; false while it is not sure of the membership
      */
     public boolean isShareHolder(String targetId, double limitPerSecond) {
         return isMembershipKnown()
@@ -126,7 +130,10 @@
                 Math.max(minMembersCount, recentMemberships.getLast().names.size()));
     }
 
-    /** The worst among the fleets of late, beyond any share where this instance was not sure. */
+    /**
+     * Returns the lowest rank in the recent memberships, beyond any share if this instance was not sure of one of
+     * them.
+     */
     private int rank(String targetId) {
         return rankByTarget.computeIfAbsent(
                 targetId,
@@ -148,6 +155,6 @@
         return higherRankedCount;
     }
 
-    /** Who counted on each other, and until when: the end of time for those who do now. */
+    /** A membership and the time at which it ended, {@link Long#MAX_VALUE} for the current one. */
     private record Membership(Set<String> names, long untilMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LoadBook.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LoadBook.java
@@ -7,8 +7,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What is under way at each target: this instance's own sends at once, the other instances' as they tell them. A look at
- * a target costs the same however many instances there are. Not thread-safe.
+ * Tracks the calls in flight at each target: those of this instance immediately, those of the other instances as they
+ * report them. The cost of a lookup does not depend on the number of instances. Not thread-safe.
  */
 public final class LoadBook {
 
@@ -17,29 +17,30 @@
     private final Map<String, Map<String, TargetLoad>> peerLoads = new HashMap<>();
 
     /**
-     * A call was sent.
+     * Records that a call was sent.
      *
      * @param targetId the target's id, not null
      * @param level the call's level in the target's queue
-     * @param prefillTokens the tokens that the target has to read before its first event
+     * @param prefillTokens the tokens that the target has to prefill before the first event
      */
     public void sent(String targetId, int level, int prefillTokens) {
         adjust(targetId, new TargetLoad(1, ReadQueue.one(level, prefillTokens)));
     }
 
     /**
-     * A call's prompt was read.
+     * Records that the prompt of a call was prefilled.
      *
      * @param targetId the target's id, not null
-     * @param level as told to {@link #sent}
-     * @param prefillTokens as told to {@link #sent}
+     * @param level the level passed to {@link #sent}
+     * @param prefillTokens the tokens passed to {@link #sent}
      */
     public void read(String targetId, int level, int prefillTokens) {
         adjust(targetId, new TargetLoad(0, ReadQueue.EMPTY.minus(ReadQueue.one(level, prefillTokens))));
     }
 
     /**
-     * A call ended, its prompt read or given up before.
+     * Records the end of a call whose prompt was recorded with {@link #read} before, even if its prefill was
+     * abandoned.
      *
      * @param targetId the target's id, not null
      */
@@ -48,10 +49,10 @@
     }
 
     /**
-     * Takes what another instance has under way; it replaces what that instance told before.
+     * Replaces the load reported by another instance.
      *
      * @param peer the instance's name, not null
-     * @param loads by target, not null
+     * @param loads the instance's loads by target id, not null
      */
     public void heard(String peer, Map<String, TargetLoad> loads) {
         removePeer(peer);
@@ -61,9 +62,9 @@
     }
 
     /**
-     * Forgets instances that are not heard of any more.
+     * Removes the loads of instances that are no longer alive.
      *
-     * @param livePeers the names of those that are, not null
+     * @param livePeers the names of the instances that are alive, not null
      */
     public void retainPeers(Set<String> livePeers) {
         Set<String> stalePeers = new HashSet<>(peerLoads.keySet());
@@ -72,16 +73,16 @@
     }
 
     /**
-     * Returns what this instance has under way.
+     * Returns the load of this instance.
      *
-     * @return loads by target
+     * @return the loads by target id
      */
     public Map<String, TargetLoad> own() {
         return Map.copyOf(own);
     }
 
     /**
-     * Returns what all instances have under way at a target, as far as it is known here.
+     * Returns the load of all instances at a target, as far as it is known here.
      *
      * @param targetId the target's id, not null
      * @return the sum
--- a/src/main/java/org/dogwoodwinch/forwarding/NextStep.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/NextStep.java
@@ -1,21 +1,21 @@
 package org.dogwoodwinch.forwarding;
 
-/** What follows on a send that gave no success. */
+/** The step that follows an attempt that did not succeed. */
 public sealed interface NextStep {
 
-    /** Choose another target and send again. */
+    /** Choose another target and send the call again. */
     record SendAgain() implements NextStep {}
 
     /**
-     * Tell the caller that its call has not run and never will.
+     * Report to the caller that its call has not run and will not run.
      *
-     * @param retryAfterMillis when to come back
+     * @param retryAfterMillis time after which the caller should retry
      */
     record Refuse(long retryAfterMillis) implements NextStep {}
 
-    /** Tell the caller that its call may have run. */
+    /** Report to the caller that its call may have run. */
     record FailUnknown() implements NextStep {}
 
-    /** Hand the target's own failure on, unchanged. */
+    /** Pass the target's own failure to the caller unchanged. */
     record RelayFailure() implements NextStep {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/OrderLease.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/OrderLease.java
@@ -3,14 +3,15 @@
 import java.util.OptionalLong;
 
 /**
- * The right to give orders, for one order at a time: a record at the end of a log of the platform, whose offset is the
- * fencing token. Pure: the caller writes the record and tells what became of it. Not thread-safe.
+ * A lease that permits one control order at a time. It is a record at the end of a log of the platform, and the
+ * record's offset is the fencing token. Performs no I/O: the caller writes the record and reports the outcome. Not
+ * thread-safe.
  *
- * <p>Failure: an instance that is frozen after it was given the right wakes and gives its order beside that of its
- * successor; engines that do not check tokens carry out both. The right therefore ends a short time after the record was
- * sent, on the clock that counts a suspension too, and a successor waits from when it first saw the record until that
- * time, the time for which orders of two holders must be apart, and a margin have passed. Records are never reused: after
- * an answer that was lost, the next token is a higher one.
+ * <p>Failure: an instance is suspended after it acquired the lease, and on waking sends its order beside that of its
+ * successor; engines that do not check fencing tokens execute both. The lease therefore ends a short time after the
+ * record was sent, on the clock that also counts a suspension. A successor waits from the time at which it first saw
+ * the record until the validity period, the required separation between orders of two holders, and a margin have
+ * passed. Records are never reused: after a lost answer, the next token is a higher one.
  */
 public final class OrderLease {
 
@@ -21,10 +22,11 @@
     private boolean endIsOwn = true;
 
     /**
-     * Creates a lease that nobody holds: the log is taken for empty until it is known better.
+     * Creates a lease without a holder. The log is assumed to be empty until its end is recorded.
      *
-     * @param validMillis how long after the record was sent an order may be given
-     * @param separationMillis how far apart orders of two holders have to be, with what clocks and links may add
+     * @param validMillis time after the record was sent within which an order may be sent
+     * @param separationMillis required time between orders of two holders, including a margin for clock differences
+     *     and network delay
      */
     public OrderLease(long validMillis, long separationMillis) {
         this.validMillis = validMillis;
@@ -32,10 +34,10 @@
     }
 
     /**
-     * Returns where a record may be written now.
+     * Returns the offset at which a record may be written now.
      *
      * @param nowMillis monotonic milliseconds
-     * @return the end that the log has to have; empty while another's right may stand
+     * @return the end that the log must have; empty while the lease of another holder may be valid
      */
     public OptionalLong mayClaimAt(long nowMillis) {
         boolean otherLeaseOver = endIsOwn || nowMillis - endSeenAtMillis >= validMillis + separationMillis;
@@ -43,9 +45,9 @@
     }
 
     /**
-     * The record was written.
+     * Records that the record was written.
      *
-     * @param offset where it lies, which is the fencing token
+     * @param offset the record's offset, which is the fencing token
      */
     public void written(long offset) {
         endOffset = offset + 1;
@@ -53,9 +55,10 @@
     }
 
     /**
-     * The log ends elsewhere: another instance wrote, or an earlier record of this one whose answer was lost.
+     * Records that the log has a different end: another instance wrote a record, or an earlier record of this
+     * instance whose answer was lost was written.
      *
-     * @param end where it ends
+     * @param end the end of the log
      * @param nowMillis monotonic milliseconds
      */
     public void endsElsewhere(long end, long nowMillis) {
@@ -65,7 +68,7 @@
     }
 
     /**
-     * There was no answer: the record may be there, or come later.
+     * Records that the write was not answered: the record may have been written or may be written later.
      *
      * @param nowMillis monotonic milliseconds
      */
@@ -75,11 +78,11 @@
     }
 
     /**
-     * Says whether an order may still be given by a record.
+     * Returns whether an order may still be sent under a record.
      *
-     * @param monotonicElapsedMillis since just before the record was sent
-     * @param wallElapsedMillis the same by the time of day, which counts a suspension
-     * @return whether the right stands
+     * @param monotonicElapsedMillis monotonic time since just before the record was sent
+     * @param wallElapsedMillis wall-clock time since then, which counts a suspension
+     * @return whether the lease is valid
      */
     public boolean valid(long monotonicElapsedMillis, long wallElapsedMillis) {
         return Math.max(monotonicElapsedMillis, Math.abs(wallElapsedMillis)) < validMillis;
--- a/src/main/java/org/dogwoodwinch/forwarding/PartIndex.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/PartIndex.java
@@ -5,10 +5,11 @@
 import java.util.Set;
 
 /**
- * Which parts of prompts each engine is believed to keep. Not thread-safe.
+ * Tracks which prompt segments each engine is believed to have in its KV cache. Not thread-safe.
  *
- * <p>Engines tell late and now and then not at all; a part that a prompt left there by this instance is believed at
- * once, so that the next prompt with it follows before the engine's word comes.
+ * <p>Engines report their caches late, and some reports are lost. A segment that was prefilled by a call of this
+ * instance is therefore taken as cached at once, so that the next prompt with this segment is sent to the engine
+ * before the engine reports it.
  */
 public final class PartIndex {
 
@@ -16,31 +17,31 @@
     private final SharedSegments shared = new SharedSegments();
 
     /**
-     * Returns which parts other requests may name again.
+     * Returns the segments that are known to be shared by several requests.
      *
-     * @return what is known of it, the same each time
+     * @return the shared segments, always the same object
      */
     public SharedSegments shared() {
         return shared;
     }
 
     /**
-     * Returns how much of a part an engine keeps.
+     * Returns how much of a segment an engine has cached.
      *
      * @param engineId the engine's id, not null
-     * @param segmentId the part, not null
-     * @return its tokens that are believed kept; zero where none are
+     * @param segmentId the segment's id, not null
+     * @return the cached tokens, as far as known; zero if there are none
      */
     public int keptOf(String engineId, String segmentId) {
         return cachedTokensByEngine.getOrDefault(engineId, Map.of()).getOrDefault(segmentId, 0);
     }
 
     /**
-     * An engine keeps a part, or keeps less of it.
+     * Records how much of a segment an engine has cached.
      *
      * @param engineId the engine's id, not null
-     * @param segmentId the part, not null
-     * @param cachedTokens how many of its tokens are kept now; zero where it was dropped
+     * @param segmentId the segment's id, not null
+     * @param cachedTokens the number of its tokens that are now cached; zero if the segment was evicted
      */
     public void kept(String engineId, String segmentId, int cachedTokens) {
         Map<String, Integer> tokensBySegment = cachedTokensByEngine.computeIfAbsent(engineId, _id -> new HashMap<>());
@@ -52,7 +53,7 @@
     }
 
     /**
-     * An engine has read a prompt.
+     * Records that an engine has prefilled a prompt, and so cached all of its segments.
      *
      * @param engineId the engine's id, not null
      * @param prompt the prompt, not null
@@ -62,7 +63,7 @@
     }
 
     /**
-     * Forgets what an engine keeps, as after its restart.
+     * Removes all segments of an engine, as after its restart.
      *
      * @param engineId the engine's id, not null
      */
@@ -71,20 +72,20 @@
     }
 
     /**
-     * Forgets engines that are used no more.
+     * Removes all engines but those given.
      *
-     * @param engineIds those that are, not null
+     * @param engineIds the ids of the engines to keep, not null
      */
     public void retain(Set<String> engineIds) {
         cachedTokensByEngine.keySet().retainAll(engineIds);
     }
 
     /**
-     * Returns the larger parts that an engine keeps.
+     * Returns the segments of which an engine has cached a minimum number of tokens.
      *
      * @param engineId the engine's id, not null
-     * @param minTokens the tokens from which on a part is returned
-     * @return the tokens kept, by part
+     * @param minTokens the minimum number of cached tokens
+     * @return the cached tokens by segment id
      */
     public Map<String, Integer> keptAtLeast(String engineId, int minTokens) {
         Map<String, Integer> found = new HashMap<>();
@@ -97,11 +98,11 @@
     }
 
     /**
-     * Returns how much of a prompt an engine need not read.
+     * Returns the length of the prefix of a prompt that an engine has cached and need not prefill.
      *
      * @param engineId the engine's id, not null
      * @param prompt the prompt, not null
-     * @return the tokens of its first parts that are kept without a gap
+     * @return the cached tokens from the start of the prompt up to the first gap
      */
     public int keptTokens(String engineId, Prompt prompt) {
         Map<String, Integer> tokensBySegment = cachedTokensByEngine.getOrDefault(engineId, Map.of());
@@ -117,9 +118,9 @@
     }
 
     /**
-     * Returns how many parts are believed kept.
+     * Returns the number of cached segments.
      *
-     * @return the count over all engines
+     * @return the sum over all engines
      */
     public int size() {
         return cachedTokensByEngine.values().stream().mapToInt(Map::size).sum();
--- a/src/main/java/org/dogwoodwinch/forwarding/Plan.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Plan.java
@@ -4,15 +4,16 @@
 import java.util.Optional;
 
 /**
- * Where a call goes.
+ * The targets chosen for a call.
  *
- * @param target runs it, not null
- * @param prefill reads its prompt first and hands the memory on, empty where the target reads it itself
- * @param reading what the one that reads has to do, not null
+ * @param target the target that runs the call, not null
+ * @param prefill the target that prefills the prompt and transfers the KV cache to {@code target}; empty if {@code
+ *     target} prefills the prompt itself
+ * @param reading the work of the target that prefills, not null
  */
 public record Plan(Incarnation target, Optional<Incarnation> prefill, Reading reading) {
 
-    /** Checks. */
+    /** Validates the components. */
     public Plan {
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(prefill, "prefill");
@@ -20,26 +21,27 @@
     }
 
     /**
-     * How a prompt is read.
+     * The prefill work of a call.
      *
      * @param level the call's level in the queues of engines
-     * @param unreadTokens the tokens that are kept nowhere in reach
-     * @param keeper the engine from whose memory more of the prompt is fetched, empty where it keeps no more
+     * @param unreadTokens the tokens that are in no KV cache within reach
+     * @param keeper the engine from whose KV cache more of the prompt is fetched; empty if it has no more than the
+     *     target
      */
     public record Reading(int level, int unreadTokens, Optional<Incarnation> keeper) {
 
-        /** A call without a prompt. */
+        /** The work of a call without a prompt. */
         public static final Reading NONE = new Reading(0, 0, Optional.empty());
 
-        /** Checks. */
+        /** Validates the components. */
         public Reading {
             Objects.requireNonNull(keeper, "keeper");
         }
 
         /**
-         * The call arrives with all of its prompt's memory.
+         * Returns the work of a call that arrives with the KV cache of its whole prompt.
          *
-         * @return a reading of nothing on the same level
+         * @return work without tokens at the same level
          */
         public Reading done() {
             return new Reading(level, 0, Optional.empty());
--- a/src/main/java/org/dogwoodwinch/forwarding/Prompt.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Prompt.java
@@ -4,16 +4,17 @@
 import java.util.Objects;
 
 /**
- * What a call to a model states of its work.
+ * The properties that a call to a model states of its prompt and its answer.
  *
  * @param model the model's name, not null, may be empty
- * @param inputTokens the prompt's length
- * @param maxOutputTokens the most tokens that may be generated
- * @param parts the prompt's parts in order; the last belongs to the request or its session alone
+ * @param inputTokens the length of the prompt
+ * @param maxOutputTokens maximum number of tokens to generate
+ * @param parts the segments of the prompt in order, not null; the last one belongs to this request or its session
+ *     alone
  */
 public record Prompt(String model, int inputTokens, int maxOutputTokens, List<PromptPart> parts) {
 
-    /** Checks and copies. */
+    /** Validates the components and copies the list. */
     public Prompt {
         Objects.requireNonNull(model, "model");
         parts = List.copyOf(parts);
--- a/src/main/java/org/dogwoodwinch/forwarding/PromptPart.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/PromptPart.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * A part of a prompt that other requests may share.
+ * A segment of a prompt that other requests may share.
  *
- * @param id names the part, not null
- * @param tokens its length
+ * @param id the segment's id, not null
+ * @param tokens the length of the segment
  */
 public record PromptPart(String id, int tokens) {
 
-    /** Checks. */
+    /** Validates the components. */
     public PromptPart {
         Objects.requireNonNull(id, "id");
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/QueueLevel.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/QueueLevel.java
@@ -1,18 +1,18 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * Where a call stands in the queue of an engine: a lower level is admitted before a higher one.
+ * The level of a call in an engine's queue. The engine admits calls of a lower level first.
  *
- * <p>Each urgency of a route has two levels: one for calls that can still be answered within their objective, and behind
- * it one for those that are expected late wherever they go.
+ * <p>Each route priority has two levels: one for calls that can still meet their objective, and behind it one for
+ * calls that are expected to be late at any engine.
  *
- * <p>Failure: while more is asked than engines read, calls in order of arrival all wait alike and all miss their
- * objective by a little. Behind those that can make it, the late ones cost nobody else's objective and still come before
- * all less urgent calls.
+ * <p>Failure: while the demand exceeds the prefill capacity, first-come-first-served order delays all calls alike,
+ * and all miss their objective by a little. Placed behind the calls that can be on time, late calls do not delay
+ * those, and are still admitted before all calls of a less urgent priority.
  */
 public final class QueueLevel {
 
-    /** Levels that an engine tells apart. */
+    /** Number of levels that engines distinguish. */
     public static final int COUNT = 10;
 
     private static final int LEVELS_PER_PRIORITY = 2;
@@ -20,20 +20,20 @@
     private QueueLevel() {}
 
     /**
-     * Returns the level of a call that can be answered within its objective.
+     * Returns the level of a call that can meet its objective.
      *
-     * @param priority the route's rank, zero is the most urgent
-     * @return a level from 0 to 9; urgencies beyond the fifth share the last
+     * @param priority the route's priority, where zero is the most urgent
+     * @return a level from 0 to 8; priorities beyond the fifth share the last level
      */
     public static int onTime(int priority) {
         return Math.max(0, Math.min(COUNT - LEVELS_PER_PRIORITY, priority * LEVELS_PER_PRIORITY));
     }
 
     /**
-     * Returns the level of a call that is expected late.
+     * Returns the level of a call that is expected to be late.
      *
-     * @param priority the route's rank, zero is the most urgent
-     * @return the level behind that of calls in time
+     * @param priority the route's priority, where zero is the most urgent
+     * @return the level after that of calls on time
      */
     public static int late(int priority) {
         return onTime(priority) + 1;
--- a/src/main/java/org/dogwoodwinch/forwarding/ReadQueue.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ReadQueue.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The prompts that wait to be read at an engine, by the level of their calls. Immutable. */
+/** The prompts that wait for prefill at an engine, by the queue level of their calls. Immutable. */
 public final class ReadQueue {
 
-    /** Nothing waits. */
+    /** The empty queue. */
     public static final ReadQueue EMPTY = new ReadQueue(new long[QueueLevel.COUNT], new int[QueueLevel.COUNT]);
 
     private final long[] tokens;
@@ -18,16 +18,17 @@
     }
 
     /**
-     * Creates a queue from rows of levels.
+     * Creates a queue from lists of levels.
      *
-     * @param tokens the tokens of each level, the first level first, not null; missing levels count as zero
-     * @param prompts the prompts of each level in the same order, not null
+     * @param tokens the tokens of each level, starting with level 0, not null; missing levels count as zero
+     * @param prompts the number of prompts of each level in the same order, not null
      * @return the queue
-     * @throws IllegalArgumentException if there are more levels than an engine tells apart
+     * @throws IllegalArgumentException if there are more levels than engines distinguish
      */
     public static ReadQueue of(List<Long> tokens, List<Integer> prompts) {
         if (tokens.size() > QueueLevel.COUNT || prompts.size() > QueueLevel.COUNT) {
-            throw new IllegalArgumentException("levels: " + tokens.size() + ", " + prompts.size());
+            throw new IllegalArgumentException(
+                    "at most " + QueueLevel.COUNT + " levels allowed: " + tokens.size() + ", " + prompts.size());
         }
         long[] tokensOfLevels = tokens.stream().mapToLong(Long::longValue).toArray();
         int[] promptsOfLevels = prompts.stream().mapToInt(Integer::intValue).toArray();
@@ -36,10 +37,10 @@
     }
 
     /**
-     * Creates a queue of one prompt.
+     * Creates a queue of one prompt, or the empty queue if the prompt has no tokens to prefill.
      *
-     * @param level the level of its call
-     * @param tokens its tokens
+     * @param level the level of the prompt's call
+     * @param tokens the tokens to prefill
      * @return the queue
      */
     public static ReadQueue one(int level, long tokens) {
@@ -47,11 +48,12 @@
     }
 
     /**
-     * Returns the tokens that are read before a call that comes now: those of its level and of all before it, and one
-     * prompt of a later level, since an engine finishes the prompt that it has begun.
+     * Returns the tokens that are prefilled before a call that arrives now: those of its own level and of all levels
+     * before it, and one prompt of average length of the later levels, because an engine completes a prefill that it
+     * has begun.
      *
      * @param level the call's level
-     * @return the tokens expected ahead of it
+     * @return the expected number of tokens ahead of the call
      */
     public long aheadOf(int level) {
         long earlierTokens = 0;
@@ -68,9 +70,9 @@
     }
 
     /**
-     * Returns all tokens.
+     * Returns the tokens of all levels.
      *
-     * @return the sum over all levels
+     * @return the sum
      */
     public long totalTokens() {
         return Arrays.stream(tokens).sum();
@@ -87,7 +89,7 @@
     }
 
     /**
-     * Returns the prompts of a level.
+     * Returns the number of prompts of a level.
      *
      * @param level the level
      * @return its prompts
@@ -99,26 +101,26 @@
     /**
      * Returns the tokens of each level.
      *
-     * @return the first level first
+     * @return the tokens, starting with level 0
      */
     public List<Long> tokens() {
         return Arrays.stream(tokens).boxed().toList();
     }
 
     /**
-     * Returns the prompts of each level.
+     * Returns the number of prompts of each level.
      *
-     * @return the first level first
+     * @return the numbers, starting with level 0
      */
     public List<Integer> prompts() {
         return Arrays.stream(prompts).boxed().toList();
     }
 
     /**
-     * Returns the sum.
+     * Returns the sum of this queue and another.
      *
-     * @param other what else waits, not null
-     * @return both together
+     * @param other the other queue, not null
+     * @return the sum
      */
     public ReadQueue plus(ReadQueue other) {
         return combine(other, 1);
@@ -129,13 +131,13 @@
     }
 
     /**
-     * Returns this queue with more in one level.
+     * Returns this queue with prompts added to one level.
      *
      * @param level the level
-     * @param addedTokens the tokens that come to it
-     * @param addedPrompts the prompts that come to it
+     * @param addedTokens the tokens to add
+     * @param addedPrompts the number of prompts to add
      * @return the longer queue
-     * @throws IndexOutOfBoundsException if engines tell no such level apart
+     * @throws IndexOutOfBoundsException if engines do not distinguish such a level
      */
     public ReadQueue with(int level, long addedTokens, int addedPrompts) {
         long[] newTokens = tokens.clone();
--- a/src/main/java/org/dogwoodwinch/forwarding/ReadRates.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ReadRates.java
@@ -5,37 +5,44 @@
 import java.util.Map;
 
 /**
- * How fast engines of a service read prompts, learnt from the time that calls took. Not thread-safe.
+ * Estimates the prefill rates of a service's engines from the observed time to the first event of calls. Not
+ * thread-safe.
  *
- * <p>The operator's configuration does not state it, and it falls where an engine generates beside reading.
+ * <p>The operator's configuration does not contain these rates, and they fall while an engine also decodes.
  */
 public final class ReadRates {
 
-    /** Smoothing of a new observation: one in ten follows a change within some twenty calls and evens out chance. */
+    /**
+     * Weight of a new observation in the exponential moving average: one tenth follows a change within about 20 calls
+     * and smooths random variation.
+     */
     private static final double SMOOTHING_WEIGHT = 0.1;
 
-    /** A short prompt's time is mostly overhead and tells nothing of the rate. */
+    /**
+     * Minimum number of tokens of an observation: the time of a short prefill is mostly overhead and does not show
+     * the rate.
+     */
     private static final long MIN_TOKENS = 1_500;
 
     private final double initialTokensPerMilli;
     private final Map<String, EnumMap<Stage, Double>> ratesByService = new HashMap<>();
 
     /**
-     * Creates rates that know nothing.
+     * Creates estimates without observations.
      *
-     * @param initialTokensPerMilli the rate that is assumed until a call was observed, more than zero
+     * @param initialTokensPerMilli the rate assumed until a call has been observed, greater than zero
      */
     public ReadRates(double initialTokensPerMilli) {
         this.initialTokensPerMilli = initialTokensPerMilli;
     }
 
     /**
-     * Learns from a call.
+     * Records an observation.
      *
      * @param service the service, not null
-     * @param stage the stage of the engine that read, not null
-     * @param tokens the tokens that were to be read before the first event, those ahead of the call included
-     * @param millis the time that it took
+     * @param stage the stage of the engine that prefilled, not null
+     * @param tokens the tokens prefilled before the first event, including those queued ahead of the call
+     * @param millis the time until the first event
      */
     public void observe(String service, Stage stage, long tokens, long millis) {
         if (tokens < MIN_TOKENS || millis <= 0) {
@@ -48,16 +55,16 @@
     }
 
     /**
-     * Returns the rate.
+     * Returns the estimated rate.
      *
      * @param service the service, not null
      * @param stage the stage, not null
-     * @return tokens in a millisecond
+     * @return the rate in tokens per millisecond
      */
     public double tokensPerMilli(String service, Stage stage) {
         EnumMap<Stage, Double> ratesByStage = ratesByService.get(service);
         Double known = ratesByStage == null ? null : ratesByStage.get(stage);
-        // In the midst of generating, an engine reads at about half its speed.
+        // An engine that also decodes prefills at about half of its rate.
         double assumed = stage == Stage.PREFILL ? initialTokensPerMilli : initialTokensPerMilli / 2;
         return known == null ? assumed : Math.max(known, assumed / 10);
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/RetryBudget.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RetryBudget.java
@@ -7,23 +7,25 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Bounds repeats for each service without a counter in common: an instance spends a ratio of the requests that it took
- * itself and a fixed share of the slack.
+ * Limits the retries for each service without a counter shared among instances: an instance may spend a ratio of the
+ * requests that it received itself, and its own share of the slack.
  *
- * <p>An instance that starts anew has forgotten what it spent, so its share of the slack is its own only a window after
- * its start; requests and repeats forgotten together keep the ratio.
+ * <p>A restarted instance does not know what it spent before. Its share of the slack is therefore available only one
+ * window after its start. The ratio needs no such delay, because requests and retries are lost together.
  *
- * <p>Failure: a service fails, every instance repeats its calls, and the repeats keep it down. The sum over all
- * instances stays below ratio times requests plus slack, as each instance keeps to its own part and the shares add up
- * to the slack. Counted in slices of the window, so that any window that a slice begins is bounded. Not thread-safe.
+ * <p>Failure: a service fails, every instance retries its calls, and the retries keep the service overloaded. The sum
+ * over all instances stays below ratio times requests plus slack, because each instance observes its own part and the
+ * shares add up to the slack. Counts are kept in slices of the window, so the bound holds for any window that begins
+ * with a slice. Not thread-safe.
  */
 public final class RetryBudget {
 
     private static final int SLICES_COUNT = 20;
 
     /**
-     * The part of the ratio that is spent. Requests are judged in the span of the repeats, the one before and the one half
-     * a span before; the span that ends with the last repeat can lie between two of these and hold a third more.
+     * Part of the ratio that is used. Requests are measured in the same time span as the retries, in the span before
+     * it, and in the span that begins half a span earlier. The span that ends with the last retry can lie between two
+     * of these and contain a third more.
      */
     private static final double USABLE_RATIO = 0.75;
 
@@ -36,11 +38,11 @@
     /**
      * Creates a budget.
      *
-     * @param ratio repeats for each request taken here
-     * @param slackShare repeats in a window beside these, the share of this instance alone; asked each time, as it falls
-     *     when there are more instances, not null
-     * @param windowMillis the window
-     * @param startedMillis when this instance started, in monotonic milliseconds
+     * @param ratio the retries allowed per request received by this instance
+     * @param slackShare this instance's share of the additional retries per window; read at each use because it falls
+     *     as the number of instances grows, not null
+     * @param windowMillis the length of the window
+     * @param startedMillis the start time of this instance, in monotonic milliseconds
      */
     public RetryBudget(double ratio, DoubleSupplier slackShare, long windowMillis, long startedMillis) {
         this.ratio = ratio * USABLE_RATIO;
@@ -50,16 +52,16 @@
     }
 
     /**
-     * Puts another ratio in force; what was spent stays spent.
+     * Changes the ratio. Retries already spent remain counted.
      *
-     * @param newRatio repeats for each request taken here
+     * @param newRatio the retries allowed per request received by this instance
      */
     public void reconfigure(double newRatio) {
         ratio = newRatio * USABLE_RATIO;
     }
 
     /**
-     * Counts a request that a caller sent for a service.
+     * Counts a request that a caller sent to a service.
      *
      * @param service the service's name, not null
      * @param nowMillis monotonic milliseconds
@@ -71,11 +73,11 @@
     }
 
     /**
-     * Takes one repeat where the window allows one more.
+     * Takes one retry if the budget of the current window allows it.
      *
      * @param service the service's name, not null
      * @param nowMillis monotonic milliseconds
-     * @return whether it was taken
+     * @return whether the retry may be sent
      */
     public boolean takeRepeat(String service, long nowMillis) {
         SlidingWindow window = window(service);
@@ -88,11 +90,11 @@
     }
 
     /**
-     * Returns what is left.
+     * Returns the remaining budget.
      *
      * @param service the service's name, not null
      * @param nowMillis monotonic milliseconds
-     * @return repeats that could be taken now, not negative
+     * @return the number of retries that could be taken now, not negative
      */
     public double left(String service, long nowMillis) {
         SlidingWindow window = window(service);
--- a/src/main/java/org/dogwoodwinch/forwarding/RetryPolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RetryPolicy.java
@@ -3,25 +3,28 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Turns what is known of a send into an answer or another send: the one place where that is decided.
+ * Decides whether a call is retried or answered after an attempt has ended. All such decisions are made here.
  *
- * @param maxFailedConnectsCount tries without a byte written after which the caller is told to come back
- * @param maxRejectionsCount targets that may state that they did not run the call before the caller is told to come back
- * @param minRemainingMillis the time below which another send cannot be answered in time
- * @param retryAfterMillis when a refused caller is told to come back
+ * @param maxFailedConnectsCount maximum number of attempts that fail before any byte is written; after one more, the
+ *     caller is asked to retry later
+ * @param maxRejectionsCount maximum number of targets that report that they did not run the call; after one more, the
+ *     caller is asked to retry later
+ * @param minRemainingMillis minimum remaining time with which another attempt can be answered in time
+ * @param retryAfterMillis time after which a refused caller should retry
  */
 public record RetryPolicy(
         int maxFailedConnectsCount, int maxRejectionsCount, long minRemainingMillis, long retryAfterMillis) {
 
-    /** Callers heed a time to come back up to a third of what they have left; a quarter leaves room for the answer. */
+    /** Callers follow a retry time of up to a third of their remaining time; a quarter leaves time for the answer. */
     private static final int REMAINING_DIVISOR = 4;
 
     /**
-     * Decides what follows.
+     * Returns the step that follows an attempt.
      *
-     * @param outcome what is known of the send that ended, not null
-     * @param progress what was done so far, that send included, not null
-     * @param tryTakeRetry takes one repeat from the service's retry budget; asked only where a repeat is otherwise allowed
+     * @param outcome the outcome of the attempt that ended, not null
+     * @param progress the attempts made so far, including this one, not null
+     * @param tryTakeRetry takes one retry from the service's retry budget; called only if a retry is otherwise
+     *     allowed
      * @return the next step
      */
     public NextStep after(SendOutcome outcome, CallProgress progress, BooleanSupplier tryTakeRetry) {
@@ -45,21 +48,21 @@
     }
 
     /**
-     * Ends a call for which no target can be had.
+     * Ends a call for which no target is available.
      *
-     * @param progress what was done so far, not null
-     * @return a refusal where nothing may have run
+     * @param progress the attempts made so far, not null
+     * @return a refusal if no target may have run the call
      */
     public NextStep giveUp(CallProgress progress) {
         return giveUp(progress, 0);
     }
 
     /**
-     * Ends a call for which no target can be had before a time that is known.
+     * Ends a call for which no target is available before a known time.
      *
-     * @param progress what was done so far, not null
-     * @param untilCapacityMillis when a target may have room
-     * @return a refusal where nothing may have run
+     * @param progress the attempts made so far, not null
+     * @param untilCapacityMillis time until a target may have capacity
+     * @return a refusal if no target may have run the call
      */
     public NextStep giveUp(CallProgress progress, long untilCapacityMillis) {
         long retryAfterWithCapacity = Math.max(retryAfterMillis, untilCapacityMillis);
--- a/src/main/java/org/dogwoodwinch/forwarding/RouteTable.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RouteTable.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** One version of the operator's configuration; immutable, so that a call is decided by one version alone. */
+/** One version of the operator's configuration. Immutable, so that all decisions for a call use the same version. */
 public final class RouteTable {
 
     private final long version;
@@ -19,12 +19,12 @@
     private final int routesCount;
 
     /**
-     * Indexes the routes by host and prefix.
+     * Creates a table and indexes its routes by host and path prefix.
      *
      * @param version the configuration's version
-     * @param routes its routes, not null; of two with one host and prefix the later counts
-     * @param services its services, not null
-     * @param limits what callers may send, not null
+     * @param routes the routes, not null; of two routes with the same host and prefix, the later one is used
+     * @param services the services, not null
+     * @param limits the limits on callers' requests, not null
      */
     public RouteTable(
             long version, Collection<ServiceRoute> routes, Collection<ServiceEntry> services, CallerLimits limits) {
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Returns what callers may send.
+     * Returns the limits on callers' requests.
      *
      * @return the limits
      */
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Returns the number of routes.
+     * Returns the number of routes in the configuration.
      *
-     * @return how many routes the operator listed
+     * @return the number of routes
      */
     public int routesCount() {
         return routesCount;
@@ -69,8 +69,8 @@
     /**
      * Returns a service.
      *
-     * @param name its name, not null
-     * @return the service, or empty where the configuration has none of that name
+     * @param name the service's name, not null
+     * @return the service, or empty if the configuration does not contain it
      */
     public Optional<ServiceEntry> service(String name) {
         return Optional.ofNullable(services.get(name));
@@ -79,7 +79,7 @@
     /**
      * Returns the services whose targets are model engines.
      *
-     * @return their names
+     * @return the names of the services
      */
     public Set<String> modelServices() {
         return services.values().stream()
@@ -89,11 +89,11 @@
     }
 
     /**
-     * Finds the route with the longest prefix that begins a path.
+     * Finds the route with the longest matching path prefix.
      *
-     * @param host the host that the caller named, with or without a port, in any case, not null
-     * @param requestTarget the request's path with or without a query, not null
-     * @return the route, or empty
+     * @param host the host named by the caller, with or without a port, in any case, not null
+     * @param requestTarget the request's path, with or without a query, not null
+     * @return the route, or empty if none matches
      */
     public Optional<ServiceRoute> find(String host, String requestTarget) {
         Map<String, ServiceRoute> routes = routesByHost.get(stripPort(host).toLowerCase(Locale.ROOT));
@@ -102,7 +102,7 @@
         }
         int queryStart = requestTarget.indexOf('?');
         String path = queryStart < 0 ? requestTarget : requestTarget.substring(0, queryStart);
-        // Every prefix ends with a slash, so only the beginnings of the path that do can be one.
+        // All prefixes end with a slash, so only substrings of the path that end with a slash can match.
         for (int end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
             ServiceRoute route = routes.get(path.substring(0, end + 1));
             if (route != null) {
--- a/src/main/java/org/dogwoodwinch/forwarding/SendOutcome.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/SendOutcome.java
@@ -2,47 +2,48 @@
 
 import java.util.Objects;
 
-/** What is known of one send of a call after it ended; the closed set that every answer or retry is decided from. */
+/** The outcome of one attempt to send a call to a target. Retries and answers are decided from this closed set. */
 public sealed interface SendOutcome {
 
     /**
-     * No byte of the call was given to a connection: it cannot have run, and no target saw it.
+     * No byte of the call was written to a connection: no target received it, and it cannot have run.
      *
-     * @param reason why, for logs and counters, not null
+     * @param reason the cause, for logs and metrics, not null
      */
     record NotSent(String reason) implements SendOutcome {
-        /** Checks. */
+        /** Validates the component. */
         public NotSent {
             Objects.requireNonNull(reason, "reason");
         }
     }
 
     /**
-     * The target stated that it did not run the call and never will.
+     * The target stated that it has not run the call and will not run it.
      *
-     * @param status the status that it answered
+     * @param status the status code of the answer
      */
     record Rejected(int status) implements SendOutcome {}
 
     /**
-     * A target that was only to read the prompt got the call, and rejected it or broke off: it has not run.
+     * A target that was only to prefill the prompt received the call, and rejected it or broke the connection: the
+     * call has not run.
      *
-     * @param reason what happened, for logs and counters, not null
+     * @param reason the cause, for logs and metrics, not null
      */
     record NotRead(String reason) implements SendOutcome {
-        /** Checks. */
+        /** Validates the component. */
         public NotRead {
             Objects.requireNonNull(reason, "reason");
         }
     }
 
     /**
-     * Bytes of the call were written and no whole answer came: it may have run.
+     * Bytes of the call were written and no complete answer was received: the call may have run.
      *
-     * @param reason what ended the wait, for logs and counters, not null
+     * @param reason what ended the wait, for logs and metrics, not null
      */
     record Unknown(String reason) implements SendOutcome {
-        /** Checks. */
+        /** Validates the component. */
         public Unknown {
             Objects.requireNonNull(reason, "reason");
         }
@@ -51,7 +52,7 @@
     /**
      * The target ran the call and answered with a failure of its own.
      *
-     * @param status the status that it answered
+     * @param status the status code of the answer
      */
     record RanAndFailed(int status) implements SendOutcome {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ServiceEntry.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ServiceEntry.java
@@ -4,15 +4,16 @@
 import java.util.Optional;
 
 /**
- * A service that routes name.
+ * A service to which routes refer.
  *
  * @param name the service's name, not null
- * @param maxConnectionsCount the connections that one target of it accepts from all callers together
- * @param engine how its targets work where they are model engines, empty for a plain service
+ * @param maxConnectionsCount maximum number of connections that one target of the service accepts from all instances
+ *     together
+ * @param engine the properties of its targets if they are model engines, empty otherwise
  */
 public record ServiceEntry(String name, int maxConnectionsCount, Optional<EngineTraits> engine) {
 
-    /** Checks. */
+    /** Validates the components. */
     public ServiceEntry {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(engine, "engine");
--- a/src/main/java/org/dogwoodwinch/forwarding/ServiceRoute.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ServiceRoute.java
@@ -4,19 +4,20 @@
 import java.util.Objects;
 
 /**
- * A route: the calls of one host below one path prefix, and how they are served.
+ * A route: the calls of one host with one path prefix, and how they are forwarded.
  *
  * @param name the route's name, not null
- * @param host the host that callers name, in lower case, without a port, not null
- * @param pathPrefix begins and ends with a slash, not null
- * @param kind what may be repeated, not null
- * @param resumable whether a stream may go on at another target after its last event
- * @param timeoutMillis the longest time that a caller is kept waiting
- * @param targetLatencyMillis the time within which an answer earns its full credit; zero where none is stated
- * @param gapAimMillis the longest pause between events that is still on time; zero where none is stated
- * @param maxAttemptsCount the most targets that one request of a caller may be sent to, at least one
- * @param urgency the rank, where zero is the most urgent
- * @param services where the calls go, with their shares, not empty
+ * @param host the host named by callers, in lower case, without a port, not null
+ * @param pathPrefix the path prefix, which begins and ends with a slash, not null
+ * @param kind the kind of its calls, which determines what may be retried, not null
+ * @param resumable whether another target may continue a stream after its last event
+ * @param timeoutMillis maximum time that a caller waits
+ * @param targetLatencyMillis the latency objective, within which an answer earns its full credit; zero if there is
+ *     none
+ * @param gapAimMillis maximum gap between two events that still meets the objective; zero if there is none
+ * @param maxAttemptsCount maximum number of targets to which one request of a caller may be sent, at least one
+ * @param urgency the priority, where zero is the most urgent
+ * @param services the services to which the calls are forwarded, with their weights, not empty
  */
 public record ServiceRoute(
         String name,
@@ -32,34 +33,34 @@
         List<WeightedService> services) {
 
     /**
-     * Checks and copies.
+     * Validates the components and copies the list.
      *
-     * @throws IllegalArgumentException if the prefix lacks a slash at either end, or there is no service
+     * @throws IllegalArgumentException if the prefix does not begin and end with a slash, or there is no service
      */
     public ServiceRoute {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(host, "host");
         Objects.requireNonNull(kind, "kind");
         if (!pathPrefix.startsWith("/") || !pathPrefix.endsWith("/")) {
-            throw new IllegalArgumentException("a path prefix begins and ends with a slash: " + pathPrefix);
+            throw new IllegalArgumentException("path prefix must begin and end with a slash: " + pathPrefix);
         }
         services = List.copyOf(services);
         if (services.isEmpty()) {
-            throw new IllegalArgumentException("route " + name + " names no service");
+            throw new IllegalArgumentException("route " + name + " has no service");
         }
     }
 
     /**
-     * Says whether a call that may have run may be sent again.
+     * Returns whether a call that may have run may be sent again.
      *
-     * @return whether a second run does no harm
+     * @return whether running the call twice is harmless
      */
     public boolean idempotent() {
         return kind == RouteKind.REPEATABLE || (kind == RouteKind.STREAM && resumable);
     }
 
     /**
-     * Chooses the service of one call by the shares.
+     * Chooses the service for one call in proportion to the weights.
      *
      * @param uniform a random number from 0 (inclusive) to 1 (exclusive)
      * @return the service's name
--- a/src/main/java/org/dogwoodwinch/forwarding/SharedSegments.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/SharedSegments.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 
 /**
- * Which parts of prompts other requests may name again. Not thread-safe.
+ * Tracks which prompt segments several requests share. Not thread-safe.
  *
- * <p>The last part of a prompt belongs to the request or its session; where two requests end with it, it is a session's. All
- * parts before the last are shared. What was not named for long is forgotten first.
+ * <p>The last segment of a prompt belongs to the request or its session; if two requests end with it, it belongs to a
+ * session. All segments before the last are shared. The segments that were unused for the longest time are evicted
+ * first.
  */
 public final class SharedSegments {
 
-    /** Some hundred shared parts for each of a dozen engines' memories, in about a megabyte. */
+    /** Some hundred shared segments for each of about a dozen engines, in about one megabyte. */
     private static final int MAX_SEGMENTS = 8_192;
 
     private final Map<String, Boolean> shared = lruMap();
@@ -21,7 +22,7 @@
     private final List<String> newlyShared = new ArrayList<>();
 
     /**
-     * Sees the prompt of a request.
+     * Records the prompt of a request.
      *
      * @param prompt the prompt, not null
      */
@@ -46,29 +47,30 @@
     }
 
     /**
-     * Learns from others that a part is shared.
+     * Records a segment that another instance reported as shared.
      *
-     * @param segmentId the part, not null
-     * @return whether that was news
+     * @param segmentId the segment's id, not null
+     * @return whether the segment was not yet known to be shared
      */
     public boolean learn(String segmentId) {
         return shared.put(segmentId, true) == null;
     }
 
     /**
-     * Says whether a part is shared, as far as is known here.
+     * Returns whether a segment is known to be shared.
      *
-     * @param segmentId the part, not null
-     * @return whether other requests may name it again
+     * @param segmentId the segment's id, not null
+     * @return whether other requests may contain the segment
      */
     public boolean isShared(String segmentId) {
         return shared.containsKey(segmentId);
     }
 
     /**
-     * Takes what was found here and not taken before.
+     * Returns the segments that this instance found to be shared since the last call of this method, and clears the
+     * list.
      *
-     * @return the parts, in the order in which they were found
+     * @return the segment ids, in the order in which they were found
      */
     public List<String> takeNews() {
         List<String> taken = List.copyOf(newlyShared);
--- a/src/main/java/org/dogwoodwinch/forwarding/Stage.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Stage.java
@@ -1,11 +1,11 @@
 package org.dogwoodwinch.forwarding;
 
-/** The part of the work that a target takes. */
+/** The stage of processing that a target serves. */
 public enum Stage {
-    /** Reads prompts and hands their memory on. */
+    /** Prefills prompts and transfers their KV cache to another engine. */
     PREFILL,
-    /** Generates, and reads prompts too where they were not read elsewhere. */
+    /** Decodes, and prefills prompts that were not prefilled elsewhere. */
     DECODE,
-    /** A plain service, or an engine that does both. */
+    /** Runs the whole call: a target that is no model engine, or an engine that prefills and decodes. */
     WHOLE
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanPolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanPolicy.java
@@ -1,17 +1,17 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * When an engine changes its stage.
+ * The thresholds for changing the stage of an engine.
  *
- * @param shortHorizonMillis over which a load counts as recent
- * @param longHorizonMillis over which it counts as lasting; only what is both changes anything
- * @param minWaitMillis the time that prompts wait to be read below which nobody is late because of it
- * @param minWaitRatio how many times longer prompts have to wait at the one stage than at the other, with one engine
- *     less there: two stages that are alike must not trade engines to and fro
- * @param maxBusyRatio the part of the generating slots that may be taken after an engine has left them
- * @param minDecodeCount engines that generate whatever happens, so that the crash of one does not end the service
- * @param dwellMillis the time between two changes, beside the time that the engine is away: what the first one brought has
- *     to show before the next
+ * @param shortHorizonMillis time constant of the average that follows recent load
+ * @param longHorizonMillis time constant of the average that follows lasting load; a change needs both averages
+ * @param minWaitMillis minimum wait for prefill; below it, no call is late because of the wait
+ * @param minWaitRatio how many times longer prompts must wait at one stage than at the other, allowing for one engine
+ *     less there; it prevents engines from moving back and forth between two equally loaded stages
+ * @param maxBusyRatio maximum share of the decode slots in use after an engine has left the decode stage
+ * @param minDecodeCount minimum number of decode engines, so that the crash of one does not interrupt the service
+ * @param dwellMillis time between two changes, in addition to the time for which the engine is unavailable, so that
+ *     the effect of the first change shows before the next
  */
 public record StagePlanPolicy(
         long shortHorizonMillis,
@@ -22,6 +22,6 @@
         int minDecodeCount,
         long dwellMillis) {
 
-    /** In force unless settings state others. */
+    /** Used unless the settings define others. */
     public static final StagePlanPolicy STANDARD = new StagePlanPolicy(1_000, 4_000, 60, 3, 0.8, 3, 1_500);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
@@ -11,15 +11,18 @@
 /**
  * Plans which engine of a service changes its stage. Not thread-safe.
  *
- * <p>Load: the mix of prompt and output shifts within minutes, and the split of engines that was right before leaves
- * prompts waiting at those that read while those that generate have next to nothing to do, or the other way round. The
- * planner compares how long a prompt waits at the engines of either stage, over two horizons.
+ * <p>Load: the ratio of prompt length to output length changes within minutes. With a split of the engines that no
+ * longer fits, prompts wait at the prefill engines while the decode engines are nearly idle, or vice versa. The
+ * planner compares how long prompts wait at the engines of each stage, averaged over two horizons.
  */
 public final class StagePlanner {
 
     private static final int ENGINES_PER_CHANGE = 8;
 
-    /** An engine finishes what it runs before it changes; one that has not changed by then is not waited for. */
+    /**
+     * An engine completes its running requests before it changes; a change that has taken longer than this is no
+     * longer awaited.
+     */
     private static final long MAX_CHANGE_MILLIS = 15_000;
 
     private final StagePlanPolicy policy;
@@ -32,37 +35,38 @@
     private int enginesCount;
 
     /**
-     * Creates a planner that has seen nothing.
+     * Creates a planner without samples.
      *
      * @param policy the thresholds, not null
-     * @param prefillRates how fast engines read, not null
+     * @param prefillRates the prefill rates of the engines, not null
      */
     public StagePlanner(StagePlanPolicy policy, ReadRates prefillRates) {
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.prefillRates = Objects.requireNonNull(prefillRates, "rates");
+        this.prefillRates = Objects.requireNonNull(prefillRates, "prefillRates");
         this.prefillWait = new TwoHorizonAverage(policy);
         this.decodeWait = new TwoHorizonAverage(policy);
         this.decodeBusy = new TwoHorizonAverage(policy);
     }
 
     /**
-     * An engine that is to change.
+     * A planned change of an engine's stage.
      *
-     * @param engine the engine as it is, not null
-     * @param stage the stage that it is to have, not null
-     * @param reason what was seen, for logs, not null
+     * @param engine the engine before the change, not null
+     * @param stage the new stage, not null
+     * @param reason the measured averages, for logs, not null
      */
     public record Change(Incarnation engine, Stage stage, String reason) {}
 
     /**
-     * Looks at the loads. Called again and again, whether or not a change is wanted.
+     * Records the current loads and returns a change if one is worthwhile. Must be called regularly, even if no
+     * change is wanted.
      *
-     * @param ready the engines of the service that take work, not null
-     * @param isRateLimited whether an engine takes no more than the few calls that it names, not null
-     * @param loadOf what is under way at an engine, by its id, not null
-     * @param isEligible whether an engine, by its id, may be changed, not null
+     * @param ready the engines of the service that accept work, not null
+     * @param isRateLimited whether an engine accepts only the few calls of a rate limit that it states, not null
+     * @param loadOf the load of an engine, by its id, not null
+     * @param isEligible whether the engine with an id may be changed, not null
      * @param nowMillis monotonic milliseconds
-     * @return a change that is worth it now
+     * @return the change to order now, or empty if none is worthwhile
      */
     public Optional<Change> plan(
             List<Incarnation> ready,
@@ -104,10 +108,11 @@
     }
 
     /**
-     * Gives a stage back what engines that name a limit have taken from it.
+     * Replaces an engine in a stage whose engines all state rate limits.
      *
-     * <p>Load: all engines that generate name limits of a few calls a second, and those that read have room. What is read
-     * has nowhere to run, and callers are refused; nothing waits at the limited engines, so the waits show no need.
+     * <p>Load: all decode engines state limits of a few calls per second, while the prefill engines have capacity.
+     * Prefilled prompts have no engine to run on, and callers are refused. No prompts queue at the rate-limited
+     * engines, so the measured waits do not show the shortage.
      */
     private Optional<Change> replaceRateLimited(
             List<Incarnation> prefillEngines,
@@ -123,7 +128,9 @@
         return Optional.empty();
     }
 
-    /** It is listed with its old stage until it has finished what it ran and is back. */
+    /**
+     * An engine remains listed with its old stage until it has completed its running requests and is available again.
+     */
     private boolean isChanging(Incarnation engine) {
         return pendingChanges.stream()
                 .anyMatch(pending -> pending.change.engine().id().equals(engine.id()));
@@ -136,11 +143,12 @@
     }
 
     /**
-     * An order was given. Of many engines several may be away at once, one of eight at the most: what one engine brings
-     * does not show there, and a mix that shifts within seconds would be over before one after the other had changed.
+     * Records that a change was ordered. In a large service several engines may change at the same time, at most one
+     * of eight: the effect of a single engine does not show there, and a load that shifts within seconds would have
+     * changed again before engines could follow one after another.
      *
-     * @param change what was ordered, not null
-     * @param unavailableMillis how long the engine is away
+     * @param change the change that was ordered, not null
+     * @param unavailableMillis time for which the engine is unavailable
      * @param nowMillis monotonic milliseconds
      */
     public void ordered(Change change, long unavailableMillis, long nowMillis) {
@@ -150,9 +158,9 @@
     }
 
     /**
-     * An order was not taken: the engine stands as it is listed.
+     * Records that an order was rejected: the engine keeps the stage with which it is listed.
      *
-     * @param change what was ordered, not null
+     * @param change the change that was ordered, not null
      */
     public void notTaken(Change change) {
         pendingChanges.removeIf(pending -> pending.change.equals(change));
@@ -219,7 +227,7 @@
     @Override
     public String toString() {
         return String.format(
-                "reading %.0f/%.0f ms, generating %.0f/%.0f ms, busy %.2f/%.2f",
+                "prefill wait %.0f/%.0f ms, decode wait %.0f/%.0f ms, decode slot use %.2f/%.2f",
                 prefillWait.shortAverage,
                 prefillWait.longAverage,
                 decodeWait.shortAverage,
@@ -228,7 +236,7 @@
                 decodeBusy.longAverage);
     }
 
-    /** An engine that is expected to take up a stage. */
+    /** A change whose engine is expected to be listed with its new stage. */
     private record PendingChange(Change change, long untilMillis) {
 
         boolean isOver(List<Incarnation> ready, long nowMillis) {
@@ -239,7 +247,7 @@
         }
     }
 
-    /** A figure averaged over both horizons. */
+    /** A measured value, exponentially averaged over both horizons. */
     private static final class TwoHorizonAverage {
         private final StagePlanPolicy policy;
         private double shortAverage;
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetChooser.java
@@ -2,41 +2,41 @@
 
 import java.util.Optional;
 
-/** Chooses where a call goes. */
+/** Chooses the target of a call. */
 public interface TargetChooser {
 
     /**
-     * Chooses.
+     * Chooses the target of a call and, if its prompt is prefilled separately, the target that prefills it.
      *
      * @param query the call, not null
-     * @return the plan, or empty where no target may get it
+     * @return the plan, or empty if no target may receive the call
      */
     Optional<Plan> choose(ChoiceQuery query);
 
     /**
-     * Chooses the target that runs a call whose prompt another has read.
+     * Chooses the target that runs a call whose prompt another target has prefilled.
      *
      * @param query the call, not null
-     * @param prefillTarget the target that read, not null
-     * @return the target, or empty where none may get it
+     * @param prefillTarget the target that prefilled, not null
+     * @return the target, or empty if no target may receive the call
      */
     default Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation prefillTarget) {
         return choose(query).map(Plan::target);
     }
 
     /**
-     * Says whether a target that was chosen a while ago may still get what it was chosen for.
+     * Returns whether a target that was chosen earlier may still receive the call for which it was chosen.
      *
      * @param target the target as it was chosen, not null
-     * @return false where it leaves, is gone, has started again or takes another part of the work since
+     * @return false if it has since begun to drain, was removed, restarted, or changed its stage
      */
     boolean serves(Incarnation target);
 
     /**
-     * Says when a target may get a call for which none was found.
+     * Returns when a target may accept a call for which none was available.
      *
      * @param query the call, not null
-     * @return milliseconds from now, zero where that is not known
+     * @return the time from now in milliseconds, zero if it is not known
      */
     long roomMillis(ChoiceQuery query);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
@@ -10,9 +10,10 @@
 import java.util.Set;
 
 /**
- * The targets as the platform's list tells them. Not thread-safe.
+ * The targets in the platform's registry. Not thread-safe.
  *
- * <p>Records are applied by their offset, so that a page read late cannot bring back what a newer record changed.
+ * <p>Records are applied in the order of their offsets, so that a page that was read late cannot revert a newer
+ * record.
  */
 public final class TargetDirectory {
 
@@ -25,8 +26,8 @@
     /**
      * Creates a directory without targets.
      *
-     * @param health which targets cannot be reached from here, not null
-     * @param limits which targets name a limit, and what of it is left here, not null
+     * @param health the targets that cannot be reached from this instance, not null
+     * @param limits the rate limits that targets state, and this instance's remaining share of them, not null
      */
     public TargetDirectory(TargetHealth health, TargetLimits limits) {
         this.limits = Objects.requireNonNull(limits, "limits");
@@ -34,13 +35,13 @@
     }
 
     /**
-     * Applies a record. One of an earlier start of a target that has started again since is passed over: it was written
-     * late, and would bring back an address and a state that are no more.
+     * Applies a record. A record of an earlier incarnation of a target that has since restarted is ignored: it was
+     * written late, and would restore an obsolete address and state.
      *
      * @param id the target's id, not null
      * @param offset the record's offset
-     * @param incarnation what it states, empty where the entry was removed
-     * @return whether it was news
+     * @param incarnation the incarnation in the record, empty if the entry was removed
+     * @return whether the record changed the directory
      */
     public boolean apply(String id, long offset, Optional<Incarnation> incarnation) {
         Entry previous = entries.get(id);
@@ -53,11 +54,11 @@
     }
 
     /**
-     * Drops the entries that a full reading did not list though it covers their records.
+     * Removes the entries that a full listing covers by its offset but does not contain.
      *
-     * @param listed the ids that were listed, not null
-     * @param endOffset the end of the log when the reading began
-     * @return the ids that were dropped
+     * @param listed the ids in the listing, not null
+     * @param endOffset the end of the log when the listing began
+     * @return the ids of the removed entries
      */
     public List<String> retain(Collection<String> listed, long endOffset) {
         List<String> dropped = new ArrayList<>();
@@ -71,19 +72,19 @@
     }
 
     /**
-     * Returns how many targets are listed and not leaving.
+     * Returns the number of targets that are listed and not draining.
      *
-     * @return the count over all services
+     * @return the number over all services
      */
     public int readyCount() {
         return readyCount;
     }
 
     /**
-     * Returns the targets that may get new work.
+     * Returns the targets that may receive new calls.
      *
      * @param service the service's name, not null
-     * @return those listed and not leaving, but for what could not be reached of late
+     * @return the targets that are listed and not draining, without those that are ejected or changing their stage
      */
     public List<Incarnation> ready(String service) {
         if (readyByService.isEmpty()) {
@@ -93,10 +94,10 @@
     }
 
     /**
-     * Says whether a target is what it was when it was chosen.
+     * Returns whether a target is unchanged since it was chosen.
      *
-     * @param target the target as it was then, not null
-     * @return false where it leaves, is gone, has started again or takes another part of the work since
+     * @param target the target as it was chosen, not null
+     * @return false if it has since begun to drain, was removed, restarted, or changed its stage
      */
     public boolean serves(Incarnation target) {
         return find(target.id())
@@ -108,31 +109,32 @@
     }
 
     /**
-     * Says whether a target takes a call from here now.
+     * Returns whether a target accepts a call of this instance now.
      *
      * @param target the target, not null
-     * @return false where it names a limit and this instance's share of it is used up
+     * @return false if the target states a rate limit and this instance's share of it is used up
      */
     public boolean hasRoom(Incarnation target) {
         return limits.hasRoom(target.id());
     }
 
     /**
-     * Says whether a target names a limit: what all instances would send there has to go elsewhere.
+     * Returns whether a target states a rate limit. Calls that all instances would send to it have to be sent
+     * elsewhere.
      *
      * @param target the target, not null
-     * @return whether it is limited
+     * @return whether the target is rate-limited
      */
     public boolean isLimited(Incarnation target) {
         return limits.isLimited(target.id());
     }
 
     /**
-     * Returns when the first of a service's targets has room again.
+     * Returns when the first of a service's targets has capacity again.
      *
      * @param service the service's name, not null
-     * @param triedTargetIds targets that do not count, not null
-     * @return milliseconds from now; zero where one has room, or none is left
+     * @param triedTargetIds the ids of targets to leave out, not null
+     * @return the time from now in milliseconds; zero if a target has capacity, or no target remains
      */
     public long roomMillis(String service, Set<String> triedTargetIds) {
         return ready(service).stream()
@@ -145,8 +147,8 @@
     /**
      * Returns a target.
      *
-     * @param id its id, not null
-     * @return the target where it is listed, leaving or not
+     * @param id the target's id, not null
+     * @return the target if it is listed, draining or not
      */
     public Optional<Incarnation> find(String id) {
         Entry entry = entries.get(id);
@@ -154,9 +156,9 @@
     }
 
     /**
-     * Returns all targets that are listed.
+     * Returns all listed targets.
      *
-     * @return ready and leaving ones
+     * @return the targets, draining or not
      */
     public List<Incarnation> all() {
         return entries.values().stream()
@@ -170,7 +172,7 @@
         readyByService = Optional.empty();
     }
 
-    /** Made when it is asked for: a first reading brings all targets one after the other. */
+    /** Called on demand, because the first listing adds all targets one after the other. */
     private Map<String, List<Incarnation>> indexByService() {
         Map<String, List<Incarnation>> readyTargets = new HashMap<>();
         for (Entry entry : entries.values()) {
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetHealth.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetHealth.java
@@ -7,37 +7,44 @@
 import java.util.function.LongSupplier;
 
 /**
- * Which targets this instance leaves alone for a while, as they could not be reached of late. Not thread-safe.
+ * Ejects targets that failed recently for a limited time, during which this instance sends them no calls. Not
+ * thread-safe.
  *
- * <p>Failure: a target that crashed stays listed for some seconds. Every call whose prompt has its home there tries it
- * first, and is then read by an engine that it keeps from generating; its caller sees a late first event. Left out after
- * the first failure, and tried again after a pause that doubles, it costs one call a pause. A judgement that is wrong
- * for many targets at once, as when this instance's own links are cut, must not empty a service: of its targets no more
- * than half are left out.
+ * <p>Failure: a crashed target stays listed for some seconds. Every call whose affinity engine it is tries it first
+ * and is then prefilled by a decode engine, which delays the streams there and the call's own first event. A target
+ * that is ejected at the first failure, and tried again after an ejection time that doubles, costs one call per
+ * ejection. If many targets seem to fail at once, for example because this instance's own links are cut, a service
+ * must keep usable targets: at most half of its targets are ejected.
  *
- * <p>Failure: a target opens connections and breaks off each call. None is under way there for long, so it looks like the
- * target with the least to do, and the more calls it breaks off the more it gets; its callers see failures within
- * milliseconds while sound targets have room. That it opens connections is therefore no sign of health.
+ * <p>Failure: a target accepts connections and breaks each call. Its calls end quickly, so it looks like the target
+ * with the lowest load, and the more calls it breaks the more it receives; callers see failures within milliseconds
+ * while healthy targets have capacity. An accepted connection is therefore no sign of health.
  *
- * <p>Failure: half of a service's targets lose a part of their answers. Left alone for each call that they break off, they
- * leave their work to the others, and more callers are late than had failed. An answer of a moment ago says that a target
- * breaks off a part of its calls alone; several broken off in a row say otherwise.
+ * <p>Failure: half of a service's targets lose a part of their answers. If each broken call ejected its target, these
+ * targets would leave their work to the others, and more callers would be late than had failed. A recent answer shows
+ * that a target breaks only a part of its calls; several broken calls in a row show the opposite.
  */
 public final class TargetHealth {
 
-    /** Less than a target needs to come back, and enough that one in some ten calls tries it. */
+    /** Shorter than a target needs to restart, and long enough that only about one in ten calls tries it. */
     private static final long FIRST_EJECTION_MILLIS = 500;
 
-    /** A target that is gone leaves the list within some seconds; one that came back waits no longer than this. */
+    /**
+     * A crashed target is removed from the registry within some seconds; a restarted target waits no longer than
+     * this.
+     */
     private static final long MAX_EJECTION_MILLIS = 4_000;
 
-    /** A target that answered this instance so long ago breaks off a part of its calls at the most. */
+    /** A target that answered this instance within this time is assumed to break only a part of its calls. */
     private static final long RECENT_ANSWER_MILLIS = 2_000;
 
-    /** Unless so many are broken off without an answer between them. */
+    /**
+     * Number of broken calls without an answer between them after which a target is ejected in spite of a recent
+     * answer.
+     */
     private static final int CONSECUTIVE_BROKEN_LIMIT = 3;
 
-    /** What one instance finds out serves all, so that a probe a second costs the fleet one call. */
+    /** All instances share what one of them finds, so a probe per second costs all instances together one call. */
     private static final long MAX_SHARED_EJECTION_MILLIS = 1_000;
 
     private final LongSupplier clockMillis;
@@ -46,7 +53,7 @@
     private final Map<String, CallHistory> callHistories = new HashMap<>();
 
     /**
-     * Creates a judgement that knows nothing.
+     * Creates an instance without ejected targets.
      *
      * @param clockMillis monotonic milliseconds, not null
      */
@@ -55,20 +62,21 @@
     }
 
     /**
-     * No connection could be opened, or another target answered at the address.
+     * Records that no connection could be opened, or that another target answered at the address.
      *
      * @param targetId the target's id, not null
-     * @return the pause until it is tried again, in milliseconds
+     * @return the time until the target is tried again, in milliseconds
      */
     public long unreachable(String targetId) {
         return eject(targetId, MAX_EJECTION_MILLIS, false);
     }
 
     /**
-     * A new connection was broken off before an answer; the other instances are told of it where it is left alone.
+     * Records that a new connection was broken before an answer. If this ejects the target, the other instances are
+     * informed.
      *
      * @param targetId the target's id, not null
-     * @return the pause until it is tried again, in milliseconds; zero where it goes on being used
+     * @return the time until the target is tried again, in milliseconds; zero if it is not ejected
      */
     public long brokeOff(String targetId) {
         CallHistory history = callHistories.computeIfAbsent(targetId, _id -> new CallHistory());
@@ -91,11 +99,12 @@
     }
 
     /**
-     * Another instance found that a target cannot be used.
+     * Records that another instance ejected a target.
      *
      * @param targetId the target's id, not null
-     * @param peerEjectionMillis the pause of the instance that found it; a pause of this one's own goes on from there
-     * @param ejectionMillis the pause here, none where it is not positive
+     * @param peerEjectionMillis the ejection time of the other instance, which later ejections by this instance
+     *     double
+     * @param ejectionMillis the ejection time here; if it is not positive, the target is not ejected
      */
     public void told(String targetId, long peerEjectionMillis, long ejectionMillis) {
         long untilMillis = clockMillis.getAsLong() + ejectionMillis;
@@ -110,27 +119,27 @@
     }
 
     /**
-     * Says whether a target is left out now as one that cannot be used.
+     * Returns whether a target is ejected now because it failed.
      *
      * @param targetId the target's id, not null
-     * @return whether its pause goes on
+     * @return whether its ejection time has not yet passed
      */
     public boolean isPaused(String targetId) {
         return isEjectedAt(targetId, clockMillis.getAsLong());
     }
 
     /**
-     * A target changes its stage and takes nothing meanwhile: what has not started there is rejected.
+     * Records that a target changes its stage and accepts no calls meanwhile: it rejects what it has not started.
      *
      * @param targetId the target's id, not null
-     * @param maxMillis how long it is left out, unless it is back earlier
+     * @param maxMillis the time for which it is left out, unless it is available earlier
      */
     public void away(String targetId, long maxMillis) {
         stageChangeUntilMillis.put(targetId, clockMillis.getAsLong() + maxMillis);
     }
 
     /**
-     * A target is back from a change of its stage.
+     * Records that a target has completed the change of its stage.
      *
      * @param targetId the target's id, not null
      */
@@ -139,10 +148,10 @@
     }
 
     /**
-     * Says whether a target changes its stage.
+     * Returns whether a target is changing its stage.
      *
      * @param targetId the target's id, not null
-     * @return whether it is left out for that
+     * @return whether it is left out for this reason
      */
     public boolean isAway(String targetId) {
         Long untilMillis = stageChangeUntilMillis.get(targetId);
@@ -150,8 +159,10 @@
     }
 
     /**
-     * The target answered a call, in whatever way. That it can be reached ends a pause for want of a connection at once; one
-     * for a call that was broken off goes on, as the answer is to a call from before it, and the next begins anew.
+     * Records that the target answered a call, with any result. This ends an ejection for a failed connection at
+     * once, as it shows that the target can be reached. An ejection for a broken call continues, because the answer
+     * belongs to a call sent before it; if its time has passed, the answer clears it, and the next ejection starts
+     * with the first ejection time.
      *
      * @param targetId the target's id, not null
      */
@@ -166,7 +177,7 @@
     }
 
     /**
-     * Another instance had an answer of the target after a pause.
+     * Records that another instance received an answer of the target after an ejection.
      *
      * @param targetId the target's id, not null
      */
@@ -175,7 +186,7 @@
     }
 
     /**
-     * A target is listed no more.
+     * Removes a target that is no longer listed.
      *
      * @param targetId the target's id, not null
      */
@@ -186,10 +197,10 @@
     }
 
     /**
-     * Leaves out what cannot be reached.
+     * Leaves out the targets that are ejected or changing their stage.
      *
      * @param targets the targets of one service, not null
-     * @return those that may be tried; all of them where more than half would be left out
+     * @return the targets that may be tried; all of them if more than half would be left out
      */
     public List<Incarnation> usable(List<Incarnation> targets) {
         if (ejections.isEmpty() && stageChangeUntilMillis.isEmpty()) {
@@ -214,7 +225,7 @@
                 && clockMillis.getAsLong() - history.lastAnswerMillis < RECENT_ANSWER_MILLIS;
     }
 
-    /** What calls of this instance told of a target. */
+    /** The results of this instance's calls to a target. */
     private static final class CallHistory {
         private long lastAnswerMillis = Long.MIN_VALUE;
         private int consecutiveBroken;
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetLimits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetLimits.java
@@ -10,36 +10,40 @@
 import org.dogwoodwinch.time.TokenBucket;
 
 /**
- * Which targets name a limit in their answers, and what of it this instance may use. Not thread-safe.
+ * Tracks the rate limits that targets state in their answers, and this instance's use of its share. Not thread-safe.
  *
- * <p>Failure: a target in need names the calls a second that it takes from all instances together, and is sent as many as
- * before; it falls behind, and with it all that it has accepted. Whatever arrives there counts, also what it rejects, so each
- * send takes a call from this instance's share before a connection is taken for it.
+ * <p>Failure: an overloaded target states the calls per second that it accepts from all instances together, and the
+ * instances send as many as before; the target falls behind with all calls that it has accepted. Every call that
+ * arrives there counts, even one that it rejects. Each attempt therefore takes a call from this instance's share
+ * before a connection is taken for it.
  */
 public final class TargetLimits {
 
-    /** What was not used of a share is lost after so long: a target in need is to get no burst. */
+    /** An unused share expires after this time: an overloaded target should receive no burst. */
     private static final double BURST_MILLIS = 250;
 
-    /** Kept however slow the share is, so that what falls due while no call comes by is not lost. */
+    /**
+     * Minimum size of the token bucket however small the share is, so that a call that falls due while none is
+     * waiting is not lost.
+     */
     private static final double MIN_BURST_CALLS = 1.5;
 
-    /** Several words of those who keep the others informed, and time for their successors to do so. */
+    /** Allows for several reports of the share holders, and for their successors to take over reporting. */
     private static final long REPORT_TTL_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** What became of what is believed. */
+    /** The change of a target's known rate limit. */
     public enum News {
-        /** It stays as it was. */
+        /** The limit is unchanged. */
         NONE,
-        /** The target names a limit, and named none before. */
+        /** The target states a limit, and stated none before. */
         NAMED,
-        /** It names another limit. */
+        /** The target states a different limit. */
         CHANGED,
-        /** It names none any more. */
+        /** The target no longer states a limit. */
         ENDED,
-        /** Nobody has said for a while that it names one. */
+        /** No instance has reported the limit for some time. */
         LAPSED
     }
 
@@ -49,10 +53,10 @@
     private final Map<String, Long> endedMillisByTarget = new HashMap<>();
 
     /**
-     * Creates a book without limits.
+     * Creates an instance without limits.
      *
      * @param clockMillis monotonic milliseconds, not null
-     * @param shares what of a limit is for this instance, not null
+     * @param shares the shares of this instance, not null
      */
     public TargetLimits(LongSupplier clockMillis, LimitShares shares) {
         this.clockMillis = Objects.requireNonNull(clockMillis, "clockMillis");
@@ -60,13 +64,13 @@
     }
 
     /**
-     * A target answered a call of this instance. That it names no limit counts only where the call was sent after the limit
-     * was known: answers of several instances are not read in the order in which they were made.
+     * Records the answer to a call of this instance. An answer without a limit ends the limit only if the call was
+     * sent after the limit was stated: answers are not processed in the order in which the target made them.
      *
      * @param targetId the target's id, not null
-     * @param callsPerSecond the limit that the answer names, empty where it names none, not null
-     * @param sentMillis when the call was sent, in monotonic milliseconds
-     * @return what is new
+     * @param callsPerSecond the limit that the answer states, empty if it states none, not null
+     * @param sentMillis time at which the call was sent, in monotonic milliseconds
+     * @return the change
      */
     public News answered(String targetId, OptionalDouble callsPerSecond, long sentMillis) {
         LimitState limit = limits.get(targetId);
@@ -79,12 +83,13 @@
     }
 
     /**
-     * Another instance tells what a target stated to it. A word that is older than what is known replaces nothing.
+     * Records what another instance reports about a target's limit. A report that is older than the known state is
+     * ignored.
      *
      * @param targetId the target's id, not null
-     * @param callsPerSecond the limit, empty where the target names none any more, not null
-     * @param statedMillis when the target stated it, in monotonic milliseconds of this instance
-     * @return what is new
+     * @param callsPerSecond the limit, empty if the target no longer states one, not null
+     * @param statedMillis time of the target's statement, in monotonic milliseconds of this instance
+     * @return the change
      */
     public News told(String targetId, OptionalDouble callsPerSecond, long statedMillis) {
         LimitState limit = limits.get(targetId);
@@ -123,10 +128,11 @@
     }
 
     /**
-     * Forgets limits of which nothing was heard for a while. Those who have a share do not, and keep the others informed: a
-     * call of theirs finds out.
+     * Removes the limits that were not reported for some time, unless this instance is a share holder. The share
+     * holders keep their limits and report them to the other instances; one of their calls detects the end of the
+     * limit.
      *
-     * @return the targets whose limits have lapsed
+     * @return the ids of the targets whose limits were removed
      */
     public List<String> lapse() {
         long oldestMillis = clockMillis.getAsLong() - REPORT_TTL_MILLIS;
@@ -143,9 +149,9 @@
     }
 
     /**
-     * Returns the limits that this instance keeps the others informed of.
+     * Returns the limits that this instance reports to the others.
      *
-     * @return what is believed, by target
+     * @return the known limits by target id
      */
     public Map<String, StatedLimit> kept() {
         Map<String, StatedLimit> held = new HashMap<>();
@@ -158,29 +164,29 @@
     }
 
     /**
-     * Says whether a target is believed to be limited.
+     * Returns whether a target is rate-limited.
      *
      * @param targetId the target's id, not null
-     * @return whether a limit that it named is in force
+     * @return whether a limit stated by the target is in force
      */
     public boolean isLimited(String targetId) {
         return limits.containsKey(targetId);
     }
 
     /**
-     * Returns how many targets are believed to be limited.
+     * Returns the number of rate-limited targets.
      *
-     * @return the count over all services
+     * @return the number over all services
      */
     public int count() {
         return limits.size();
     }
 
     /**
-     * Says whether a call may go to a target now.
+     * Returns whether a call may be sent to a target now.
      *
      * @param targetId the target's id, not null
-     * @return false where it is limited and this instance's share is used up, or it has none
+     * @return false if the target is rate-limited and this instance has no share or has used it up
      */
     public boolean hasRoom(String targetId) {
         LimitState limit = limits.get(targetId);
@@ -188,19 +194,19 @@
     }
 
     /**
-     * Returns the targets that get no call from here now.
+     * Returns the targets to which this instance may send no call now.
      *
-     * @return the ids of those that are limited and have no room
+     * @return the sorted ids of the targets that are rate-limited and have no capacity for this instance
      */
     public List<String> usedUp() {
         return limits.keySet().stream().filter(id -> !hasRoom(id)).sorted().toList();
     }
 
     /**
-     * Takes a call from this instance's share, where the target is limited.
+     * Takes a call from this instance's share if the target is rate-limited.
      *
      * @param targetId the target's id, not null
-     * @return whether the call may go there
+     * @return whether the call may be sent
      */
     public boolean take(String targetId) {
         LimitState limit = limits.get(targetId);
@@ -216,10 +222,11 @@
     }
 
     /**
-     * Returns when a target takes the next call, from here or, where this instance has no share, from another one.
+     * Returns when a target accepts the next call, from this instance or, if this instance has no share, from another
+     * one.
      *
      * @param targetId the target's id, not null
-     * @return milliseconds from now; zero where a call may go there at once
+     * @return the time from now in milliseconds; zero if a call may be sent at once
      */
     public long roomMillis(String targetId) {
         LimitState limit = limits.get(targetId);
@@ -234,7 +241,7 @@
     }
 
     /**
-     * A target is listed no more, or has started anew.
+     * Removes a target that is no longer listed or has restarted.
      *
      * @param targetId the target's id, not null
      */
@@ -249,10 +256,10 @@
     }
 
     /**
-     * A limit as its target stated it.
+     * A rate limit as stated by its target.
      *
-     * @param perSecond the calls a second that it takes from all instances together
-     * @param statedMillis when, in monotonic milliseconds of this instance
+     * @param perSecond the calls per second that the target accepts from all instances together
+     * @param statedMillis time of the statement, in monotonic milliseconds of this instance
      */
     public record StatedLimit(double perSecond, long statedMillis) {}
 
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetLoad.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetLoad.java
@@ -3,45 +3,45 @@
 import java.util.Objects;
 
 /**
- * What is under way at a target.
+ * The calls in flight at a target.
  *
- * @param callsCount calls that were sent and have not ended
- * @param unread the prompts of calls that show no event yet, not null
+ * @param callsCount number of calls that were sent and have not ended
+ * @param unread the prompts of calls without a first event, not null
  */
 public record TargetLoad(int callsCount, ReadQueue unread) {
 
-    /** Nothing is under way. */
+    /** No calls in flight. */
     public static final TargetLoad EMPTY = new TargetLoad(0, ReadQueue.EMPTY);
 
-    /** Checks. */
+    /** Validates the components. */
     public TargetLoad {
         Objects.requireNonNull(unread, "unread");
     }
 
     /**
-     * Says whether nothing is under way.
+     * Returns whether there is neither a call in flight nor a prompt that waits.
      *
-     * @return whether there is neither a call nor a prompt that waits
+     * @return whether the load is empty
      */
     public boolean isEmpty() {
         return callsCount == 0 && unread.equals(ReadQueue.EMPTY);
     }
 
     /**
-     * Returns the sum.
+     * Returns the sum of this load and another.
      *
-     * @param other what else is under way, not null
-     * @return both together
+     * @param other the other load, not null
+     * @return the sum
      */
     public TargetLoad plus(TargetLoad other) {
         return new TargetLoad(callsCount + other.callsCount, unread.plus(other.unread));
     }
 
     /**
-     * Returns the difference.
+     * Returns the difference of this load and a part of it.
      *
-     * @param other a part of this, not null
-     * @return what is left
+     * @param other the part to subtract, not null
+     * @return the difference
      */
     public TargetLoad minus(TargetLoad other) {
         return new TargetLoad(callsCount - other.callsCount, unread.minus(other.unread));
--- a/src/main/java/org/dogwoodwinch/forwarding/WeightedService.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/WeightedService.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * A service that gets a share of a route's calls.
+ * A service that receives a share of a route's calls.
  *
  * @param service the service's name, not null
- * @param weight its share against the weights beside it, not negative
+ * @param weight its weight relative to the other services of the route, not negative
  */
 public record WeightedService(String service, double weight) {
 
     /**
-     * Checks the weight.
+     * Validates the components.
      *
      * @throws IllegalArgumentException if the weight is negative or not a number
      */
--- a/src/main/java/org/dogwoodwinch/forwarding/package-info.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions about forwarded calls: which route and service a call belongs to, which target gets it, what is known of a
- * sent call, and whether it may be sent again. Pure: no I/O, no clock.
+ * Decisions on forwarding calls: the route and service of a call, the target that receives it, the outcome of an
+ * attempt, and whether the call may be retried. The package performs no I/O and reads no clock of its own.
  */
 package org.dogwoodwinch.forwarding;
