--- a/src/test/java/org/dogwoodwinch/forwarding/ConnectionSharersTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/ConnectionSharersTest.java
@@ -9,28 +9,30 @@
 class ConnectionSharersTest {
 
     /**
-     * A crowd comes while answers are lost. With a sixteenth of an engine's 210 connections each, nine instances held 117
-     * and refused calls; with what was seen each has half as many again.
+     * With 210 / 16 = 13 connections each, nine instances held 117 of 210 and refused calls while answers were lost.
      */
     @Test
-    void nineInstancesHaveMostOfAnEnginesConnections() {
+    void nineInstancesEachGetNineteenOfTwoHundredTenConnections() {
         int each = 210 / ConnectionSharers.count(OptionalInt.of(9), 16);
         assertEquals(19, each);
     }
 
-    /** An instance that joins and is not yet counted must not take the sum over the bound, at which calls are reset. */
+    /**
+     * An instance that joins before it is counted must not raise the sum above the limit: the target resets the
+     * excess.
+     */
     @Test
-    void theSumStaysBelowTheBoundWhileInstancesJoin() {
+    void sumStaysWithinLimitWhileInstancesJoin() {
         for (int seen = 1; seen <= 500; seen++) {
-            int sharers = ConnectionSharers.count(OptionalInt.of(seen), 16);
-            int joining = sharers - seen;
+            int instancesCount = ConnectionSharers.count(OptionalInt.of(seen), 16);
+            int joining = instancesCount - seen;
             assertTrue(joining >= 1);
-            assertTrue((seen + joining) * (540 / sharers) <= 540);
+            assertTrue((seen + joining) * (540 / instancesCount) <= 540);
         }
     }
 
     @Test
-    void beforeAnyListTheSettingsHold() {
+    void defaultCountIsUsedBeforeFirstList() {
         assertEquals(16, ConnectionSharers.count(OptionalInt.empty(), 16));
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/EngineChooserTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/EngineChooserTest.java
@@ -23,19 +23,19 @@
     private final TargetLimits limits = NoLimits.book();
     private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), limits);
     private final LoadBook loads = new LoadBook();
-    private final PartIndex parts = new PartIndex();
+    private final PartIndex cacheIndex = new PartIndex();
 
     @BeforeEach
-    void listEngines() {
+    void registerEngines() {
         for (int i = 0; i < 3; i++) {
-            list("p" + i, Stage.PREFILL, 10 + i);
+            register("p" + i, Stage.PREFILL, 10 + i);
         }
         for (int i = 0; i < 5; i++) {
-            list("d" + i, Stage.DECODE, 20 + i);
+            register("d" + i, Stage.DECODE, 20 + i);
         }
     }
 
-    private void list(String id, Stage stage, long offset) {
+    private void register(String id, Stage stage, long offset) {
         directory.apply(id, offset, Optional.of(new Incarnation(id, "s", "10.0.0.1", 80, "dc", 64, false, stage, 1)));
     }
 
@@ -43,52 +43,54 @@
         return new EngineChooser(
                 directory,
                 loads,
-                parts,
+                cacheIndex,
                 new ReadRates(30),
                 EngineChoicePolicy.STANDARD,
                 new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(seed)),
                 "dc");
     }
 
-    private static ChoiceQuery query(String shared, String own, String... tried) {
-        Prompt prompt =
-                new Prompt("m", 17_000, 20, List.of(new PromptPart(shared, 13_000), new PromptPart(own, 4_000)));
-        return new ChoiceQuery(SERVICE, Optional.of(prompt), 1, 5_000, 0, Set.of(tried), true);
+    private static ChoiceQuery query(String sharedSegment, String ownSegment, String... triedTargetIds) {
+        Prompt prompt = new Prompt(
+                "m", 17_000, 20, List.of(new PromptPart(sharedSegment, 13_000), new PromptPart(ownSegment, 4_000)));
+        return new ChoiceQuery(SERVICE, Optional.of(prompt), 1, 5_000, 0, Set.of(triedTargetIds), true);
     }
 
-    private static String reader(Plan plan) {
+    private static String prefillTargetId(Plan plan) {
         return plan.prefill().orElseGet(plan::target).id();
     }
 
-    /** Two instances that have never heard of each other read a shared part at one engine. */
+    /** Two instances that have no information from each other must prefill a shared segment on the same engine. */
     @Test
-    void instancesAgreeOnAHomeWithoutAWord() {
+    void instancesChooseSameAffinityEngine() {
         for (int i = 0; i < 50; i++) {
-            Plan one = chooser(1).choose(query("part" + i, "x" + i)).orElseThrow();
-            Plan other = chooser(2).choose(query("part" + i, "y" + i)).orElseThrow();
-            assertEquals(reader(one), reader(other));
+            Plan firstPlan = chooser(1).choose(query("part" + i, "x" + i)).orElseThrow();
+            Plan secondPlan = chooser(2).choose(query("part" + i, "y" + i)).orElseThrow();
+            assertEquals(prefillTargetId(firstPlan), prefillTargetId(secondPlan));
         }
     }
 
-    /** A long prompt at an engine that generates holds up all that it runs. */
+    /** A long prefill on a decode engine delays all streams that it decodes. */
     @Test
-    void homesOfLongPartsAreSpreadOverTheEnginesThatOnlyRead() {
-        Map<String, Integer> readers = new HashMap<>();
+    void affinityEnginesOfLongSegmentsAreSpreadOverPrefillEngines() {
+        Map<String, Integer> countByPrefillTarget = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            readers.merge(reader(chooser(1).choose(query("part" + i, "x")).orElseThrow()), 1, Integer::sum);
+            countByPrefillTarget.merge(
+                    prefillTargetId(chooser(1).choose(query("part" + i, "x")).orElseThrow()), 1, Integer::sum);
         }
-        assertEquals(Set.of("p0", "p1", "p2"), readers.keySet());
-        readers.values().forEach(count -> assertTrue(count > 60, readers::toString));
+        assertEquals(Set.of("p0", "p1", "p2"), countByPrefillTarget.keySet());
+        countByPrefillTarget.values().forEach(count -> assertTrue(count > 60, countByPrefillTarget::toString));
     }
 
-    /** One engine goes: the parts whose home it was find others, all other parts stay where they were read. */
+    /** Segments of an unavailable engine move to others; all other segments stay where they were prefilled. */
     @Test
-    void whenAnEngineGoesOnlyItsOwnPartsMove() {
+    void unavailableEngineMovesOnlyItsOwnSegments() {
         int moved = 0;
         for (int i = 0; i < 100; i++) {
-            String before = reader(chooser(1).choose(query("part" + i, "x")).orElseThrow());
-            String after =
-                    reader(chooser(1).choose(query("part" + i, "x", "p0")).orElseThrow());
+            String before =
+                    prefillTargetId(chooser(1).choose(query("part" + i, "x")).orElseThrow());
+            String after = prefillTargetId(
+                    chooser(1).choose(query("part" + i, "x", "p0")).orElseThrow());
             if (before.equals("p0")) {
                 moved++;
             } else {
@@ -98,32 +100,32 @@
         assertTrue(moved > 0);
     }
 
-    /** Fetching the part takes milliseconds, reading it hundreds: only the call's own tokens are read. */
+    /** A fetch takes milliseconds and a prefill hundreds of them, so only the call's own tokens are prefilled. */
     @Test
-    void aPartThatAnotherEngineKeepsIsFetchedFromIt() {
-        parts.kept("d3", "part", 13_000);
+    void segmentCachedOnAnotherEngineIsFetched() {
+        cacheIndex.kept("d3", "part", 13_000);
 
         Plan plan = chooser(1).choose(query("part", "x")).orElseThrow();
 
         assertEquals(4_000, plan.reading().unreadTokens());
-        assertEquals("d3", plan.reading().keeper().map(Incarnation::id).orElseGet(() -> reader(plan)));
+        assertEquals("d3", plan.reading().keeper().map(Incarnation::id).orElseGet(() -> prefillTargetId(plan)));
     }
 
     @Test
-    void whereThePartLiesNothingIsFetched() {
-        parts.kept("p1", "part", 13_000);
+    void engineWithCachedSegmentFetchesNothing() {
+        cacheIndex.kept("p1", "part", 13_000);
 
         Plan plan = chooser(1).choose(query("part", "x")).orElseThrow();
 
-        assertEquals("p1", reader(plan));
+        assertEquals("p1", prefillTargetId(plan));
         assertEquals(Optional.empty(), plan.reading().keeper());
     }
 
-    /** A few tokens are read sooner than the fetch takes. */
+    /** A prefill of few tokens is faster than a fetch. */
     @Test
-    void whatIsSoonReadIsNotFetched() {
+    void shortSegmentIsPrefilledInsteadOfFetched() {
         Prompt prompt = new Prompt("m", 300, 20, List.of(new PromptPart("short", 200), new PromptPart("x", 100)));
-        parts.kept("d3", "short", 200);
+        cacheIndex.kept("d3", "short", 200);
 
         Plan plan = chooser(1)
                 .choose(new ChoiceQuery(SERVICE, Optional.of(prompt), 0, 500, 0, Set.of("d3"), true))
@@ -133,19 +135,23 @@
         assertEquals(300, plan.reading().unreadTokens());
     }
 
-    /** Only less urgent prompts wait at the home; the engine takes the urgent call before them. */
+    /** Only lower-priority prompts wait at the affinity engine, which prefills the urgent call before them. */
     @Test
-    void lessUrgentPromptsDoNotDriveAnUrgentCallAway() {
-        String home = reader(chooser(1).choose(query("part", "x")).orElseThrow());
-        ReadQueue crowd = ReadQueue.of(List.of(0L, 0L, 0L, 0L, 0L, 0L, 200_000L), List.of(0, 0, 0, 0, 0, 0, 400));
-        loads.heard("peer", Map.of(home, new TargetLoad(400, crowd)));
+    void queuedLowerPriorityPromptsDoNotMoveUrgentCall() {
+        String affinityEngineId =
+                prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
+        ReadQueue lowerPriorityQueue =
+                ReadQueue.of(List.of(0L, 0L, 0L, 0L, 0L, 0L, 200_000L), List.of(0, 0, 0, 0, 0, 0, 400));
+        loads.heard("peer", Map.of(affinityEngineId, new TargetLoad(400, lowerPriorityQueue)));
 
-        assertEquals(home, reader(chooser(1).choose(query("part", "x")).orElseThrow()));
+        assertEquals(
+                affinityEngineId,
+                prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow()));
     }
 
-    /** All engines are too busy for the objective: the call stands behind those that can still make theirs. */
+    /** All engines are too busy for the objective, so the call is placed behind those that can still be on time. */
     @Test
-    void aCallThatWillBeLateStandsBehindThoseInTime() {
+    void lateCallGetsLevelBehindCallsOnTime() {
         assertEquals(
                 QueueLevel.onTime(1),
                 chooser(1).choose(query("a", "x")).orElseThrow().reading().level());
@@ -158,9 +164,9 @@
                 chooser(1).choose(query("a", "x")).orElseThrow().reading().level());
     }
 
-    /** A prompt that is long to read is not late for that: it would never be read while shorter ones come. */
+    /** A prompt treated as late because of its length would never be prefilled while shorter ones arrive. */
     @Test
-    void aLongPromptIsNotLateByItsOwnLength() {
+    void longPromptIsNotLateBecauseOfItsLength() {
         Plan plan = chooser(1).choose(longCall(60_000)).orElseThrow();
 
         assertEquals(QueueLevel.onTime(1), plan.reading().level());
@@ -171,9 +177,9 @@
         return new ChoiceQuery(SERVICE, Optional.of(prompt), 1, 500, 0, Set.of(), true);
     }
 
-    /** Its prompt was read apart once: whoever runs it now reads it, too. */
+    /** The prompt was already prefilled separately once, so the target that runs the call now also prefills it. */
     @Test
-    void aCallThatMayNotBeReadApartIsReadWhereItRuns() {
+    void callWithoutSeparatePrefillIsPrefilledWhereItRuns() {
         ChoiceQuery query = query("part", "x");
         Plan plan = chooser(1)
                 .choose(new ChoiceQuery(SERVICE, query.prompt(), 1, 5_000, 0, Set.of(), false))
@@ -183,94 +189,101 @@
         assertEquals(Stage.DECODE, plan.target().stage());
     }
 
-    /** So much waits at the home that reading the part anew elsewhere is sooner, its price included. */
+    /** The queue at the affinity engine is so long that a prefill elsewhere is faster, even with its extra cost. */
     @Test
-    void aHomeThatIsOverwhelmedIsLeft() {
-        String home = reader(chooser(1).choose(query("part", "x")).orElseThrow());
-        loads.heard("peer", Map.of(home, new TargetLoad(30, ReadQueue.one(0, 5_000_000))));
+    void overloadedAffinityEngineIsNotChosen() {
+        String affinityEngineId =
+                prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
+        loads.heard("peer", Map.of(affinityEngineId, new TargetLoad(30, ReadQueue.one(0, 5_000_000))));
 
-        assertFalse(home.equals(reader(chooser(1).choose(query("part", "x")).orElseThrow())));
+        assertFalse(affinityEngineId.equals(
+                prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow())));
     }
 
     @Test
-    void theRunnerIsTheOneWithTheLeastUnderWay() {
+    void decodeTargetIsTheLeastLoadedEngine() {
         for (int i = 0; i < 5; i++) {
             if (i != 2) {
                 loads.sent("d" + i, 0, 10_000);
             }
         }
-        Incarnation reader = directory.find("p0").orElseThrow();
+        Incarnation prefillTarget = directory.find("p0").orElseThrow();
 
         assertEquals(
                 "d2",
-                chooser(1).chooseRunner(query("a", "b"), reader).orElseThrow().id());
+                chooser(1)
+                        .chooseRunner(query("a", "b"), prefillTarget)
+                        .orElseThrow()
+                        .id());
     }
 
     @Test
-    void withoutAnEngineThatRunsThereIsNoPlan() {
+    void noPlanWithoutDecodeEngine() {
         assertTrue(
                 chooser(1).choose(query("a", "b", "d0", "d1", "d2", "d3", "d4")).isEmpty());
     }
 
     /**
-     * The engines that only read have 400 ms of work before them, and the generating ones are free: read there, the prompt
-     * would have its first event sooner. But it would stretch the pauses of each stream there beyond what their callers
-     * accept, and make all of them late.
+     * The idle decode engines would be 400 ms faster, but a prefill there exceeds the gap that their streams accept.
      */
     @Test
-    void aLongPromptIsNotReadBesideStreamsThatWouldPauseTooLong() {
+    void longPromptIsNotPrefilledBesideStreamsWithGapObjective() {
         for (int i = 0; i < 3; i++) {
             loads.sent("p" + i, 0, 12_000);
-            parts.kept("d" + i, "shared", 13_000);
+            cacheIndex.kept("d" + i, "shared", 13_000);
         }
         for (int i = 0; i < 5; i++) {
             loads.sent("d" + i, 0, 0);
         }
         ChoiceQuery query = query("shared", "own");
-        ChoiceQuery careful = new ChoiceQuery(SERVICE, query.prompt(), 1, 5_000, 150, Set.of(), true);
+        ChoiceQuery withGapObjective = new ChoiceQuery(SERVICE, query.prompt(), 1, 5_000, 150, Set.of(), true);
 
         assertTrue(chooser(1).choose(query).orElseThrow().prefill().isEmpty());
-        assertTrue(chooser(1).choose(careful).orElseThrow().prefill().isPresent());
+        assertTrue(chooser(1).choose(withGapObjective).orElseThrow().prefill().isPresent());
     }
 
-    /** A short prompt is read within a pause, beside streams as well as anywhere. */
+    /** A short prefill fits into a gap, so a decode engine with streams may do it. */
     @Test
-    void aShortPromptIsReadWhereItRuns() {
+    void shortPromptIsPrefilledWhereItRuns() {
         loads.sent("d0", 0, 0);
         Prompt prompt = new Prompt("m", 400, 5, List.of(new PromptPart("q", 400)));
         ChoiceQuery query = new ChoiceQuery(SERVICE, Optional.of(prompt), 0, 250, 150, Set.of(), true);
         assertTrue(chooser(1).choose(query).orElseThrow().prefill().isEmpty());
     }
 
-    /** The home moves with all its calls, not with those alone that find no share left. */
+    /** The segment moves with all its calls, not only with those that find no share of the limit left. */
     @Test
-    void aPartsHomeMovesFromAnEngineThatNamesALimit() {
-        String home = reader(chooser(1).choose(query("part", "x")).orElseThrow());
+    void affinityEngineChangesWhenItStatesARateLimit() {
+        String affinityEngineId =
+                prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
 
-        limits.answered(home, OptionalDouble.of(1_000), 0);
-        String other = reader(chooser(1).choose(query("part", "x")).orElseThrow());
+        limits.answered(affinityEngineId, OptionalDouble.of(1_000), 0);
+        String newAffinityEngineId =
+                prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
 
-        assertNotEquals(home, other);
+        assertNotEquals(affinityEngineId, newAffinityEngineId);
         for (int i = 0; i < 50; i++) {
-            assertEquals(other, reader(chooser(i).choose(query("part", "y" + i)).orElseThrow()));
+            assertEquals(
+                    newAffinityEngineId,
+                    prefillTargetId(chooser(i).choose(query("part", "y" + i)).orElseThrow()));
         }
     }
 
-    /** What a limited engine keeps is fetched: that is no call to it. */
+    /** Fetching segments from a rate-limited engine does not count as a call to it. */
     @Test
-    void whatALimitedEngineKeepsIsFetchedFromIt() {
-        parts.read(
+    void segmentCachedOnRateLimitedEngineIsFetched() {
+        cacheIndex.read(
                 "p0", new Prompt("m", 17_000, 20, List.of(new PromptPart("part", 13_000), new PromptPart("o", 4_000))));
         limits.answered("p0", OptionalDouble.of(2), 0);
 
         Plan plan = chooser(1).choose(query("part", "x")).orElseThrow();
 
-        assertNotEquals("p0", reader(plan));
+        assertNotEquals("p0", prefillTargetId(plan));
         assertEquals("p0", plan.reading().keeper().orElseThrow().id());
     }
 
     @Test
-    void whereAllEnginesThatGenerateAreUsedUpThereIsNoTargetBeforeTheNextCallOfTheirs() {
+    void noPlanUntilNextCapacityWhenAllEnginesAreExhausted() {
         for (int i = 0; i < 5; i++) {
             limits.answered("d" + i, OptionalDouble.of(4 + i), 0);
         }
--- a/src/test/java/org/dogwoodwinch/forwarding/LimitSharesTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/LimitSharesTest.java
@@ -15,10 +15,10 @@
 class LimitSharesTest {
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
-    private Optional<Set<String>> countedOn = Optional.of(names(95));
+    private Optional<Set<String>> members = Optional.of(names(95));
 
     @Test
-    void aLimitIsDealtOutToAFewInstancesInSharesOfAboutACallASecond() {
+    void limitIsDividedAmongFewHoldersOfAboutOneCallPerSecond() {
         for (double limit : new double[] {1, 2.3, 3.5, 20, 90}) {
             List<Double> held = shares(names(95)).stream()
                     .map(each -> each.perSecond("t1", limit))
@@ -31,17 +31,17 @@
     }
 
     @Test
-    void aTargetThatTakesNothingIsAskedNowAndThen() {
+    void targetWithZeroLimitGetsOccasionalCalls() {
         double sum = shares(names(95)).stream()
                 .mapToDouble(each -> each.perSecond("t1", 0))
                 .sum();
 
-        assertTrue(sum > 0 && sum < 1, "calls a second: " + sum);
+        assertTrue(sum > 0 && sum < 1, "calls per second: " + sum);
     }
 
-    /** Just started, it may be one of many; after several announcements of the others it is not. */
+    /** A restarted instance may be one of many; it is sure to be alone after several announcement intervals. */
     @Test
-    void anInstanceAloneHasTheWholeLimitAfterAWhile() {
+    void soleInstanceGetsWholeLimitAfterConfirmation() {
         LimitShares alone = shares(Set.of("i0")).get(0);
         assertEquals(2, alone.perSecond("t1", 8));
 
@@ -51,34 +51,35 @@
     }
 
     @Test
-    void differentTargetsAreDealtToDifferentInstances() {
+    void differentTargetsHaveDifferentHolders() {
         List<LimitShares> all = shares(names(6));
-        long withNone = all.stream()
+        long withoutShareCount = all.stream()
                 .filter(each -> IntStream.range(0, 8).allMatch(t -> each.perSecond("t" + t, 2) == 0))
                 .count();
 
-        assertTrue(withNone <= 1, withNone + " of six instances have no share of any of eight targets");
+        assertTrue(
+                withoutShareCount <= 1, withoutShareCount + " of six instances have no share of any of eight targets");
     }
 
     @Test
-    void whoIsNotSureOfTheFleetHasNoShare() {
-        LimitShares shares = new LimitShares("i0", () -> countedOn, time::monotonicMillis);
-        countedOn = Optional.of(Set.of("i0"));
+    void unknownMembershipGivesNoShare() {
+        LimitShares shares = new LimitShares("i0", () -> members, time::monotonicMillis);
+        members = Optional.of(Set.of("i0"));
         shares.look();
         time.advanceMillis(2_001);
         shares.look();
         assertEquals(1, shares.perSecond("t1", 2));
 
-        countedOn = Optional.empty();
+        members = Optional.empty();
         shares.look();
 
         assertEquals(0, shares.perSecond("t1", 2));
     }
 
-    /** The holders before it go on until they have heard of it. */
+    /** Share holders that ranked before the new one continue to use their shares until they receive the change. */
     @Test
-    void whoComesToRankAmongTheHoldersWaits() {
-        LimitShares shares = new LimitShares("i0", () -> countedOn, time::monotonicMillis);
+    void newHolderWaitsForPropagation() {
+        LimitShares shares = new LimitShares("i0", () -> members, time::monotonicMillis);
         String target = IntStream.range(0, 1_000)
                 .mapToObj(i -> "t" + i)
                 .filter(id -> names(95).stream()
@@ -92,12 +93,12 @@
         shares.look();
         assertEquals(0, shares.perSecond(target, 2));
 
-        Set<String> fewer = names(95);
-        fewer.remove(fewer.stream()
+        Set<String> remainingMembers = names(95);
+        remainingMembers.remove(remainingMembers.stream()
                 .filter(name -> Rendezvous.score(target, name) > Rendezvous.score(target, "i0"))
                 .findFirst()
                 .orElseThrow());
-        countedOn = Optional.of(fewer);
+        members = Optional.of(remainingMembers);
         shares.look();
         assertEquals(0, shares.perSecond(target, 2));
         time.advanceMillis(2_001);
--- a/src/test/java/org/dogwoodwinch/forwarding/NoLimits.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/NoLimits.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** A book of limits for tests in which no target names one. */
+/** Creates rate limits for tests in which no target states one. */
 public final class NoLimits {
 
     private NoLimits() {}
 
     /**
-     * Creates one.
+     * Creates an instance without limits.
      *
-     * @return the book
+     * @return the instance
      */
     public static TargetLimits book() {
         return new TargetLimits(() -> 0, new LimitShares("i0", Optional::empty, () -> 0));
--- a/src/test/java/org/dogwoodwinch/forwarding/PartIndexTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/PartIndexTest.java
@@ -13,7 +13,7 @@
     private final PartIndex index = new PartIndex();
 
     @Test
-    void aPartCountsOnlyWhereAllPartsBeforeItAreKept() {
+    void segmentCountsOnlyIfAllEarlierSegmentsAreCached() {
         index.kept("e", "b", 200);
         assertEquals(0, index.keptTokens("e", PROMPT));
 
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void ofAPartThatIsKeptInPartNothingAfterItCounts() {
+    void prefixEndsAtPartlyCachedSegment() {
         index.read("e", PROMPT);
         index.kept("e", "b", 64);
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void droppedPartsAndForgottenEnginesKeepNothing() {
+    void evictedSegmentAndRemovedEngineCacheNothing() {
         index.read("e", PROMPT);
         index.kept("e", "a", 0);
         assertEquals(0, index.keptTokens("e", PROMPT));
--- a/src/test/java/org/dogwoodwinch/forwarding/QueueLevelTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/QueueLevelTest.java
@@ -7,17 +7,17 @@
 
 class QueueLevelTest {
 
-    /** A late call stands behind all of its own urgency and before all that is less urgent. */
+    /** A late call is placed behind all calls of its own priority and before all calls of a less urgent one. */
     @Test
-    void lateCallsStayWithinTheirUrgency() {
-        for (int urgency = 0; urgency < 4; urgency++) {
-            assertTrue(QueueLevel.onTime(urgency) < QueueLevel.late(urgency));
-            assertTrue(QueueLevel.late(urgency) < QueueLevel.onTime(urgency + 1));
+    void lateCallsStayWithinTheirPriority() {
+        for (int priority = 0; priority < 4; priority++) {
+            assertTrue(QueueLevel.onTime(priority) < QueueLevel.late(priority));
+            assertTrue(QueueLevel.late(priority) < QueueLevel.onTime(priority + 1));
         }
     }
 
     @Test
-    void everyRankHasALevelThatEnginesKnow() {
+    void anyPriorityMapsToAValidLevel() {
         assertEquals(0, QueueLevel.onTime(-3));
         assertEquals(8, QueueLevel.onTime(250));
         assertEquals(9, QueueLevel.late(250));
--- a/src/test/java/org/dogwoodwinch/forwarding/ReadQueueTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/ReadQueueTest.java
@@ -14,32 +14,32 @@
             .plus(ReadQueue.one(4, 16_000))
             .plus(ReadQueue.one(5, 20_000));
 
-    /** An engine finishes the prompt that it reads, so the most urgent call waits for one of the others at least. */
+    /** An engine completes the prefill that it has begun, so even the most urgent call waits for one other prompt. */
     @Test
-    void anUrgentCallWaitsForItsLevelAndOnePromptOfTheOthers() {
+    void urgentCallWaitsForItsLevelAndOneLaterPrompt() {
         assertEquals(1_000 + (6_000 + 16_000 + 20_000) / 3, MIXED.aheadOf(0));
         assertEquals(7_000 + (16_000 + 20_000) / 2, MIXED.aheadOf(2));
     }
 
     @Test
-    void theLastCallWaitsForAll() {
+    void callOfLastLevelWaitsForAllPrompts() {
         assertEquals(43_000, MIXED.aheadOf(QueueLevel.COUNT - 1));
         assertEquals(43_000, MIXED.totalTokens());
     }
 
     @Test
-    void whatIsTakenAwayLeavesNothing() {
+    void queueMinusItselfIsEmpty() {
         assertEquals(ReadQueue.EMPTY, MIXED.minus(MIXED));
         assertEquals(0, ReadQueue.EMPTY.aheadOf(3));
     }
 
     @Test
-    void itSurvivesTheWayToAnotherInstance() {
+    void queueIsRestoredFromItsLists() {
         assertEquals(MIXED, ReadQueue.of(MIXED.tokens(), MIXED.prompts()));
     }
 
     @Test
-    void moreLevelsThanThereAreAreRefused() {
+    void tooManyLevelsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> ReadQueue.of(Collections.nCopies(11, 1L), List.of()));
         assertThrows(IllegalArgumentException.class, () -> ReadQueue.of(List.of(), Collections.nCopies(11, 1)));
     }
--- a/src/test/java/org/dogwoodwinch/forwarding/RetryBudgetTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RetryBudgetTest.java
@@ -20,20 +20,19 @@
     private static final double SLACK = 52;
 
     /**
-     * Any number of instances, each killed now and then with its counts lost, repeat as much as they may, under bursts
-     * and lulls. In every span of the window, all repeats together stay within the ratio of the requests of that span, or
-     * of the one before or half a span before, and the slack.
+     * In each window, retries stay within slack plus ratio of the requests in it, one before, or half a window
+     * before.
      */
     @Property(seed = "31", tries = 60)
-    void allInstancesTogetherStayWithinTheBound(
+    void retriesOfAllInstancesStayWithinBound(
             @ForAll @IntRange(min = 1, max = 80) int instances, @ForAll @IntRange(min = 1, max = 1_000_000) int seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            budgets.add(fresh(instances, -WINDOW_MILLIS));
+            budgets.add(restarted(instances, -WINDOW_MILLIS));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         double perTick = 1 + random.nextInt(10);
         for (long now = 0; now < 40_000; now += 50) {
             boolean lull = (now / 7_000) % 3 == 2;
@@ -44,17 +43,17 @@
                 requests.add(now);
             }
             if (random.nextInt(20) == 0) {
-                budgets.set(random.nextInt(instances), fresh(instances, now));
+                budgets.set(random.nextInt(instances), restarted(instances, now));
             }
             for (RetryBudget budget : budgets) {
                 if (random.nextInt(4) == 0 && budget.takeRepeat("s", now)) {
-                    repeats.add(now);
+                    retries.add(now);
                 }
             }
         }
         for (long from = 0; from <= 30_000; from += 250) {
             long start = from;
-            long inWindow = count(repeats, start, start + WINDOW_MILLIS);
+            long inWindow = count(retries, start, start + WINDOW_MILLIS);
             long most = Math.max(
                     count(requests, start, start + WINDOW_MILLIS),
                     Math.max(
@@ -62,11 +61,11 @@
                             count(requests, start - WINDOW_MILLIS / 2, start + WINDOW_MILLIS / 2)));
             assertTrue(
                     inWindow <= RATIO * most + SLACK,
-                    () -> inWindow + " repeats, " + most + " requests from " + start + " at " + instances);
+                    () -> inWindow + " retries, " + most + " requests from " + start + " at " + instances);
         }
     }
 
-    private static RetryBudget fresh(int instances, long startedMillis) {
+    private static RetryBudget restarted(int instances, long startedMillis) {
         return new RetryBudget(RATIO, () -> SLACK / instances, WINDOW_MILLIS, startedMillis);
     }
 
@@ -75,7 +74,7 @@
     }
 
     @Test
-    void aRepeatIsFreeAgainAfterTheWindow() {
+    void retryIsAvailableAgainAfterWindow() {
         RetryBudget budget = new RetryBudget(0, () -> 1, WINDOW_MILLIS, -WINDOW_MILLIS);
         assertTrue(budget.takeRepeat("s", 0));
         assertFalse(budget.takeRepeat("s", WINDOW_MILLIS - 1));
@@ -83,9 +82,9 @@
         assertTrue(budget.takeRepeat("s", WINDOW_MILLIS));
     }
 
-    /** A process is killed and started again: it does not know what it spent, so it has no slack for one window. */
+    /** A restarted process does not know what it spent, so it has no slack for one window. */
     @Test
-    void afterAStartTheSlackIsNotYetThere() {
+    void slackIsAvailableOneWindowAfterStart() {
         RetryBudget budget = new RetryBudget(0, () -> 5, WINDOW_MILLIS, 1_000);
 
         assertFalse(budget.takeRepeat("s", 1_000 + WINDOW_MILLIS - 1));
@@ -93,7 +92,7 @@
     }
 
     @Test
-    void whatWasSpentForOneServiceIsMissingThereAlone() {
+    void retriesAreCountedPerService() {
         RetryBudget budget = new RetryBudget(0, () -> 1, WINDOW_MILLIS, -WINDOW_MILLIS);
         assertTrue(budget.takeRepeat("s", 0));
 
--- a/src/test/java/org/dogwoodwinch/forwarding/RetryPolicyTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RetryPolicyTest.java
@@ -39,37 +39,38 @@
                 .as(CallProgress::new);
     }
 
-    /** Whatever came before: a call that runs once is never sent again after it may have run, nor refused as not run. */
+    /** A non-idempotent call that may have run must never be sent again, nor be refused as not run. */
     @Property(seed = "17", tries = 2_000)
-    void whatMayHaveRunIsNeitherRepeatedNorDenied(
+    void callThatMayHaveRunIsNeitherRetriedNorRefused(
             @ForAll("outcomes") SendOutcome outcome, @ForAll("progresses") CallProgress progress) {
         boolean ran = outcome instanceof SendOutcome.Unknown || outcome instanceof SendOutcome.RanAndFailed;
-        CallProgress with = ran ? oneMoreRun(progress) : progress;
+        CallProgress afterSend = ran ? oneMoreRun(progress) : progress;
 
-        NextStep step = POLICY.after(outcome, with, () -> true);
+        NextStep step = POLICY.after(outcome, afterSend, () -> true);
 
-        if (with.mayHaveRun()) {
+        if (afterSend.mayHaveRun()) {
             assertTrue(!(step instanceof NextStep.Refuse));
-            if (!with.idempotent() && ran) {
+            if (!afterSend.idempotent() && ran) {
                 assertTrue(!(step instanceof NextStep.SendAgain));
             }
         }
-        if (with.possibleRunsCount() >= with.maxRunsCount()) {
+        if (afterSend.possibleRunsCount() >= afterSend.maxRunsCount()) {
             assertTrue(!(step instanceof NextStep.SendAgain) || outcome instanceof SendOutcome.NotSent);
         }
     }
 
-    /** Every send beyond the first that reached a target is taken from the budget, and none without it. */
+    /** Each send after one that reached a target takes a retry from the budget, and none happens without it. */
     @Property(seed = "18", tries = 2_000)
-    void eachRepeatIsPaid(@ForAll("outcomes") SendOutcome outcome, @ForAll("progresses") CallProgress progress) {
+    void eachRetryIsTakenFromTheBudget(
+            @ForAll("outcomes") SendOutcome outcome, @ForAll("progresses") CallProgress progress) {
         AtomicInteger taken = new AtomicInteger();
 
         NextStep step = POLICY.after(outcome, progress, () -> taken.incrementAndGet() > 0);
-        NextStep poor = POLICY.after(outcome, progress, () -> false);
+        NextStep withoutBudget = POLICY.after(outcome, progress, () -> false);
 
         boolean first = outcome instanceof SendOutcome.NotSent && !progress.sent();
         assertEquals(step instanceof NextStep.SendAgain && !first ? 1 : 0, taken.get());
-        assertTrue(first || !(poor instanceof NextStep.SendAgain));
+        assertTrue(first || !(withoutBudget instanceof NextStep.SendAgain));
     }
 
     private static CallProgress oneMoreRun(CallProgress progress) {
@@ -82,17 +83,17 @@
                 progress.remainingMillis());
     }
 
-    /** Callers heed a time to come back only up to a third of what they have left. */
+    /** Callers follow a retry time only up to a third of their remaining time. */
     @Test
-    void theTimeToComeBackLeavesTimeForTheAnswer() {
+    void retryAfterLeavesTimeForTheAnswer() {
         NextStep step = POLICY.giveUp(new CallProgress(false, 0, 0, 0, 1, 400));
 
         assertEquals(100, assertInstanceOf(NextStep.Refuse.class, step).retryAfterMillis());
     }
 
-    /** A caller is told when there is room, but never so late that it cannot come back. */
+    /** The caller receives the time until capacity, but never one too late for it to retry. */
     @Test
-    void aRefusalNamesTheTimeAtWhichThereIsRoom() {
+    void refusalStatesTimeUntilCapacity() {
         assertEquals(new NextStep.Refuse(200), POLICY.giveUp(progress(4_000), 50));
         assertEquals(new NextStep.Refuse(700), POLICY.giveUp(progress(4_000), 700));
         assertEquals(new NextStep.Refuse(1_000), POLICY.giveUp(progress(4_000), 9_000));
--- a/src/test/java/org/dogwoodwinch/forwarding/RouteTableTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RouteTableTest.java
@@ -25,12 +25,12 @@
             List.of(new ServiceEntry("s", 1, Optional.empty())),
             CallerLimits.INITIAL);
 
-    private String find(String host, String target) {
-        return table.find(host, target).map(ServiceRoute::name).orElse("none");
+    private String find(String host, String requestTarget) {
+        return table.find(host, requestTarget).map(ServiceRoute::name).orElse("none");
     }
 
     @Test
-    void theLongestPrefixOfTheHostWins() {
+    void longestPrefixOfTheHostIsChosen() {
         assertEquals("long", find("a.example", "/x/y/z"));
         assertEquals("long", find("a.example", "/x/y/"));
         assertEquals("short", find("a.example", "/x/y"));
@@ -42,13 +42,13 @@
     }
 
     @Test
-    void aQueryIsNoPartOfThePath() {
+    void queryIsIgnored() {
         assertEquals("root", find("a.example", "/?/x/y/"));
         assertEquals("short", find("a.example", "/x/?a=/x/y/"));
     }
 
     @Test
-    void sharesDecideTheService() {
+    void serviceIsChosenByWeight() {
         ServiceRoute split = route("split", "a", "/", new WeightedService("s", 90), new WeightedService("t", 10));
 
         assertEquals("s", split.chooseService(0));
@@ -58,14 +58,14 @@
     }
 
     @Test
-    void aServiceWithoutWeightGetsNothing() {
+    void serviceWithZeroWeightIsNotChosen() {
         ServiceRoute split = route("split", "a", "/", new WeightedService("s", 0), new WeightedService("t", 1));
 
         assertEquals("t", split.chooseService(0));
     }
 
     @Test
-    void whatIsNoPrefixIsRefused() {
+    void invalidRoutesAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> route("r", "a", "/x", ALL));
         assertThrows(IllegalArgumentException.class, () -> route("r", "a", "/"));
     }
--- a/src/test/java/org/dogwoodwinch/forwarding/SharedSegmentsTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/SharedSegmentsTest.java
@@ -12,16 +12,16 @@
 
     private final SharedSegments shared = new SharedSegments();
 
-    private static Prompt prompt(String... parts) {
+    private static Prompt prompt(String... segmentIds) {
         return new Prompt(
                 "m",
                 100,
                 10,
-                Arrays.stream(parts).map(id -> new PromptPart(id, 10)).toList());
+                Arrays.stream(segmentIds).map(id -> new PromptPart(id, 10)).toList());
     }
 
     @Test
-    void allButTheLastPartAreSharedAndNewsOnce() {
+    void allSegmentsButTheLastAreSharedAndReportedOnce() {
         shared.saw(prompt("a", "b", "own1"));
         shared.saw(prompt("a", "b", "own2"));
 
@@ -31,9 +31,9 @@
         assertEquals(List.of(), shared.takeNews());
     }
 
-    /** A session's next request ends with the same part: other requests name it again after all. */
+    /** The next request of a session ends with the same segment, so other requests do contain it. */
     @Test
-    void aLastPartThatComesAgainIsASessions() {
+    void repeatedLastSegmentIsShared() {
         shared.saw(prompt("a", "s1"));
         shared.saw(prompt("a", "s1"));
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whatOthersToldIsNoNewsToTell() {
+    void segmentReportedByAnotherInstanceIsNotReportedAgain() {
         assertTrue(shared.learn("a"));
         assertFalse(shared.learn("a"));
 
@@ -52,15 +52,15 @@
     }
 
     @Test
-    void aPromptWithoutPartsSaysNothing() {
+    void promptWithoutSegmentsReportsNothing() {
         shared.saw(prompt());
 
         assertEquals(List.of(), shared.takeNews());
     }
 
-    /** Parts are new all day long; what was not named for long makes room. */
+    /** New segments arrive all the time, so unused ones must be evicted. */
     @Test
-    void whatWasNotNamedForLongIsForgotten() {
+    void leastRecentlyUsedSegmentIsEvicted() {
         shared.saw(prompt("old", "own"));
         for (int i = 0; i < 10_000; i++) {
             shared.learn("p" + i);
--- a/src/test/java/org/dogwoodwinch/forwarding/StagePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/StagePlannerTest.java
@@ -20,12 +20,12 @@
     private final StagePlanner planner = new StagePlanner(StagePlanPolicy.STANDARD, new ReadRates(30));
     private final List<Incarnation> engines = new ArrayList<>();
     private final Map<String, TargetLoad> loads = new HashMap<>();
-    private final Set<String> limited = new HashSet<>();
+    private final Set<String> limitedEngineIds = new HashSet<>();
     private long nowMillis;
 
-    private void engines(int readers, int generators) {
-        for (int i = 0; i < readers + generators; i++) {
-            Stage stage = i < readers ? Stage.PREFILL : Stage.DECODE;
+    private void engines(int prefillCount, int decodeCount) {
+        for (int i = 0; i < prefillCount + decodeCount; i++) {
+            Stage stage = i < prefillCount ? Stage.PREFILL : Stage.DECODE;
             engines.add(new Incarnation("e" + i, "s", "10.0.0.1", 80, "dc", 24, false, stage, 1));
         }
     }
@@ -36,12 +36,12 @@
                 .forEach(engine -> loads.put(engine.id(), new TargetLoad(calls, ReadQueue.one(0, unreadTokens))));
     }
 
-    private Optional<StagePlanner.Change> after(long millis) {
+    private Optional<StagePlanner.Change> planFor(long millis) {
         Optional<StagePlanner.Change> change = Optional.empty();
         for (long end = nowMillis + millis; nowMillis < end && change.isEmpty(); nowMillis += STEP_MILLIS) {
             change = planner.plan(
                     engines,
-                    engine -> limited.contains(engine.id()),
+                    engine -> limitedEngineIds.contains(engine.id()),
                     id -> loads.getOrDefault(id, TargetLoad.EMPTY),
                     _id -> true,
                     nowMillis);
@@ -50,142 +50,145 @@
     }
 
     /**
-     * Long prompts wait 400 ms at the engines that read, while those that generate are nearly idle. Their callers were
-     * late all day, as nothing ever changed the split that the engines came with.
+     * Prompts waited 400 ms at the prefill engines while decode engines were nearly idle, and the split never
+     * changed.
      */
     @Test
-    void promptsThatWaitGetAnotherReader() {
+    void waitingPromptsAddAPrefillEngine() {
         engines(3, 5);
         load(Stage.PREFILL, 4, 12_000);
         load(Stage.DECODE, 2, 300);
 
-        StagePlanner.Change change = after(3_000).orElseThrow();
+        StagePlanner.Change change = planFor(3_000).orElseThrow();
         assertEquals(Stage.PREFILL, change.stage());
         assertEquals(Stage.DECODE, change.engine().stage());
     }
 
-    /** A crowd of a second is over before an engine has changed. */
+    /** A burst of one second is over before an engine has changed its stage. */
     @Test
-    void aShortCrowdChangesNothing() {
+    void shortBurstCausesNoChange() {
         engines(3, 5);
         load(Stage.DECODE, 2, 0);
-        after(10_000);
+        planFor(10_000);
         load(Stage.PREFILL, 4, 1_500);
-        assertTrue(after(750).isEmpty());
+        assertTrue(planFor(750).isEmpty());
         load(Stage.PREFILL, 0, 0);
-        assertTrue(after(10_000).isEmpty());
+        assertTrue(planFor(10_000).isEmpty());
     }
 
-    /** Prompts wait everywhere: an engine that changes is away for seconds and brings nothing. */
+    /** Prompts wait at both stages, and a changing engine would be unavailable for seconds without any gain. */
     @Test
-    void whereBothStagesAreBusyNothingChanges() {
+    void noChangeWhenBothStagesAreBusy() {
         engines(3, 5);
         load(Stage.PREFILL, 10, 12_000);
         load(Stage.DECODE, 10, 6_000);
-        assertTrue(after(20_000).isEmpty());
+        assertTrue(planFor(20_000).isEmpty());
     }
 
-    /** Answers grow long: the engines that generate are full, and those that read are idle. */
+    /** With long answers, all decode slots are in use while the prefill engines are idle. */
     @Test
-    void longAnswersGetAnotherGenerator() {
+    void fullDecodeSlotsAddADecodeEngine() {
         engines(5, 3);
         load(Stage.DECODE, 24, 0);
-        assertEquals(Stage.DECODE, after(8_000).orElseThrow().stage());
+        assertEquals(Stage.DECODE, planFor(8_000).orElseThrow().stage());
     }
 
-    /** Whatever is asked, some engines generate and one reads: a crash must not end the service. */
+    /** A crash must not interrupt the service, so some decode engines and one prefill engine always remain. */
     @Test
-    void neitherStageIsEmptied() {
+    void minimumOfEachStageIsKept() {
         engines(5, 3);
         load(Stage.PREFILL, 4, 60_000);
-        assertTrue(after(20_000).isEmpty());
+        assertTrue(planFor(20_000).isEmpty());
         engines.clear();
         loads.clear();
         engines(1, 7);
         load(Stage.DECODE, 24, 60_000);
-        assertTrue(after(20_000).isEmpty());
+        assertTrue(planFor(20_000).isEmpty());
     }
 
     @Test
-    void oneEngineIsAwayAtATime() {
+    void smallServiceChangesOneEngineAtATime() {
         engines(3, 5);
         load(Stage.PREFILL, 4, 12_000);
-        planner.ordered(after(3_000).orElseThrow(), 3_000, nowMillis);
-        assertTrue(after(4_250).isEmpty());
-        assertTrue(after(1_000).isPresent());
+        planner.ordered(planFor(3_000).orElseThrow(), 3_000, nowMillis);
+        assertTrue(planFor(4_250).isEmpty());
+        assertTrue(planFor(1_000).isPresent());
     }
 
-    /** Of forty engines five may be away at once: one after the other, a shift of the mix would be over before. */
+    /**
+     * Of forty engines, five may change at the same time; one after another would be too slow for a shift of the
+     * load.
+     */
     @Test
-    void ofManyEnginesSeveralAreAway() {
+    void largeServiceChangesSeveralEnginesAtATime() {
         engines(14, 26);
         load(Stage.PREFILL, 4, 12_000);
-        planner.ordered(after(3_000).orElseThrow(), 3_000, nowMillis);
-        assertTrue(after(750).isEmpty());
-        assertTrue(after(500).isPresent());
+        planner.ordered(planFor(3_000).orElseThrow(), 3_000, nowMillis);
+        assertTrue(planFor(750).isEmpty());
+        assertTrue(planFor(500).isPresent());
     }
 
-    /** The engine with the least under way is the one that fewest callers wait for. */
+    /** The fewest callers wait for the engine with the lowest load. */
     @Test
-    void theEngineWithTheLeastUnderWayChanges() {
+    void leastLoadedEngineIsChanged() {
         engines(3, 5);
         load(Stage.PREFILL, 4, 12_000);
         load(Stage.DECODE, 4, 0);
         loads.put("e6", new TargetLoad(1, ReadQueue.EMPTY));
-        assertEquals("e6", after(3_000).orElseThrow().engine().id());
+        assertEquals("e6", planFor(3_000).orElseThrow().engine().id());
     }
 
-    /** What was read had nowhere to run: callers were refused while readers had room, and nothing waited anywhere. */
+    /** Prefilled prompts had no engine to run on: callers were refused although nothing waited at any engine. */
     @Test
-    void generatorsThatNameALimitAreReplacedByAReader() {
+    void prefillEngineReplacesRateLimitedDecodeEngines() {
         engines(5, 3);
-        limited.addAll(Set.of("e5", "e6", "e7"));
+        limitedEngineIds.addAll(Set.of("e5", "e6", "e7"));
 
-        StagePlanner.Change change = after(250).orElseThrow();
+        StagePlanner.Change change = planFor(250).orElseThrow();
         assertEquals(Stage.DECODE, change.stage());
         planner.ordered(change, 3_000, nowMillis);
 
-        assertTrue(after(10_000).isEmpty(), "it is on its way, with what it runs to be finished first");
+        assertTrue(planFor(10_000).isEmpty(), "the ordered change is still pending");
         planner.notTaken(change);
-        assertTrue(after(250).isPresent());
+        assertTrue(planFor(250).isPresent());
     }
 
     @Test
-    void readersThatNameALimitAreReplacedByAGenerator() {
+    void decodeEngineReplacesRateLimitedPrefillEngines() {
         engines(2, 6);
-        limited.addAll(Set.of("e0", "e1"));
+        limitedEngineIds.addAll(Set.of("e0", "e1"));
 
-        assertEquals(Stage.PREFILL, after(250).orElseThrow().stage());
+        assertEquals(Stage.PREFILL, planFor(250).orElseThrow().stage());
     }
 
-    /** Prompts wait, and of the engines that generate all but one take next to nothing: that one may not leave. */
+    /** Prompts wait, but all other decode engines are rate-limited, so the last one must not change. */
     @Test
-    void theLastGeneratorWithoutALimitStays() {
+    void lastDecodeEngineWithoutLimitIsKept() {
         engines(4, 5);
-        limited.addAll(Set.of("e4", "e5", "e6", "e7"));
+        limitedEngineIds.addAll(Set.of("e4", "e5", "e6", "e7"));
         load(Stage.PREFILL, 4, 60_000);
 
-        assertTrue(after(20_000).isEmpty());
+        assertTrue(planFor(20_000).isEmpty());
     }
 
-    /** What takes next to nothing has next to nothing under way, and would always be the one that changes. */
+    /** A rate-limited engine has few calls in flight and would otherwise always be the least loaded candidate. */
     @Test
-    void anEngineThatNamesALimitIsNotTheOneThatChanges() {
+    void rateLimitedEngineIsNotChanged() {
         engines(3, 5);
-        limited.add("e4");
+        limitedEngineIds.add("e4");
         load(Stage.PREFILL, 4, 12_000);
         load(Stage.DECODE, 4, 0);
         loads.put("e4", TargetLoad.EMPTY);
 
-        assertNotEquals("e4", after(3_000).orElseThrow().engine().id());
+        assertNotEquals("e4", planFor(3_000).orElseThrow().engine().id());
     }
 
-    /** Half of the engines name a limit: those left are split so that both stages have one. */
+    /** Half of the engines are rate-limited; the others are split so that each stage keeps one. */
     @Test
-    void theLastReaderStaysWhereAnotherEngineGenerates() {
+    void lastPrefillEngineIsKeptWhenAnotherEngineDecodes() {
         engines(2, 2);
-        limited.addAll(Set.of("e0", "e2"));
+        limitedEngineIds.addAll(Set.of("e0", "e2"));
 
-        assertTrue(after(20_000).isEmpty());
+        assertTrue(planFor(20_000).isEmpty());
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/TargetDirectoryTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/TargetDirectoryTest.java
@@ -13,46 +13,48 @@
 
     private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), NoLimits.book());
 
-    private static Optional<Incarnation> target(String id, boolean leaving) {
-        return Optional.of(new Incarnation(id, "s", "10.0.0.1", 80, "dc", 1, leaving, Stage.WHOLE, 0));
+    private static Optional<Incarnation> target(String id, boolean draining) {
+        return Optional.of(new Incarnation(id, "s", "10.0.0.1", 80, "dc", 1, draining, Stage.WHOLE, 0));
     }
 
-    private List<String> ready() {
+    private List<String> readyIds() {
         return directory.ready("s").stream().map(Incarnation::id).sorted().toList();
     }
 
-    /** A page is read late: it still lists a target as ready that a newer record let go. The record stands. */
+    /** A page that was read late still lists a target that a newer record removed; the newer record counts. */
     @Test
-    void anOlderWordNeverBringsATargetBack() {
+    void olderRecordDoesNotRestoreATarget() {
         directory.apply("a", 5, target("a", true));
         assertFalse(directory.apply("a", 4, target("a", false)));
-        assertEquals(List.of(), ready());
+        assertEquals(List.of(), readyIds());
 
         directory.apply("a", 6, Optional.empty());
         assertFalse(directory.apply("a", 6, target("a", false)));
         assertTrue(directory.find("a").isEmpty());
     }
 
-    /** The stream's history was dropped. A full reading lists what is left; what it covers and does not list is gone. */
+    /**
+     * After the stream's history was dropped, a full listing removes the entries that it covers and does not contain.
+     */
     @Test
-    void aFullReadingRemovesWhatItCoversAndDoesNotList() {
+    void fullListingRemovesCoveredEntriesThatItDoesNotContain() {
         directory.apply("a", 1, target("a", false));
         directory.apply("b", 2, target("b", false));
         directory.apply("c", 9, target("c", false));
 
         assertEquals(List.of("b"), directory.retain(Set.of("a"), 8));
 
-        assertEquals(List.of("a", "c"), ready());
+        assertEquals(List.of("a", "c"), readyIds());
         assertFalse(directory.apply("b", 7, target("b", false)));
         assertTrue(directory.apply("b", 8, target("b", false)));
     }
 
     @Test
-    void onlyReadyTargetsOfTheServiceAreOffered() {
+    void onlyReadyTargetsOfTheServiceAreReturned() {
         directory.apply("a", 1, target("a", false));
         directory.apply("b", 2, target("b", true));
 
-        assertEquals(List.of("a"), ready());
+        assertEquals(List.of("a"), readyIds());
         assertEquals(List.of(), directory.ready("t"));
         assertEquals(2, directory.all().size());
     }
--- a/src/test/java/org/dogwoodwinch/forwarding/TargetHealthTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/TargetHealthTest.java
@@ -23,91 +23,90 @@
         return targets;
     }
 
-    private List<String> usable(int count) {
+    private List<String> usableIds(int count) {
         return health.usable(targets(count)).stream().map(Incarnation::id).toList();
     }
 
-    /** A target that is gone is tried by one call a pause, and the pause doubles up to four seconds. */
+    /** A crashed target is tried by one call per ejection, and the ejection time doubles up to four seconds. */
     @Test
-    void whatCannotBeReachedIsLeftOutForAPauseThatDoubles() {
-        List<Long> pauses = new ArrayList<>();
+    void unreachableTargetIsEjectedForDoublingTime() {
+        List<Long> ejectionsMillis = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            long pauseMillis = health.unreachable("t1");
-            pauses.add(pauseMillis);
-            assertEquals(List.of("t0", "t2"), usable(3));
-            time.advanceMillis(pauseMillis);
-            assertEquals(List.of("t0", "t1", "t2"), usable(3));
+            long ejectionMillis = health.unreachable("t1");
+            ejectionsMillis.add(ejectionMillis);
+            assertEquals(List.of("t0", "t2"), usableIds(3));
+            time.advanceMillis(ejectionMillis);
+            assertEquals(List.of("t0", "t1", "t2"), usableIds(3));
         }
-        assertEquals(List.of(500L, 1_000L, 2_000L, 4_000L, 4_000L, 4_000L), pauses);
+        assertEquals(List.of(500L, 1_000L, 2_000L, 4_000L, 4_000L, 4_000L), ejectionsMillis);
     }
 
-    /** Twenty calls fail at once: that is one failure, not twenty. */
+    /** Twenty calls that fail at the same time count as one failure. */
     @Test
-    void failuresWithinAPauseDoNotLengthenIt() {
+    void failuresDuringEjectionDoNotExtendIt() {
         health.unreachable("t1");
         time.advanceMillis(100);
 
         assertEquals(400, health.unreachable("t1"));
         time.advanceMillis(400);
-        assertEquals(List.of("t0", "t1", "t2"), usable(3));
+        assertEquals(List.of("t0", "t1", "t2"), usableIds(3));
     }
 
     @Test
-    void anAnswerClearsTheTarget() {
+    void answerEndsEjectionOfUnreachableTarget() {
         health.unreachable("t1");
         health.answered("t1");
 
-        assertEquals(3, usable(3).size());
+        assertEquals(3, usableIds(3).size());
         assertEquals(500, health.unreachable("t1"));
     }
 
-    /** This instance's links are cut: nothing can be reached, and still every target may be tried. */
+    /** If this instance's own links are cut, no target can be reached, and all must remain usable. */
     @Test
-    void noMoreThanHalfOfAServiceIsLeftOut() {
+    void atMostHalfOfAServiceIsEjected() {
         health.unreachable("t0");
         health.unreachable("t1");
-        assertEquals(List.of("t2", "t3"), usable(4));
+        assertEquals(List.of("t2", "t3"), usableIds(4));
 
         health.unreachable("t2");
-        assertEquals(4, usable(4).size());
-        assertEquals(1, usable(1).size());
+        assertEquals(4, usableIds(4).size());
+        assertEquals(1, usableIds(1).size());
     }
 
     @Test
-    void aTargetThatIsListedNoMoreIsForgotten() {
+    void removedTargetStartsWithFirstEjectionTime() {
         health.unreachable("t1");
         health.forget("t1");
 
         assertEquals(500, health.unreachable("t1"));
     }
 
-    /**
-     * A target breaks off a part of its calls and answers others. The answer to a call from before the break must not bring
-     * it back at once, or every second call is lost there; the first answer after the pause does.
-     */
+    /** The answer to a call sent before the break must not end the ejection, or every second call is lost there. */
     @Test
-    void anAnswerWithinThePauseOfABrokenOffCallProvesNothing() {
+    void answerDuringEjectionForBrokenCallDoesNotEndIt() {
         assertEquals(500, health.brokeOff("t1"));
         health.answered("t1");
-        assertEquals(List.of("t0", "t2"), usable(3));
+        assertEquals(List.of("t0", "t2"), usableIds(3));
 
         time.advanceMillis(500);
         health.answered("t1");
 
-        assertEquals(3, usable(3).size());
+        assertEquals(3, usableIds(3).size());
         time.advanceMillis(2_000);
         assertEquals(500, health.brokeOff("t1"));
     }
 
-    /** Two of four targets lose two answers of five: left alone for each, they would leave their work to the others. */
+    /**
+     * If each broken call ejected them, two of four targets that lose two of five answers would overload the others.
+     */
     @Test
-    void targetsThatLoseAPartOfTheirAnswersGoOnBeingUsed() {
+    void targetsThatLosePartOfTheirAnswersStayUsable() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(4);
         int usedCount = 0;
         for (int call = 0; call < 1_000; call++) {
             time.advanceMillis(100);
             String id = "t" + random.nextInt(2);
-            if (usable(4).contains(id)) {
+            if (usableIds(4).contains(id)) {
                 usedCount++;
                 if (random.nextInt(5) < 2) {
                     health.brokeOff(id);
@@ -116,62 +115,62 @@
                 }
             }
         }
-        assertTrue(usedCount >= 800, usedCount + " of 1000 calls could go there");
+        assertTrue(usedCount >= 800, usedCount + " of 1000 calls found the target usable");
     }
 
     @Test
-    void aTargetThatBreaksOffSeveralCallsInARowIsLeftAloneThoughItAnsweredAMomentAgo() {
+    void consecutiveBrokenCallsEjectTargetDespiteRecentAnswer() {
         health.answered("t1");
         assertEquals(0, health.brokeOff("t1"));
         assertEquals(0, health.brokeOff("t1"));
         assertEquals(500, health.brokeOff("t1"));
-        assertEquals(List.of("t0", "t2"), usable(3));
+        assertEquals(List.of("t0", "t2"), usableIds(3));
     }
 
-    /** Another instance lost a call there, this one has just had an answer. */
+    /** Another instance lost a call there, but this instance has just received an answer. */
     @Test
-    void whatIsToldCountsLessThanAnAnswerOfAMomentAgo() {
+    void peerEjectionIsIgnoredAfterRecentAnswer() {
         health.answered("t1");
         health.told("t1", 500, 1_000);
-        assertEquals(3, usable(3).size());
+        assertEquals(3, usableIds(3).size());
 
         time.advanceMillis(2_000);
         health.told("t1", 500, 1_000);
-        assertEquals(List.of("t0", "t2"), usable(3));
+        assertEquals(List.of("t0", "t2"), usableIds(3));
     }
 
-    /** All instances share what one finds out, so a trial a second is cheap, and a target that is back is soon found. */
+    /** All instances share the result, so one probe per second is cheap and finds a restarted target soon. */
     @Test
-    void pausesOfBrokenOffCallsEndWithinASecond() {
-        List<Long> pauses = new ArrayList<>();
+    void ejectionForBrokenCallsLastsAtMostOneSecond() {
+        List<Long> ejectionsMillis = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            pauses.add(health.brokeOff("t1"));
+            ejectionsMillis.add(health.brokeOff("t1"));
             time.advanceMillis(1_000);
         }
-        assertEquals(List.of(500L, 1_000L, 1_000L, 1_000L), pauses);
+        assertEquals(List.of(500L, 1_000L, 1_000L, 1_000L), ejectionsMillis);
     }
 
-    /** What is told lengthens a pause and never shortens it, and the own pauses go on from there. */
+    /** A report extends an ejection but never shortens it, and this instance's ejection time continues from there. */
     @Test
-    void whatIsToldLeavesATargetOutAsLongAsIsSaid() {
+    void peerEjectionLastsForReportedTime() {
         health.told("t1", 1_000, 2_500);
         health.told("t1", 500, 100);
         time.advanceMillis(2_400);
-        assertEquals(List.of("t0", "t2"), usable(3));
+        assertEquals(List.of("t0", "t2"), usableIds(3));
 
         time.advanceMillis(100);
-        assertEquals(3, usable(3).size());
+        assertEquals(3, usableIds(3).size());
         assertEquals(1_000, health.brokeOff("t1"));
 
         health.toldSound("t1");
-        assertEquals(3, usable(3).size());
+        assertEquals(3, usableIds(3).size());
     }
 
-    /** A word that was too long on its way says nothing any more. */
+    /** A report that arrives after its ejection has ended no longer has any effect. */
     @Test
-    void aWordWhosePauseIsOverLeavesNothingOut() {
+    void expiredPeerEjectionIsIgnored() {
         health.told("t1", 500, 0);
 
-        assertEquals(3, usable(3).size());
+        assertEquals(3, usableIds(3).size());
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/TargetLimitsTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/TargetLimitsTest.java
@@ -20,7 +20,7 @@
     private final TargetLimits limits = new TargetLimits(time::monotonicMillis, shares);
 
     @Test
-    void aLimitIsNamedChangedAndEnded() {
+    void answersSetChangeAndEndLimit() {
         assertEquals(TargetLimits.News.NONE, limits.answered("t1", OptionalDouble.empty(), now()));
         assertEquals(TargetLimits.News.NAMED, limits.answered("t1", TWO, now()));
         assertEquals(TargetLimits.News.NONE, limits.answered("t1", TWO, now()));
@@ -31,9 +31,9 @@
         assertFalse(limits.isLimited("t1"));
     }
 
-    /** The answer to a call from before the limit was known may have been made before the limit was named. */
+    /** The answer to a call sent before the limit was known may have been made before the target stated the limit. */
     @Test
-    void anAnswerToAnEarlierCallEndsNoLimit() {
+    void answerToEarlierCallDoesNotEndLimit() {
         long beforeMillis = now();
         time.advanceMillis(10);
         limits.answered("t1", TWO, beforeMillis);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aTargetThatStartedAnewIsNotLimited() {
+    void restartedTargetIsNotLimited() {
         limits.answered("t1", TWO, now());
 
         limits.forget("t1");
@@ -52,10 +52,10 @@
         assertEquals(0, limits.count());
     }
 
-    /** Whatever is sent takes from the share, and a share that was not used is not saved up. */
+    /** Each call takes from the share, and an unused share does not accumulate. */
     @Test
-    void aShareIsUsedUpAndFillsAgain() {
-        settle();
+    void shareIsUsedUpAndRefills() {
+        settleMembership();
         limits.answered("t1", TWO, now());
         assertFalse(limits.take("t1"));
 
@@ -67,11 +67,11 @@
 
         time.advanceMillis(500);
         assertTrue(limits.take("t1"));
-        assertTrue(limits.take("t2"), "names no limit");
+        assertTrue(limits.take("t2"), "states no limit");
     }
 
     @Test
-    void aLateWordReplacesNoNewerOne() {
+    void olderPeerReportIsIgnored() {
         limits.told("t1", TWO, now() - 10);
         assertEquals(TargetLimits.News.NONE, limits.told("t1", OptionalDouble.of(9), now() - 20));
         assertEquals(TargetLimits.News.NONE, limits.told("t1", OptionalDouble.empty(), now() - 20));
@@ -80,19 +80,19 @@
         assertEquals(TargetLimits.News.NAMED, limits.told("t1", TWO, now()));
     }
 
-    /** Where this instance has no share, another one's call is the next. */
+    /** An instance without a share reports the time until the next call of another instance. */
     @Test
-    void theNextCallOfAnotherInstanceIsWhenThereIsRoom() {
-        TargetLimits others =
+    void capacityWithoutShareIsNextCallOfAnotherInstance() {
+        TargetLimits withoutShare =
                 new TargetLimits(time::monotonicMillis, new LimitShares("i0", Optional::empty, time::monotonicMillis));
-        others.answered("t1", TWO, now());
+        withoutShare.answered("t1", TWO, now());
 
-        assertFalse(others.hasRoom("t1"));
-        assertEquals(500, others.roomMillis("t1"));
-        assertEquals(0, others.roomMillis("t2"));
+        assertFalse(withoutShare.hasRoom("t1"));
+        assertEquals(500, withoutShare.roomMillis("t1"));
+        assertEquals(0, withoutShare.roomMillis("t2"));
     }
 
-    private void settle() {
+    private void settleMembership() {
         shares.look();
         time.advanceMillis(2_001);
         shares.look();
