--- a/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
@@ -29,7 +29,7 @@
     /** With two share holders, the loss of one leaves the target half of its calls. */
     private static final int MIN_HOLDERS_COUNT = 2;
 
-    /** A small membership may only mean that the other instances were not yet heard from. */
+    /** A small membership may only mean that the other instances have not yet announced themselves. */
     private static final int MIN_UNCONFIRMED_COUNT = 4;
 
     /** Each instance announces itself several times within this time. */
@@ -130,10 +130,7 @@
                 Math.max(minMembersCount, recentMemberships.getLast().names.size()));
     }
 
-    /**
-     * Returns the lowest rank in the recent memberships, beyond any share if this instance was not sure of one of
-     * them.
-     */
+    /** Returns the worst rank in the recent memberships; a membership that was not known counts as the last rank. */
     private int rank(String targetId) {
         return rankByTarget.computeIfAbsent(
                 targetId,
--- a/src/main/java/org/dogwoodwinch/forwarding/QueueLevel.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/QueueLevel.java
@@ -33,7 +33,7 @@
      * Returns the level of a call that is expected to be late.
      *
      * @param priority the route's priority, where zero is the most urgent
-     * @return the level after that of calls on time
+     * @return the level after that of calls on time, from 1 to 9
      */
     public static int late(int priority) {
         return onTime(priority) + 1;
--- a/src/main/java/org/dogwoodwinch/forwarding/Rendezvous.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Rendezvous.java
@@ -1,8 +1,8 @@
 package org.dogwoodwinch.forwarding;
 
 /**
- * Ranks targets for a key by rendezvous hashing: all instances compute the same ranking without communication, and
- * few keys move when a target is removed.
+ * Ranks targets for a key by rendezvous hashing, so that all instances compute the same ranking without communication,
+ * and few keys move when a target is removed.
  */
 public final class Rendezvous {
 
--- a/src/test/java/org/dogwoodwinch/forwarding/RetryBudgetTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RetryBudgetTest.java
@@ -19,10 +19,7 @@
     private static final double RATIO = 0.2;
     private static final double SLACK = 52;
 
-    /**
-     * In each window, retries stay within slack plus ratio of the requests in it, one before, or half a window
-     * before.
-     */
+    /** Restarts must not let all instances together exceed the ratio of the requests in or near a window plus slack. */
     @Property(seed = "31", tries = 60)
     void retriesOfAllInstancesStayWithinBound(
             @ForAll @IntRange(min = 1, max = 80) int instances, @ForAll @IntRange(min = 1, max = 1_000_000) int seed) {
