--- a/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
@@ -32,7 +32,7 @@
      *
      * @param fingerprint identifies equal calls of one caller
      * @param attemptId identifies the attempt, not null
-     * @param lostAtMillis time of the loss, in monotonic milliseconds
+     * @param atMillis time of the loss, in monotonic milliseconds
      */
     public record LostCall(long fingerprint, String attemptId, long atMillis) {}
 
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Replaces an engine in a stage whose engines all state rate limits.
+     * Moves an engine from the other stage to a stage whose engines all state rate limits.
      *
      * <p>Load: all decode engines state limits of a few calls per second, while the prefill engines have capacity.
      * Prefilled prompts have no engine to run on, and callers are refused. No prompts queue at the rate-limited
