--- a/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Chooses the target with the fewest calls from here for each of its slots; any of several by chance. */
+/** Chooses the target with the fewest calls in flight per slot, with random tie-breaking. */
 public final class LeastLoadedChooser implements TargetChooser {
 
     private final TargetDirectory directory;
@@ -17,8 +17,8 @@
      * Creates a chooser.
      *
      * @param directory the targets, not null
-     * @param loads what is under way at them, not null
-     * @param random breaks ties, so that instances do not all begin with one target, not null
+     * @param loads the calls in flight at the targets, not null
+     * @param random breaks ties, so that the instances do not all begin with the same target, not null
      */
     public LeastLoadedChooser(TargetDirectory directory, LoadBook loads, UniformRandomProvider random) {
         this.directory = Objects.requireNonNull(directory, "directory");
@@ -29,19 +29,19 @@
     @Override
     public Optional<Plan> choose(ChoiceQuery query) {
         List<Incarnation> best = new ArrayList<>();
-        double least = Double.MAX_VALUE;
+        double lowestLoad = Double.MAX_VALUE;
         for (Incarnation target : directory.ready(query.service().name())) {
-            if (query.triedIds().contains(target.id())
+            if (query.triedTargetIds().contains(target.id())
                     || target.stage() == Stage.PREFILL
                     || !directory.hasRoom(target)) {
                 continue;
             }
             double load = loads.at(target.id()).callsCount() / (double) Math.max(1, target.slotsCount());
-            if (load < least) {
-                least = load;
+            if (load < lowestLoad) {
+                lowestLoad = load;
                 best.clear();
             }
-            if (load == least) {
+            if (load == lowestLoad) {
                 best.add(target);
             }
         }
@@ -57,6 +57,6 @@
 
     @Override
     public long roomMillis(ChoiceQuery query) {
-        return directory.roomMillis(query.service().name(), query.triedIds());
+        return directory.roomMillis(query.service().name(), query.triedTargetIds());
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
@@ -11,139 +11,147 @@
 import java.util.function.Supplier;
 
 /**
- * Deals the limit that a target names out to few instances, the highest ranked for it, without a word between them. Not
- * thread-safe.
+ * Divides the rate limit that a target states among the few instances that rank highest for it by rendezvous hashing,
+ * so that the instances need not communicate. Not thread-safe.
  *
- * <p>Load: many instances before a target that takes two calls a second. Equal shares of all would let each send a first
- * call, dozens at once, and then one in a minute. A share here is about a call a second, so that the calls that all holders
- * may send at once are no more than the target takes in a second, or two.
+ * <p>Load: many instances share a target that accepts two calls per second. With equal shares for all instances, each
+ * could send its first call at once, which makes dozens of calls, and then only one call per minute. A share is
+ * therefore about one call per second, so that the calls that all share holders may send at once are what the target
+ * accepts in one or two seconds.
  *
- * <p>Failure: instances that come, go, or are cut off do not believe in the same fleet. An instance that is not sure that the
- * others count on it has no share; one that has come to rank among the holders waits until those before it have heard so.
- * One that is wrong all the same adds one share, and the sum stays below one and a half times the limit.
+ * <p>Failure: instances that start, stop or are partitioned do not agree on the membership. An instance has no share
+ * while it does not know whether the others consider it a member. An instance that moves up among the share holders
+ * waits until those that ranked before it have received the change. An instance that is wrong in spite of this adds
+ * one share, and the sum stays below one and a half times the limit.
  */
 public final class LimitShares {
 
-    /** With two, the loss of one holder leaves a target half of its calls. */
-    private static final int LEAST_HOLDERS_COUNT = 2;
+    /** With two share holders, the loss of one leaves the target half of its calls. */
+    private static final int MIN_HOLDERS_COUNT = 2;
 
-    /** A fleet that looks smaller may be one whose other instances were not heard yet. */
-    private static final int FEWEST_BELIEVED_COUNT = 4;
+    /** A small membership may only mean that the other instances have not yet announced themselves. */
+    private static final int MIN_UNCONFIRMED_COUNT = 4;
 
-    /** Each instance announces itself several times in this time. */
-    private static final long CONFIRMED_MILLIS = 60_000;
+    /** Each instance announces itself several times within this time. */
+    private static final long CONFIRMATION_MILLIS = 60_000;
 
-    /** Of a target that takes next to nothing: a call now and then finds out that it takes more again. */
-    private static final double LEAST_PER_SECOND = 0.2;
+    /** Minimum rate for targets that state a limit near zero: an occasional call detects that the limit was raised. */
+    private static final double MIN_PER_SECOND = 0.2;
 
-    /** The way of an instance's announcement to the others. */
-    private static final long SETTLED_MILLIS = 2_000;
+    /** Time for an instance's announcement to reach the others. */
+    private static final long PROPAGATION_MILLIS = 2_000;
 
-    /** The names among which nobody has a share. */
-    private static final Set<String> NOBODY = Set.of();
+    /** The membership while this instance is not sure of it; nobody has a share. */
+    private static final Set<String> NO_MEMBERS = Set.of();
 
     private final String ownName;
-    private final Supplier<Optional<Set<String>>> countedOn;
+    private final Supplier<Optional<Set<String>>> members;
     private final LongSupplier clockMillis;
-    private final Deque<Fleet> fleets = new ArrayDeque<>();
-    private final Map<String, Integer> ranks = new HashMap<>();
+    private final Deque<Membership> recentMemberships = new ArrayDeque<>();
+    private final Map<String, Integer> rankByTarget = new HashMap<>();
     private long unchangedSinceMillis;
 
     /**
-     * Creates a dealer that has no share until it has looked at the fleet.
+     * Creates an instance that has no share until the first call of {@link #look}.
      *
-     * @param ownName this instance's name, not null
-     * @param countedOn the instances that count on each other, this one among them, empty while it is not sure, not null
+     * @param ownName the name of this instance, not null
+     * @param members the names of the instances that consider each other members, including this one; empty while
+     *     this instance is not sure of the membership, not null
      * @param clockMillis monotonic milliseconds, not null
      */
-    public LimitShares(String ownName, Supplier<Optional<Set<String>>> countedOn, LongSupplier clockMillis) {
+    public LimitShares(String ownName, Supplier<Optional<Set<String>>> members, LongSupplier clockMillis) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
-        this.countedOn = Objects.requireNonNull(countedOn, "countedOn");
+        this.members = Objects.requireNonNull(members, "members");
         this.clockMillis = Objects.requireNonNull(clockMillis, "clockMillis");
-        fleets.add(new Fleet(NOBODY, Long.MAX_VALUE));
+        recentMemberships.add(new Membership(NO_MEMBERS, Long.MAX_VALUE));
     }
 
-    /** Looks at who is there; to be called several times a second. */
+    /** Reads the current membership. Must be called several times per second. */
     public void look() {
         long nowMillis = clockMillis.getAsLong();
-        Set<String> names = countedOn.get().map(Set::copyOf).orElse(NOBODY);
-        Fleet current = fleets.getLast();
+        Set<String> names = members.get().map(Set::copyOf).orElse(NO_MEMBERS);
+        Membership current = recentMemberships.getLast();
         boolean changed = !names.equals(current.names);
         if (changed) {
-            fleets.removeLast();
-            fleets.addLast(new Fleet(current.names, nowMillis));
-            fleets.addLast(new Fleet(names, Long.MAX_VALUE));
+            recentMemberships.removeLast();
+            recentMemberships.addLast(new Membership(current.names, nowMillis));
+            recentMemberships.addLast(new Membership(names, Long.MAX_VALUE));
             unchangedSinceMillis = nowMillis;
         }
-        while (fleets.getFirst().untilMillis < nowMillis - SETTLED_MILLIS) {
-            fleets.removeFirst();
+        while (recentMemberships.getFirst().untilMillis < nowMillis - PROPAGATION_MILLIS) {
+            recentMemberships.removeFirst();
             changed = true;
         }
         if (changed) {
-            ranks.clear();
+            rankByTarget.clear();
         }
     }
 
     /**
-     * Returns this instance's share of a target's limit.
+     * Returns this instance's share of a target's rate limit.
      *
      * @param targetId the target's id, not null
-     * @param limitPerSecond the calls a second that the target takes from all instances together
-     * @return calls a second from here; zero for most instances
+     * @param limitPerSecond the calls per second that the target accepts from all instances together
+     * @return the calls per second of this instance; zero for most instances
      */
     public double perSecond(String targetId, double limitPerSecond) {
         long holdersCount = holdersCount(limitPerSecond);
-        return rank(targetId) < holdersCount ? Math.max(LEAST_PER_SECOND, limitPerSecond) / holdersCount : 0;
+        return rank(targetId) < holdersCount ? Math.max(MIN_PER_SECOND, limitPerSecond) / holdersCount : 0;
     }
 
     /**
-     * Says whether this instance is sure of the fleet.
+     * Returns whether this instance is sure of the membership.
      *
-     * @return whether the others count on it as far as it knows
+     * @return whether the other instances consider this one a member, as far as it knows
      */
-    public boolean sure() {
-        return !fleets.getLast().names.isEmpty();
+    public boolean isMembershipKnown() {
+        return !recentMemberships.getLast().names.isEmpty();
     }
 
     /**
-     * Says whether this instance ranks among the holders of a target's limit, also where it does not use its share yet.
+     * Returns whether this instance ranks among the share holders of a target's limit, even if it must not use its
+     * share yet.
      *
      * @param targetId the target's id, not null
      * @param limitPerSecond the limit
-     * @return whether it does; false while it is not sure of the fleet
+     * @return whether it ranks among them; false while it is not sure of the membership
      */
-    public boolean holds(String targetId, double limitPerSecond) {
-        return sure() && rankAmong(fleets.getLast().names, targetId) < holdersCount(limitPerSecond);
+    public boolean isShareHolder(String targetId, double limitPerSecond) {
+        return isMembershipKnown()
+                && rankIn(recentMemberships.getLast().names, targetId) < holdersCount(limitPerSecond);
     }
 
     private long holdersCount(double limitPerSecond) {
-        long wanted = Math.max(LEAST_HOLDERS_COUNT, Math.round(limitPerSecond));
-        boolean confirmed = clockMillis.getAsLong() - unchangedSinceMillis >= CONFIRMED_MILLIS;
-        int fewest = confirmed ? 1 : FEWEST_BELIEVED_COUNT;
-        return Math.min(wanted, Math.max(fewest, fleets.getLast().names.size()));
+        long desiredCount = Math.max(MIN_HOLDERS_COUNT, Math.round(limitPerSecond));
+        boolean confirmed = clockMillis.getAsLong() - unchangedSinceMillis >= CONFIRMATION_MILLIS;
+        int minMembersCount = confirmed ? 1 : MIN_UNCONFIRMED_COUNT;
+        return Math.min(
+                desiredCount,
+                Math.max(minMembersCount, recentMemberships.getLast().names.size()));
     }
 
-    /** The worst among the fleets of late, beyond any share where this instance was not sure. */
+    /** Returns the worst rank in the recent memberships; a membership that was not known counts as the last rank. */
     private int rank(String targetId) {
-        return ranks.computeIfAbsent(
+        return rankByTarget.computeIfAbsent(
                 targetId,
-                id -> fleets.stream()
-                        .mapToInt(fleet -> fleet.names.isEmpty() ? Integer.MAX_VALUE : rankAmong(fleet.names, id))
+                id -> recentMemberships.stream()
+                        .mapToInt(membership ->
+                                membership.names.isEmpty() ? Integer.MAX_VALUE : rankIn(membership.names, id))
                         .max()
                         .orElse(Integer.MAX_VALUE));
     }
 
-    private int rankAmong(Set<String> names, String targetId) {
-        double own = Rendezvous.score(targetId, ownName);
-        int before = 0;
+    private int rankIn(Set<String> names, String targetId) {
+        double ownScore = Rendezvous.score(targetId, ownName);
+        int higherRankedCount = 0;
         for (String name : names) {
-            if (Rendezvous.score(targetId, name) > own) {
-                before++;
+            if (Rendezvous.score(targetId, name) > ownScore) {
+                higherRankedCount++;
             }
         }
-        return before;
+        return higherRankedCount;
     }
 
-    /** Who counted on each other, and until when: the end of time for those who do now. */
-    private record Fleet(Set<String> names, long untilMillis) {}
+    /** A membership and the time at which it ended, {@link Long#MAX_VALUE} for the current one. */
+    private record Membership(Set<String> names, long untilMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
@@ -11,215 +11,235 @@
 /**
  * Plans which engine of a service changes its stage. Not thread-safe.
  *
- * <p>Load: the mix of prompt and output shifts within minutes, and the split of engines that was right before leaves
- * prompts waiting at those that read while those that generate have next to nothing to do, or the other way round. The
- * planner compares how long a prompt waits at the engines of either stage, over two horizons.
+ * <p>Load: the ratio of prompt length to output length changes within minutes. With a split of the engines that no
+ * longer fits, prompts wait at the prefill engines while the decode engines are nearly idle, or vice versa. The
+ * planner compares how long prompts wait at the engines of each stage, averaged over two horizons.
  */
 public final class StagePlanner {
 
-    private static final int ENGINES_OF_ONE_AWAY = 8;
+    private static final int ENGINES_PER_CHANGE = 8;
 
-    /** An engine finishes what it runs before it changes; one that has not changed by then is not waited for. */
-    private static final long LONGEST_CHANGE_MILLIS = 15_000;
+    /**
+     * An engine completes its running requests before it changes; a change that has taken longer than this is no
+     * longer awaited.
+     */
+    private static final long MAX_CHANGE_MILLIS = 15_000;
 
     private final StagePlanPolicy policy;
-    private final ReadRates rates;
-    private final Pressure reading;
-    private final Pressure generating;
-    private final Pressure busy;
-    private final List<UnderWay> underWay = new ArrayList<>();
-    private long notBeforeMillis = Long.MIN_VALUE;
+    private final ReadRates prefillRates;
+    private final TwoHorizonAverage prefillWait;
+    private final TwoHorizonAverage decodeWait;
+    private final TwoHorizonAverage decodeBusy;
+    private final List<PendingChange> pendingChanges = new ArrayList<>();
+    private long nextChangeMillis = Long.MIN_VALUE;
     private int enginesCount;
 
     /**
-     * Creates a planner that has seen nothing.
+     * Creates a planner without samples.
      *
      * @param policy the thresholds, not null
-     * @param rates how fast engines read, not null
+     * @param prefillRates the prefill rates of the engines, not null
      */
-    public StagePlanner(StagePlanPolicy policy, ReadRates rates) {
+    public StagePlanner(StagePlanPolicy policy, ReadRates prefillRates) {
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.rates = Objects.requireNonNull(rates, "rates");
-        this.reading = new Pressure(policy);
-        this.generating = new Pressure(policy);
-        this.busy = new Pressure(policy);
+        this.prefillRates = Objects.requireNonNull(prefillRates, "prefillRates");
+        this.prefillWait = new TwoHorizonAverage(policy);
+        this.decodeWait = new TwoHorizonAverage(policy);
+        this.decodeBusy = new TwoHorizonAverage(policy);
     }
 
     /**
-     * An engine that is to change.
+     * A planned change of an engine's stage.
      *
-     * @param engine the engine as it is, not null
-     * @param stage the stage that it is to have, not null
-     * @param reason what was seen, for logs, not null
+     * @param engine the engine before the change, not null
+     * @param stage the new stage, not null
+     * @param reason the measured averages, for logs, not null
      */
     public record Change(Incarnation engine, Stage stage, String reason) {}
 
     /**
-     * Looks at the loads. Called again and again, whether or not a change is wanted.
+     * Records the current loads and returns a change if one is worthwhile. Must be called regularly, even if no
+     * change is wanted.
      *
-     * @param ready the engines of the service that take work, not null
-     * @param limited whether an engine takes no more than the few calls that it names, not null
-     * @param load what is under way at an engine, by its id, not null
-     * @param eligible whether an engine, by its id, may be changed, not null
+     * @param ready the engines of the service that accept work, not null
+     * @param isRateLimited whether an engine accepts only the few calls of a rate limit that it states, not null
+     * @param loadOf the load of an engine, by its id, not null
+     * @param isEligible whether the engine with an id may be changed, not null
      * @param nowMillis monotonic milliseconds
-     * @return a change that is worth it now
+     * @return the change to order now, or empty if none is worthwhile
      */
     public Optional<Change> plan(
             List<Incarnation> ready,
-            Predicate<Incarnation> limited,
-            Function<String, TargetLoad> load,
-            Predicate<String> eligible,
+            Predicate<Incarnation> isRateLimited,
+            Function<String, TargetLoad> loadOf,
+            Predicate<String> isEligible,
             long nowMillis) {
-        underWay.removeIf(change -> change.over(ready, nowMillis));
-        List<Incarnation> atEase = ready.stream()
-                .filter(engine -> !limited.test(engine) && !changes(engine))
+        pendingChanges.removeIf(change -> change.isOver(ready, nowMillis));
+        List<Incarnation> unlimited = ready.stream()
+                .filter(engine -> !isRateLimited.test(engine) && !isChanging(engine))
                 .toList();
-        List<Incarnation> readers = ofStage(atEase, Stage.PREFILL);
-        List<Incarnation> generators = ofStage(atEase, Stage.DECODE);
-        if (ready.stream().anyMatch(limited)) {
-            Optional<Change> replaced = replaceLimited(readers, generators, load, eligible);
-            if (replaced.isPresent()) {
-                return replaced;
+        List<Incarnation> prefillEngines = withStage(unlimited, Stage.PREFILL);
+        List<Incarnation> decodeEngines = withStage(unlimited, Stage.DECODE);
+        if (ready.stream().anyMatch(isRateLimited)) {
+            Optional<Change> replacement = replaceRateLimited(prefillEngines, decodeEngines, loadOf, isEligible);
+            if (replacement.isPresent()) {
+                return replacement;
             }
         }
-        if (readers.isEmpty() || generators.isEmpty()) {
+        if (prefillEngines.isEmpty() || decodeEngines.isEmpty()) {
             return Optional.empty();
         }
-        enginesCount = readers.size() + generators.size();
-        reading.see(waitMillis(readers, load), nowMillis);
-        generating.see(waitMillis(generators, load), nowMillis);
-        busy.see(busyRatio(generators, load), nowMillis);
-        if (nowMillis < notBeforeMillis) {
+        enginesCount = prefillEngines.size() + decodeEngines.size();
+        prefillWait.add(meanWaitMillis(prefillEngines, loadOf), nowMillis);
+        decodeWait.add(meanWaitMillis(decodeEngines, loadOf), nowMillis);
+        decodeBusy.add(busyRatio(decodeEngines, loadOf), nowMillis);
+        if (nowMillis < nextChangeMillis) {
             return Optional.empty();
         }
-        long limitedGenerators =
-                ofStage(ready, Stage.DECODE).stream().filter(limited).count();
-        if (wantsReader(generators.size(), limitedGenerators)) {
-            return change(generators, Stage.PREFILL, load, eligible);
+        long limitedDecodeCount =
+                withStage(ready, Stage.DECODE).stream().filter(isRateLimited).count();
+        if (needsPrefillEngine(decodeEngines.size(), limitedDecodeCount)) {
+            return chooseChange(decodeEngines, Stage.PREFILL, loadOf, isEligible);
         }
-        if (wantsGenerator(readers.size())) {
-            return change(readers, Stage.DECODE, load, eligible);
+        if (needsDecodeEngine(prefillEngines.size())) {
+            return chooseChange(prefillEngines, Stage.DECODE, loadOf, isEligible);
         }
         return Optional.empty();
     }
 
     /**
-     * Gives a stage back what engines that name a limit have taken from it.
+     * Moves an engine from the other stage to a stage whose engines all state rate limits.
      *
-     * <p>Load: all engines that generate name limits of a few calls a second, and those that read have room. What is read
-     * has nowhere to run, and callers are refused; nothing waits at the limited engines, so the waits show no need.
+     * <p>Load: all decode engines state limits of a few calls per second, while the prefill engines have capacity.
+     * Prefilled prompts have no engine to run on, and callers are refused. No prompts queue at the rate-limited
+     * engines, so the measured waits do not show the shortage.
      */
-    private Optional<Change> replaceLimited(
-            List<Incarnation> readers,
-            List<Incarnation> generators,
-            Function<String, TargetLoad> load,
-            Predicate<String> eligible) {
-        if (generators.size() + coming(Stage.DECODE) == 0 && readers.size() > 1) {
-            return change(readers, Stage.DECODE, load, eligible);
+    private Optional<Change> replaceRateLimited(
+            List<Incarnation> prefillEngines,
+            List<Incarnation> decodeEngines,
+            Function<String, TargetLoad> loadOf,
+            Predicate<String> isEligible) {
+        if (decodeEngines.size() + pendingCount(Stage.DECODE) == 0 && prefillEngines.size() > 1) {
+            return chooseChange(prefillEngines, Stage.DECODE, loadOf, isEligible);
         }
-        if (readers.size() + coming(Stage.PREFILL) == 0 && generators.size() > 1) {
-            return change(generators, Stage.PREFILL, load, eligible);
+        if (prefillEngines.size() + pendingCount(Stage.PREFILL) == 0 && decodeEngines.size() > 1) {
+            return chooseChange(decodeEngines, Stage.PREFILL, loadOf, isEligible);
         }
         return Optional.empty();
     }
 
-    /** It is listed with its old stage until it has finished what it ran and is back. */
-    private boolean changes(Incarnation engine) {
-        return underWay.stream().anyMatch(each -> each.change.engine().id().equals(engine.id()));
+    /**
+     * An engine remains listed with its old stage until it has completed its running requests and is available again.
+     */
+    private boolean isChanging(Incarnation engine) {
+        return pendingChanges.stream()
+                .anyMatch(pending -> pending.change.engine().id().equals(engine.id()));
     }
 
-    private long coming(Stage stage) {
-        return underWay.stream().filter(each -> each.change.stage() == stage).count();
+    private long pendingCount(Stage stage) {
+        return pendingChanges.stream()
+                .filter(pending -> pending.change.stage() == stage)
+                .count();
     }
 
     /**
-     * An order was given. Of many engines several may be away at once, one of eight at the most: what one engine brings
-     * does not show there, and a mix that shifts within seconds would be over before one after the other had changed.
+     * Records that a change was ordered. In a large service several engines may change at the same time, at most one
+     * of eight: the effect of a single engine does not show there, and a load that shifts within seconds would have
+     * changed again before engines could follow one after another.
      *
-     * @param change what was ordered, not null
-     * @param awayMillis how long the engine is away
+     * @param change the change that was ordered, not null
+     * @param unavailableMillis time for which the engine is unavailable
      * @param nowMillis monotonic milliseconds
      */
-    public void ordered(Change change, long awayMillis, long nowMillis) {
-        underWay.add(new UnderWay(change, nowMillis + LONGEST_CHANGE_MILLIS));
-        long pauseMillis = awayMillis + policy.dwellMillis();
-        notBeforeMillis = nowMillis + pauseMillis / Math.max(1, enginesCount / ENGINES_OF_ONE_AWAY);
+    public void ordered(Change change, long unavailableMillis, long nowMillis) {
+        pendingChanges.add(new PendingChange(change, nowMillis + MAX_CHANGE_MILLIS));
+        long intervalMillis = unavailableMillis + policy.dwellMillis();
+        nextChangeMillis = nowMillis + intervalMillis / Math.max(1, enginesCount / ENGINES_PER_CHANGE);
     }
 
     /**
-     * An order was not taken: the engine stands as it is listed.
+     * Records that an order was rejected: the engine keeps the stage with which it is listed.
      *
-     * @param change what was ordered, not null
+     * @param change the change that was ordered, not null
      */
     public void notTaken(Change change) {
-        underWay.removeIf(each -> each.change.equals(change));
+        pendingChanges.removeIf(pending -> pending.change.equals(change));
     }
 
-    private boolean wantsReader(int generatorsCount, long limitedGeneratorsCount) {
-        if (generatorsCount <= 1 || generatorsCount + limitedGeneratorsCount <= policy.leastGeneratingCount()) {
+    private boolean needsPrefillEngine(int decodeCount, long limitedDecodeCount) {
+        if (decodeCount <= 1 || decodeCount + limitedDecodeCount <= policy.minDecodeCount()) {
             return false;
         }
-        double withOneLess = generatorsCount / (generatorsCount - 1.0);
-        return reading.least() >= policy.leastWaitMillis()
-                && reading.least() >= policy.advantageRatio() * withOneLess * generating.most()
-                && busy.most() * withOneLess <= policy.mostBusyRatio();
+        double oneLessFactor = decodeCount / (decodeCount - 1.0);
+        return prefillWait.min() >= policy.minWaitMillis()
+                && prefillWait.min() >= policy.minWaitRatio() * oneLessFactor * decodeWait.max()
+                && decodeBusy.max() * oneLessFactor <= policy.maxBusyRatio();
     }
 
-    private boolean wantsGenerator(int readersCount) {
-        if (readersCount <= 1) {
+    private boolean needsDecodeEngine(int prefillCount) {
+        if (prefillCount <= 1) {
             return false;
         }
-        double withOneLess = readersCount / (readersCount - 1.0);
-        boolean waits = generating.least() >= policy.leastWaitMillis()
-                && generating.least() >= policy.advantageRatio() * withOneLess * reading.most();
-        boolean full = busy.least() > policy.mostBusyRatio() && reading.most() * withOneLess < policy.leastWaitMillis();
-        return waits || full;
+        double oneLessFactor = prefillCount / (prefillCount - 1.0);
+        boolean decodeWaits = decodeWait.min() >= policy.minWaitMillis()
+                && decodeWait.min() >= policy.minWaitRatio() * oneLessFactor * prefillWait.max();
+        boolean decodeFull =
+                decodeBusy.min() > policy.maxBusyRatio() && prefillWait.max() * oneLessFactor < policy.minWaitMillis();
+        return decodeWaits || decodeFull;
     }
 
-    private Optional<Change> change(
-            List<Incarnation> from, Stage stage, Function<String, TargetLoad> load, Predicate<String> eligible) {
-        return from.stream()
-                .filter(engine -> eligible.test(engine.id()))
+    private Optional<Change> chooseChange(
+            List<Incarnation> candidates,
+            Stage stage,
+            Function<String, TargetLoad> loadOf,
+            Predicate<String> isEligible) {
+        return candidates.stream()
+                .filter(engine -> isEligible.test(engine.id()))
                 .min(Comparator.<Incarnation>comparingInt(
-                                engine -> load.apply(engine.id()).callsCount())
+                                engine -> loadOf.apply(engine.id()).callsCount())
                         .thenComparing(Incarnation::id))
                 .map(engine -> new Change(engine, stage, toString()));
     }
 
-    private double waitMillis(List<Incarnation> engines, Function<String, TargetLoad> load) {
+    private double meanWaitMillis(List<Incarnation> engines, Function<String, TargetLoad> loadOf) {
         double sum = 0;
         for (Incarnation engine : engines) {
-            sum += load.apply(engine.id()).unread().totalTokens()
-                    / rates.tokensPerMilli(engine.service(), engine.stage());
+            sum += loadOf.apply(engine.id()).unread().totalTokens()
+                    / prefillRates.tokensPerMilli(engine.service(), engine.stage());
         }
         return sum / engines.size();
     }
 
-    private static double busyRatio(List<Incarnation> engines, Function<String, TargetLoad> load) {
+    private static double busyRatio(List<Incarnation> engines, Function<String, TargetLoad> loadOf) {
         double calls = 0;
         double slots = 0;
         for (Incarnation engine : engines) {
-            calls += load.apply(engine.id()).callsCount();
+            calls += loadOf.apply(engine.id()).callsCount();
             slots += engine.slotsCount();
         }
         return calls / slots;
     }
 
-    private static List<Incarnation> ofStage(List<Incarnation> ready, Stage stage) {
+    private static List<Incarnation> withStage(List<Incarnation> ready, Stage stage) {
         return ready.stream().filter(engine -> engine.stage() == stage).toList();
     }
 
     @Override
     public String toString() {
         return String.format(
-                "reading %.0f/%.0f ms, generating %.0f/%.0f ms, busy %.2f/%.2f",
-                reading.recent, reading.lasting, generating.recent, generating.lasting, busy.recent, busy.lasting);
+                "prefill wait %.0f/%.0f ms, decode wait %.0f/%.0f ms, decode slot use %.2f/%.2f",
+                prefillWait.shortAverage,
+                prefillWait.longAverage,
+                decodeWait.shortAverage,
+                decodeWait.longAverage,
+                decodeBusy.shortAverage,
+                decodeBusy.longAverage);
     }
 
-    /** An engine that is expected to take up a stage. */
-    private record UnderWay(Change change, long untilMillis) {
+    /** A change whose engine is expected to be listed with its new stage. */
+    private record PendingChange(Change change, long untilMillis) {
 
-        boolean over(List<Incarnation> ready, long nowMillis) {
+        boolean isOver(List<Incarnation> ready, long nowMillis) {
             return nowMillis >= untilMillis
                     || ready.stream()
                             .anyMatch(engine ->
@@ -227,34 +247,34 @@
         }
     }
 
-    /** A figure averaged over both horizons. */
-    private static final class Pressure {
+    /** A measured value, exponentially averaged over both horizons. */
+    private static final class TwoHorizonAverage {
         private final StagePlanPolicy policy;
-        private double recent;
-        private double lasting;
-        private long seenAtMillis = Long.MIN_VALUE;
+        private double shortAverage;
+        private double longAverage;
+        private long lastSampleMillis = Long.MIN_VALUE;
 
-        Pressure(StagePlanPolicy policy) {
+        TwoHorizonAverage(StagePlanPolicy policy) {
             this.policy = policy;
         }
 
-        void see(double value, long nowMillis) {
-            long sinceMillis = seenAtMillis == Long.MIN_VALUE ? 0 : nowMillis - seenAtMillis;
-            seenAtMillis = nowMillis;
-            recent += (value - recent) * weight(sinceMillis, policy.shortHorizonMillis());
-            lasting += (value - lasting) * weight(sinceMillis, policy.longHorizonMillis());
+        void add(double value, long nowMillis) {
+            long elapsedMillis = lastSampleMillis == Long.MIN_VALUE ? 0 : nowMillis - lastSampleMillis;
+            lastSampleMillis = nowMillis;
+            shortAverage += (value - shortAverage) * weight(elapsedMillis, policy.shortHorizonMillis());
+            longAverage += (value - longAverage) * weight(elapsedMillis, policy.longHorizonMillis());
         }
 
-        private static double weight(long sinceMillis, long horizonMillis) {
-            return 1 - Math.exp(-sinceMillis / (double) horizonMillis);
+        private static double weight(long elapsedMillis, long horizonMillis) {
+            return 1 - Math.exp(-elapsedMillis / (double) horizonMillis);
         }
 
-        double least() {
-            return Math.min(recent, lasting);
+        double min() {
+            return Math.min(shortAverage, longAverage);
         }
 
-        double most() {
-            return Math.max(recent, lasting);
+        double max() {
+            return Math.max(shortAverage, longAverage);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
@@ -10,23 +10,24 @@
 import java.util.Set;
 
 /**
- * The targets as the platform's list tells them. Not thread-safe.
+ * The targets in the platform's registry. Not thread-safe.
  *
- * <p>Records are applied by their offset, so that a page read late cannot bring back what a newer record changed.
+ * <p>Records are applied in the order of their offsets, so that a page that was read late cannot revert a newer
+ * record.
  */
 public final class TargetDirectory {
 
     private final TargetHealth health;
     private final TargetLimits limits;
-    private final Map<String, Row> rows = new HashMap<>();
+    private final Map<String, Entry> entries = new HashMap<>();
     private Optional<Map<String, List<Incarnation>>> readyByService = Optional.empty();
     private int readyCount;
 
     /**
      * Creates a directory without targets.
      *
-     * @param health which targets cannot be reached from here, not null
-     * @param limits which targets name a limit, and what of it is left here, not null
+     * @param health the targets that cannot be reached from this instance, not null
+     * @param limits the rate limits that targets state, and this instance's remaining share of them, not null
      */
     public TargetDirectory(TargetHealth health, TargetLimits limits) {
         this.limits = Objects.requireNonNull(limits, "limits");
@@ -34,109 +35,110 @@
     }
 
     /**
-     * Applies a record. One of an earlier start of a target that has started again since is passed over: it was written
-     * late, and would bring back an address and a state that are no more.
+     * Applies a record. A record of an earlier incarnation of a target that has since restarted is ignored: it was
+     * written late, and would restore an obsolete address and state.
      *
      * @param id the target's id, not null
      * @param offset the record's offset
-     * @param incarnation what it states, empty where the entry was removed
-     * @return whether it was news
+     * @param incarnation the incarnation in the record, empty if the entry was removed
+     * @return whether the record changed the directory
      */
     public boolean apply(String id, long offset, Optional<Incarnation> incarnation) {
-        Row known = rows.get(id);
-        if (known != null && (known.offset >= offset || known.bornAfter(incarnation))) {
+        Entry previous = entries.get(id);
+        if (previous != null && (previous.offset >= offset || previous.startedAfter(incarnation))) {
             return false;
         }
-        boolean changed = known == null || !known.incarnation.equals(incarnation);
-        put(id, new Row(offset, incarnation));
+        boolean changed = previous == null || !previous.incarnation.equals(incarnation);
+        putEntry(id, new Entry(offset, incarnation));
         return changed;
     }
 
     /**
-     * Drops the entries that a full reading did not list though it covers their records.
+     * Removes the entries that a full listing covers by its offset but does not contain.
      *
-     * @param listed the ids that were listed, not null
-     * @param endOffset the end of the log when the reading began
-     * @return the ids that were dropped
+     * @param listed the ids in the listing, not null
+     * @param endOffset the end of the log when the listing began
+     * @return the ids of the removed entries
      */
     public List<String> retain(Collection<String> listed, long endOffset) {
         List<String> dropped = new ArrayList<>();
-        rows.forEach((id, row) -> {
-            if (row.offset < endOffset && row.incarnation.isPresent() && !listed.contains(id)) {
+        entries.forEach((id, entry) -> {
+            if (entry.offset < endOffset && entry.incarnation.isPresent() && !listed.contains(id)) {
                 dropped.add(id);
             }
         });
-        dropped.forEach(id -> put(id, new Row(endOffset - 1, Optional.empty())));
+        dropped.forEach(id -> putEntry(id, new Entry(endOffset - 1, Optional.empty())));
         return dropped;
     }
 
     /**
-     * Returns how many targets are listed and not leaving.
+     * Returns the number of targets that are listed and not draining.
      *
-     * @return the count over all services
+     * @return the number over all services
      */
     public int readyCount() {
         return readyCount;
     }
 
     /**
-     * Returns the targets that may get new work.
+     * Returns the targets that may receive new calls.
      *
      * @param service the service's name, not null
-     * @return those listed and not leaving, but for what could not be reached of late
+     * @return the targets that are listed and not draining, without those that are ejected or changing their stage
      */
     public List<Incarnation> ready(String service) {
         if (readyByService.isEmpty()) {
-            readyByService = Optional.of(index());
+            readyByService = Optional.of(indexByService());
         }
         return health.usable(readyByService.get().getOrDefault(service, List.of()));
     }
 
     /**
-     * Says whether a target is what it was when it was chosen.
+     * Returns whether a target is unchanged since it was chosen.
      *
-     * @param target the target as it was then, not null
-     * @return false where it leaves, is gone, has started again or takes another part of the work since
+     * @param target the target as it was chosen, not null
+     * @return false if it has since begun to drain, was removed, restarted, or changed its stage
      */
     public boolean serves(Incarnation target) {
         return find(target.id())
-                .filter(now -> !now.leaving()
-                        && now.bornMillis() == target.bornMillis()
-                        && now.address().equals(target.address())
-                        && now.stage() == target.stage())
+                .filter(current -> !current.leaving()
+                        && current.bornMillis() == target.bornMillis()
+                        && current.address().equals(target.address())
+                        && current.stage() == target.stage())
                 .isPresent();
     }
 
     /**
-     * Says whether a target takes a call from here now.
+     * Returns whether a target accepts a call of this instance now.
      *
      * @param target the target, not null
-     * @return false where it names a limit and this instance's share of it is used up
+     * @return false if the target states a rate limit and this instance's share of it is used up
      */
     public boolean hasRoom(Incarnation target) {
         return limits.hasRoom(target.id());
     }
 
     /**
-     * Says whether a target names a limit: what all instances would send there has to go elsewhere.
+     * Returns whether a target states a rate limit. Calls that all instances would send to it have to be sent
+     * elsewhere.
      *
      * @param target the target, not null
-     * @return whether it is limited
+     * @return whether the target is rate-limited
      */
     public boolean isLimited(Incarnation target) {
         return limits.isLimited(target.id());
     }
 
     /**
-     * Returns when the first of a service's targets has room again.
+     * Returns when the first of a service's targets has capacity again.
      *
      * @param service the service's name, not null
-     * @param triedIds targets that do not count, not null
-     * @return milliseconds from now; zero where one has room, or none is left
+     * @param triedTargetIds the ids of targets to leave out, not null
+     * @return the time from now in milliseconds; zero if a target has capacity, or no target remains
      */
-    public long roomMillis(String service, Set<String> triedIds) {
+    public long roomMillis(String service, Set<String> triedTargetIds) {
         return ready(service).stream()
-                .filter(target -> !triedIds.contains(target.id()))
+                .filter(target -> !triedTargetIds.contains(target.id()))
                 .mapToLong(target -> limits.roomMillis(target.id()))
                 .min()
                 .orElse(0);
@@ -145,51 +147,54 @@
     /**
      * Returns a target.
      *
-     * @param id its id, not null
-     * @return the target where it is listed, leaving or not
+     * @param id the target's id, not null
+     * @return the target if it is listed, draining or not
      */
     public Optional<Incarnation> find(String id) {
-        Row row = rows.get(id);
-        return row == null ? Optional.empty() : row.incarnation;
+        Entry entry = entries.get(id);
+        return entry == null ? Optional.empty() : entry.incarnation;
     }
 
     /**
-     * Returns all targets that are listed.
+     * Returns all listed targets.
      *
-     * @return ready and leaving ones
+     * @return the targets, draining or not
      */
     public List<Incarnation> all() {
-        return rows.values().stream().flatMap(row -> row.incarnation.stream()).toList();
+        return entries.values().stream()
+                .flatMap(entry -> entry.incarnation.stream())
+                .toList();
     }
 
-    private void put(String id, Row row) {
-        Row known = rows.put(id, row);
-        readyCount += (row.ready() ? 1 : 0) - (known != null && known.ready() ? 1 : 0);
+    private void putEntry(String id, Entry entry) {
+        Entry previous = entries.put(id, entry);
+        readyCount += (entry.isReady() ? 1 : 0) - (previous != null && previous.isReady() ? 1 : 0);
         readyByService = Optional.empty();
     }
 
-    /** Made when it is asked for: a first reading brings all targets one after the other. */
-    private Map<String, List<Incarnation>> index() {
-        Map<String, List<Incarnation>> fresh = new HashMap<>();
-        for (Row row : rows.values()) {
-            if (row.ready()) {
-                fresh.computeIfAbsent(row.incarnation.get().service(), _service -> new ArrayList<>())
-                        .add(row.incarnation.get());
+    /** Called on demand, because the first listing adds all targets one after the other. */
+    private Map<String, List<Incarnation>> indexByService() {
+        Map<String, List<Incarnation>> readyTargets = new HashMap<>();
+        for (Entry entry : entries.values()) {
+            if (entry.isReady()) {
+                readyTargets
+                        .computeIfAbsent(entry.incarnation.get().service(), _service -> new ArrayList<>())
+                        .add(entry.incarnation.get());
             }
         }
-        return fresh;
+        return readyTargets;
     }
 
-    private record Row(long offset, Optional<Incarnation> incarnation) {
+    private record Entry(long offset, Optional<Incarnation> incarnation) {
 
-        boolean bornAfter(Optional<Incarnation> other) {
+        boolean startedAfter(Optional<Incarnation> other) {
             return incarnation.isPresent()
                     && other.isPresent()
                     && other.get().bornMillis() != 0
                     && incarnation.get().bornMillis() > other.get().bornMillis();
         }
 
-        boolean ready() {
+        boolean isReady() {
             return incarnation.isPresent() && !incarnation.get().leaving();
         }
     }
