--- a/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
+++ b/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
@@ -67,8 +67,8 @@
 
     @Override
     public long brokeOff(String targetId) {
-        boolean news = !health.isPaused(targetId);
-        long pauseMillis = health.brokeOff(targetId);
+        boolean news = !health.isEjected(targetId);
+        long pauseMillis = health.recordBrokenConnection(targetId);
         if (news && pauseMillis > 0) {
             believedBroken.add(targetId);
             probedFromHere.add(targetId);
@@ -80,8 +80,8 @@
     /** After a pause that was a probe, and its outcome is told; within one the answer is to a call from before it. */
     @Override
     public void answered(String targetId) {
-        health.answered(targetId);
-        if (!health.isPaused(targetId) && believedBroken.remove(targetId)) {
+        health.recordAnswer(targetId);
+        if (!health.isEjected(targetId) && believedBroken.remove(targetId)) {
             probedFromHere.remove(targetId);
             tell(targetId, 0);
         }
@@ -91,7 +91,7 @@
     public void forget(String targetId) {
         believedBroken.remove(targetId);
         probedFromHere.remove(targetId);
-        health.forget(targetId);
+        health.remove(targetId);
     }
 
     private void tell(String targetId, long pauseMillis) {
@@ -127,7 +127,7 @@
         String targetId = item.key();
         if (pauseMillis <= 0) {
             probedFromHere.remove(targetId);
-            health.toldSound(targetId);
+            health.recordPeerRecovery(targetId);
             if (believedBroken.remove(targetId)) {
                 log(item, 0);
             }
@@ -136,7 +136,7 @@
             probedFromHere.remove(targetId);
             double pauses = HEARERS_PAUSES + SPREAD_PAUSES * random.nextDouble();
             long leftAloneMillis = Math.round(pauses * pauseMillis) - item.ageMillis();
-            health.told(targetId, pauseMillis, leftAloneMillis);
+            health.recordPeerEjection(targetId, pauseMillis, leftAloneMillis);
             if (news) {
                 log(item, leftAloneMillis);
             }
--- a/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
@@ -75,9 +75,9 @@
 
     private void apply(String engineId, long millis) {
         if (millis > 0) {
-            health.away(engineId, millis);
+            health.startStageChange(engineId, millis);
         } else {
-            health.back(engineId);
+            health.endStageChange(engineId);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
@@ -13,8 +13,8 @@
 import org.dogwoodwinch.follow.KeyedWriter;
 import org.dogwoodwinch.follow.ReplicaPolicy;
 import org.dogwoodwinch.follow.StreamFollower;
-import org.dogwoodwinch.forwarding.ConnectionSharers;
-import org.dogwoodwinch.forwarding.LoadBook;
+import org.dogwoodwinch.forwarding.ConnectionShares;
+import org.dogwoodwinch.forwarding.LoadTracker;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.net.Transport;
 import org.dogwoodwinch.peer.MemberList;
@@ -75,7 +75,7 @@
             KeyedStream stream,
             KeyedWriter writer,
             FollowPolicy follow,
-            LoadBook loads,
+            LoadTracker loads,
             ForwardingMetrics metrics) {
         this.settings = settings;
         String name = settings.instance().name();
@@ -135,7 +135,7 @@
 
     /** The instances that share a target's connections. */
     int connectionSharersCount() {
-        return ConnectionSharers.count(
+        return ConnectionShares.sharingInstancesCount(
                 members.mostSeenCount(), settings.forwarding().mostInstancesCount());
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -13,22 +13,22 @@
 import org.dogwoodwinch.follow.FollowPolicy;
 import org.dogwoodwinch.follow.ReplicaPolicy;
 import org.dogwoodwinch.follow.StreamFollower;
-import org.dogwoodwinch.forwarding.EngineChoicePolicy;
 import org.dogwoodwinch.forwarding.EngineChooser;
+import org.dogwoodwinch.forwarding.EngineCostModel;
 import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.forwarding.LeastLoadedChooser;
-import org.dogwoodwinch.forwarding.LimitShares;
-import org.dogwoodwinch.forwarding.LoadBook;
+import org.dogwoodwinch.forwarding.LoadTracker;
 import org.dogwoodwinch.forwarding.OrderLease;
-import org.dogwoodwinch.forwarding.PartIndex;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.PrefillRates;
+import org.dogwoodwinch.forwarding.RateLimitShares;
 import org.dogwoodwinch.forwarding.RetryBudget;
 import org.dogwoodwinch.forwarding.RetryPolicy;
 import org.dogwoodwinch.forwarding.StagePlanPolicy;
 import org.dogwoodwinch.forwarding.StagePlanner;
 import org.dogwoodwinch.forwarding.TargetDirectory;
 import org.dogwoodwinch.forwarding.TargetHealth;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.net.Addresses;
 import org.dogwoodwinch.net.EventLoopTime;
@@ -137,9 +137,9 @@
                 settings.forwarding().unacknowledgedMillis(),
                 settings.forwarding().idleMarginMillis());
         TargetHealth health = new TargetHealth(time::monotonicMillis);
-        LoadBook loads = new LoadBook();
-        PartIndex parts = new PartIndex();
-        ReadRates rates = new ReadRates(FIRST_TOKENS_PER_MILLI);
+        LoadTracker loads = new LoadTracker();
+        KvCacheIndex parts = new KvCacheIndex();
+        PrefillRates rates = new PrefillRates(FIRST_TOKENS_PER_MILLI);
         ControlCaller caller = new ControlCaller(transport, transport.group().next(), time, connections);
         EngineClient engines = new EngineClient(caller, ENGINE_TIMEOUT_MILLIS, ENGINE_WAIT_MILLIS);
         StoreClient store = new StoreClient(
@@ -161,15 +161,16 @@
                 follow,
                 loads,
                 metrics);
-        LimitShares limitShares = new LimitShares(settings.instance().name(), fleet::countedOn, time::monotonicMillis);
-        TargetLimits limits = new TargetLimits(time::monotonicMillis, limitShares);
+        RateLimitShares limitShares =
+                new RateLimitShares(settings.instance().name(), fleet::countedOn, time::monotonicMillis);
+        TargetRateLimits limits = new TargetRateLimits(time::monotonicMillis, limitShares);
         this.directory = new TargetDirectory(health, limits);
         BrokenTargets brokenTargets =
                 new BrokenTargets(settings.instance().name(), fleet.exchange(), health, this::bornMillis, random);
         brokenTargets.start();
         LimitSharing limitSharing = new LimitSharing(fleet.exchange(), limits, limitShares, this::bornMillis, time);
         limitSharing.start();
-        fleet.exchange().eachRound(() -> metrics.showLimited(limits.count()));
+        fleet.exchange().eachRound(() -> metrics.showLimited(limits.limitedCount()));
         this.budget = new RetryBudget(
                 settings.retries().ratio(),
                 () -> fleet.shareOf(this.settings.retries().slackCount()),
@@ -188,7 +189,7 @@
                                 loads,
                                 parts,
                                 rates,
-                                EngineChoicePolicy.STANDARD,
+                                EngineCostModel.DEFAULT,
                                 new LeastLoadedChooser(directory, loads, random),
                                 settings.instance().dataCentre()),
                         loads,
@@ -231,7 +232,7 @@
                         loads,
                         service::modelServices,
                         service::switchMillis,
-                        _service -> new StagePlanner(StagePlanPolicy.STANDARD, rates),
+                        _service -> new StagePlanner(StagePlanPolicy.DEFAULT, rates),
                         fleet.exchange()::acting,
                         () -> fleet.exchange().fleetsDutyFallsToOwn(StageOrders.TOPIC),
                         store.log(StageOrders.TOPIC),
@@ -326,7 +327,7 @@
         transport.group().next().execute(() -> {
             SettingsChange change = SettingsChange.between(settings, fresh);
             settings = change.inForce();
-            budget.reconfigure(settings.retries().ratio());
+            budget.setRatio(settings.retries().ratio());
             LogEvent.of("settings_reloaded")
                     .with("changed", String.join(",", change.taken()))
                     .with("needRestart", String.join(",", change.needRestart()))
@@ -354,12 +355,12 @@
 
     private List<Incarnation> modelEngines() {
         return directory.all().stream()
-                .filter(target -> !target.leaving() && service.servesModel(target.service()))
+                .filter(target -> !target.draining() && service.servesModel(target.service()))
                 .toList();
     }
 
     private long bornMillis(String targetId) {
-        return directory.find(targetId).map(Incarnation::bornMillis).orElse(0L);
+        return directory.find(targetId).map(Incarnation::startedMillis).orElse(0L);
     }
 
     private boolean ready() {
--- a/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
@@ -12,7 +12,7 @@
 import java.util.function.ToLongFunction;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.bytes.Packing;
-import org.dogwoodwinch.forwarding.PartIndex;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
@@ -51,14 +51,14 @@
     private static final long NEWS_KEEP_MILLIS = 5_000;
 
     private final RelayExchange exchange;
-    private final PartIndex parts;
+    private final KvCacheIndex parts;
     private final ToLongFunction<String> bornMillis;
     private final TimeSource time;
     private final Map<String, Told> engines = new HashMap<>();
     private final List<String> learned = new ArrayList<>();
     private long newsCount;
 
-    KeptSharing(RelayExchange exchange, PartIndex parts, ToLongFunction<String> bornMillis, TimeSource time) {
+    KeptSharing(RelayExchange exchange, KvCacheIndex parts, ToLongFunction<String> bornMillis, TimeSource time) {
         this.bornMillis = Objects.requireNonNull(bornMillis, "bornMillis");
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.parts = Objects.requireNonNull(parts, "parts");
@@ -103,7 +103,7 @@
 
     private void tellWhole(String engineId, Told told) {
         told.wholeAtMillis = time.monotonicMillis() + WHOLE_EVERY_MILLIS;
-        Map<String, Integer> kept = parts.keptAtLeast(engineId, LEAST_TOKENS);
+        Map<String, Integer> kept = parts.cachedSegments(engineId, LEAST_TOKENS);
         kept.keySet().removeIf(partId -> !worthAWord(partId));
         boolean nothingEver = kept.isEmpty() && told.known.isEmpty();
         told.known.clear();
@@ -118,7 +118,7 @@
      * it, and each of these calls would be sent where it is not kept.
      */
     private boolean worthAWord(String partId) {
-        return !exchange.byRelays() || parts.shared().isShared(partId);
+        return !exchange.byRelays() || parts.sharedSegments().isShared(partId);
     }
 
     private void tell(String engineId, boolean whole, Map<String, Integer> kept) {
@@ -139,7 +139,7 @@
     private void tellShared() {
         List<String> news = new ArrayList<>(learned);
         learned.clear();
-        news.addAll(parts.shared().takeNews());
+        news.addAll(parts.sharedSegments().takeNewlyShared());
         if (news.isEmpty()) {
             return;
         }
@@ -154,7 +154,7 @@
                             item.payload().toByteArray(),
                             unpacker -> Packing.readAll(unpacker, MessageUnpacker::unpackString))
                     .stream()
-                    .filter(parts.shared()::learn)
+                    .filter(parts.sharedSegments()::markShared)
                     .forEach(this::learned);
         } catch (IOException e) {
             LogEvent.of("shared_parts_not_understood")
@@ -174,7 +174,7 @@
     /** An engine that is watched here may have said that it keeps the part before it was known to be shared. */
     private void tellWhereKept(String partId) {
         engines.forEach((engineId, told) -> {
-            int tokens = parts.keptOf(engineId, partId);
+            int tokens = parts.cachedTokens(engineId, partId);
             if (tokens >= LEAST_TOKENS && told.known.add(partId)) {
                 told.changes.put(partId, tokens);
             }
@@ -196,13 +196,13 @@
                 return;
             }
             if (word.whole()) {
-                parts.forget(item.key());
+                parts.removeEngine(item.key());
             }
             word.tokens().forEach((part, tokens) -> {
                 if (exchange.byRelays()) {
-                    parts.shared().learn(part);
+                    parts.sharedSegments().markShared(part);
                 }
-                parts.kept(item.key(), part, Math.toIntExact(tokens));
+                parts.setCachedTokens(item.key(), part, Math.toIntExact(tokens));
             });
         } catch (IOException | ArithmeticException e) {
             LogEvent.of("kept_parts_not_understood")
--- a/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
@@ -10,8 +10,8 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.bytes.Packing;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.LimitShares;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.RateLimitShares;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
@@ -43,16 +43,16 @@
     private static final int FIELDS = 3;
 
     private final RelayExchange exchange;
-    private final TargetLimits limits;
-    private final LimitShares shares;
+    private final TargetRateLimits limits;
+    private final RateLimitShares shares;
     private final ToLongFunction<String> bornMillis;
     private final TimeSource time;
     private final Map<String, Long> toldAtMillis = new HashMap<>();
 
     LimitSharing(
             RelayExchange exchange,
-            TargetLimits limits,
-            LimitShares shares,
+            TargetRateLimits limits,
+            RateLimitShares shares,
             ToLongFunction<String> bornMillis,
             TimeSource time) {
         this.exchange = Objects.requireNonNull(exchange, "exchange");
@@ -70,11 +70,11 @@
 
     @Override
     public void answered(Incarnation target, OptionalDouble perSecond, long sentMillis) {
-        if (target.bornMillis() != bornMillis.applyAsLong(target.id())) {
+        if (target.startedMillis() != bornMillis.applyAsLong(target.id())) {
             return;
         }
-        TargetLimits.News news = limits.answered(target.id(), perSecond, sentMillis);
-        if (news != TargetLimits.News.NONE) {
+        TargetRateLimits.LimitChange news = limits.recordAnswer(target.id(), perSecond, sentMillis);
+        if (news != TargetRateLimits.LimitChange.NONE) {
             log(target.id(), news, perSecond, "");
             tell(target.id(), perSecond, time.monotonicMillis());
         }
@@ -82,18 +82,18 @@
 
     @Override
     public void forget(String targetId) {
-        limits.forget(targetId);
+        limits.remove(targetId);
         toldAtMillis.remove(targetId);
     }
 
     private void round() {
-        shares.look();
-        limits.lapse().forEach(id -> log(id, TargetLimits.News.LAPSED, OptionalDouble.empty(), ""));
-        toldAtMillis.keySet().removeIf(id -> !limits.isLimited(id));
+        shares.refresh();
+        limits.expire().forEach(id -> log(id, TargetRateLimits.LimitChange.LAPSED, OptionalDouble.empty(), ""));
+        toldAtMillis.keySet().removeIf(id -> !limits.isRateLimited(id));
         long nowMillis = time.monotonicMillis();
-        limits.kept().forEach((id, stated) -> {
+        limits.heldLimits().forEach((id, stated) -> {
             if (nowMillis - toldAtMillis.getOrDefault(id, 0L) >= REPEAT_MILLIS) {
-                tell(id, OptionalDouble.of(stated.perSecond()), stated.statedMillis());
+                tell(id, OptionalDouble.of(stated.callsPerSecond()), stated.statedMillis());
             }
         });
     }
@@ -110,8 +110,8 @@
             Word word = Word.decode(item.payload());
             if (word.bornMillis == bornMillis.applyAsLong(item.key())) {
                 long statedMillis = time.monotonicMillis() - item.ageMillis() - word.statedAgoMillis;
-                TargetLimits.News news = limits.told(item.key(), word.perSecond, statedMillis);
-                if (news != TargetLimits.News.NONE) {
+                TargetRateLimits.LimitChange news = limits.recordPeerReport(item.key(), word.perSecond, statedMillis);
+                if (news != TargetRateLimits.LimitChange.NONE) {
                     log(item.key(), news, word.perSecond, item.origin());
                 }
             }
@@ -123,13 +123,13 @@
         }
     }
 
-    private void log(String targetId, TargetLimits.News news, OptionalDouble perSecond, String peer) {
+    private void log(String targetId, TargetRateLimits.LimitChange news, OptionalDouble perSecond, String peer) {
         LogEvent event = LogEvent.of("target_limit")
                 .with("target", targetId)
                 .with("news", news.name().toLowerCase(Locale.ROOT))
                 .with("peer", peer);
         perSecond.ifPresent(
-                limit -> event.with("perSecond", limit).with("ownPerSecond", shares.perSecond(targetId, limit)));
+                limit -> event.with("perSecond", limit).with("ownPerSecond", shares.sharePerSecond(targetId, limit)));
         event.info(log);
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/LoadReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadReport.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.bytes.Packing;
+import org.dogwoodwinch.forwarding.PrefillQueue;
 import org.dogwoodwinch.forwarding.QueueLevel;
-import org.dogwoodwinch.forwarding.ReadQueue;
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
@@ -48,7 +48,7 @@
     }
 
     private static void writeLoad(MessagePacker packer, TargetLoad load) throws IOException {
-        ReadQueue unread = load.unread();
+        PrefillQueue unread = load.prefillQueue();
         List<Integer> levels = new ArrayList<>();
         for (int level = 0; level < QueueLevel.COUNT; level++) {
             if (unread.tokensAt(level) != 0 || unread.promptsAt(level) != 0) {
@@ -73,15 +73,15 @@
 
     private static TargetLoad readLoad(MessageUnpacker unpacker) throws IOException {
         int callsCount = unpacker.unpackInt();
-        List<ReadQueue> levels = Packing.readAll(unpacker, LoadReport::readLevel);
-        return new TargetLoad(callsCount, levels.stream().reduce(ReadQueue.EMPTY, ReadQueue::plus));
+        List<PrefillQueue> levels = Packing.readAll(unpacker, LoadReport::readLevel);
+        return new TargetLoad(callsCount, levels.stream().reduce(PrefillQueue.EMPTY, PrefillQueue::plus));
     }
 
-    private static ReadQueue readLevel(MessageUnpacker unpacker) throws IOException {
+    private static PrefillQueue readLevel(MessageUnpacker unpacker) throws IOException {
         int level = unpacker.unpackInt();
         if (level < 0 || level >= QueueLevel.COUNT) {
             throw new IOException("no level: " + level);
         }
-        return ReadQueue.EMPTY.with(level, unpacker.unpackLong(), unpacker.unpackInt());
+        return PrefillQueue.EMPTY.plusPrompts(level, unpacker.unpackLong(), unpacker.unpackInt());
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
-import org.dogwoodwinch.forwarding.LoadBook;
+import org.dogwoodwinch.forwarding.LoadTracker;
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.peer.PeerItem;
@@ -39,7 +39,7 @@
     /** Own words that are remembered: more than are under way to the relay and back. */
     private static final int REMEMBERED_WORDS = 20;
 
-    private final LoadBook loads;
+    private final LoadTracker loads;
     private final RelayExchange exchange;
     private final TimeSource time;
     private final String ownName;
@@ -55,7 +55,7 @@
     private boolean toldEmptyFleet;
 
     LoadSharing(
-            LoadBook loads,
+            LoadTracker loads,
             RelayExchange exchange,
             TimeSource time,
             String ownName,
@@ -83,7 +83,7 @@
         heardWords.keySet().retainAll(heardAtMillis.keySet());
         heardCentres.keySet().retainAll(heardAtMillis.keySet());
         loads.retainPeers(new HashSet<>(heardAtMillis.keySet()));
-        Map<String, TargetLoad> own = loads.own();
+        Map<String, TargetLoad> own = loads.ownLoads();
         if (exchange.byRelays() && exchange.acting()) {
             tellSum(own);
         } else if (!own.isEmpty() || !toldNothing) {
@@ -179,7 +179,7 @@
     }
 
     private void heardFrom(String source, Map<String, TargetLoad> told) {
-        loads.heard(source, told);
+        loads.replacePeerLoads(source, told);
         heardAtMillis.put(source, time.monotonicMillis());
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
@@ -14,7 +14,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.follow.ConditionalLog;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.LoadBook;
+import org.dogwoodwinch.forwarding.LoadTracker;
 import org.dogwoodwinch.forwarding.OrderLease;
 import org.dogwoodwinch.forwarding.StagePlanner;
 import org.dogwoodwinch.forwarding.TargetDirectory;
@@ -81,7 +81,7 @@
     record Parts(
             String ownName,
             TargetDirectory directory,
-            LoadBook loads,
+            LoadTracker loads,
             Supplier<Set<String>> services,
             ToLongFunction<String> switchMillis,
             Function<String, StagePlanner> planners,
@@ -125,17 +125,17 @@
 
     private void plan(String service, long nowMillis) {
         StagePlanner planner = planners.computeIfAbsent(service, parts.planners());
-        List<Incarnation> ready = parts.directory().ready(service);
-        planner.plan(
+        List<Incarnation> ready = parts.directory().readyTargets(service);
+        planner.planChange(
                         ready,
-                        parts.directory()::isLimited,
-                        parts.loads()::at,
+                        parts.directory()::isRateLimited,
+                        parts.loads()::totalAt,
                         id -> !notBeforeMillis.containsKey(id),
                         nowMillis)
                 .ifPresent(change -> consider(planner, change));
     }
 
-    private void consider(StagePlanner planner, StagePlanner.Change change) {
+    private void consider(StagePlanner planner, StagePlanner.StageChange change) {
         long nowMillis = time.monotonicMillis();
         notBeforeMillis.values().removeIf(until -> until <= nowMillis);
         if (ordering
@@ -143,7 +143,7 @@
                 || !parts.giver().getAsBoolean()) {
             return;
         }
-        OptionalLong end = lease.mayClaimAt(nowMillis);
+        OptionalLong end = lease.claimableOffset(nowMillis);
         if (end.isEmpty()) {
             return;
         }
@@ -163,7 +163,7 @@
         });
     }
 
-    private void claim(StagePlanner planner, StagePlanner.Change change, long ordersCount, long end) {
+    private void claim(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long end) {
         ordering = true;
         long sentMillis = time.monotonicMillis();
         long sentWallMillis = time.wallMillis();
@@ -176,24 +176,24 @@
                     .with("outcome", appended)
                     .info(log);
             if (appended instanceof ConditionalLog.Written written) {
-                lease.written(written.offset());
-                if (lease.valid(time.monotonicMillis() - sentMillis, time.wallMillis() - sentWallMillis)) {
+                lease.recordWritten(written.offset());
+                if (lease.isValid(time.monotonicMillis() - sentMillis, time.wallMillis() - sentWallMillis)) {
                     order(planner, change, ordersCount, written.offset());
                 }
             } else if (appended instanceof ConditionalLog.EndsElsewhere elsewhere) {
-                lease.endsElsewhere(elsewhere.endOffset(), time.monotonicMillis());
+                lease.recordForeignEnd(elsewhere.endOffset(), time.monotonicMillis());
             } else {
-                lease.unknown(time.monotonicMillis());
+                lease.recordUnknownOutcome(time.monotonicMillis());
             }
         });
     }
 
-    private void order(StagePlanner planner, StagePlanner.Change change, long ordersCount, long token) {
+    private void order(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long token) {
         Incarnation engine = change.engine();
         long awayMillis = parts.switchMillis().applyAsLong(engine.service());
         ordering = true;
         long orderedMillis = time.monotonicMillis();
-        planner.ordered(change, awayMillis, orderedMillis);
+        planner.recordOrdered(change, awayMillis, orderedMillis);
         parts.away().tell(engine.id(), LONGEST_CHANGE_MILLIS);
         StageOrder order = new StageOrder(change.stage(), parts.ownName(), token, ordersCount);
         parts.control().order(engine, order).thenAccept(outcome -> {
@@ -202,7 +202,7 @@
             if (outcome == OrderOutcome.TAKEN || outcome == OrderOutcome.UNKNOWN) {
                 time.schedule(LOOK_EVERY_MILLIS, () -> look(planner, change, orderedMillis, true));
             } else {
-                planner.notTaken(change);
+                planner.recordRejected(change);
             }
             LogEvent.of("stage_ordered")
                     .with("service", engine.service())
@@ -223,7 +223,7 @@
      * into use before, it rejects all that comes, and as nothing is under way there everything comes. And an order without an
      * answer may not have arrived, or be carried out seconds later.
      */
-    private void look(StagePlanner planner, StagePlanner.Change change, long orderedMillis, boolean leftAlone) {
+    private void look(StagePlanner planner, StagePlanner.StageChange change, long orderedMillis, boolean leftAlone) {
         String id = change.engine().id();
         long sinceMillis = time.monotonicMillis() - orderedMillis;
         Optional<Incarnation> listed = parts.directory().find(id);
@@ -245,7 +245,7 @@
                         .with("sinceMillis", sinceMillis)
                         .info(log);
                 if (!takesNothing) {
-                    planner.notTaken(change);
+                    planner.recordRejected(change);
                 }
             }
             time.schedule(LOOK_EVERY_MILLIS, () -> look(planner, change, orderedMillis, takesNothing));
@@ -261,7 +261,7 @@
             parts.away().tell(engine.id(), 0);
         }
         if (outcome == OrderOutcome.FENCED) {
-            lease.unknown(nowMillis);
+            lease.recordUnknownOutcome(nowMillis);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
@@ -77,7 +77,7 @@
     private boolean lapsedInOutage(String id) {
         boolean justRegained = !reachable || time.monotonicMillis() - regainedAtMillis < lapseMillis;
         return justRegained
-                && directory.find(id).filter(target -> !target.leaving()).isPresent();
+                && directory.find(id).filter(target -> !target.draining()).isPresent();
     }
 
     private void endLapse(KeyedRecord record) {
@@ -88,7 +88,7 @@
 
     private void apply(String id, long offset, Optional<Incarnation> stated) {
         Optional<Incarnation> before = directory.find(id);
-        boolean wasReady = before.filter(target -> !target.leaving()).isPresent();
+        boolean wasReady = before.filter(target -> !target.draining()).isPresent();
         if (!directory.apply(id, offset, stated)) {
             return;
         }
@@ -100,8 +100,9 @@
                 .with("stage", stated.map(Incarnation::stage).orElse(null))
                 .with(
                         "state",
-                        stated.map(each -> each.leaving() ? "leaving" : "ready").orElse("gone"))
-                .with("bornMillis", stated.map(Incarnation::bornMillis).orElse(0L))
+                        stated.map(each -> each.draining() ? "leaving" : "ready")
+                                .orElse("gone"))
+                .with("bornMillis", stated.map(Incarnation::startedMillis).orElse(0L))
                 .info(log);
         if (startedAgain(before, stated)) {
             service.targetStartedAgain(id);
@@ -115,11 +116,11 @@
     private static boolean startedAgain(Optional<Incarnation> before, Optional<Incarnation> stated) {
         return before.isPresent()
                 && stated.isPresent()
-                && before.get().bornMillis() != stated.get().bornMillis();
+                && before.get().startedMillis() != stated.get().startedMillis();
     }
 
     private void changed(String id, Optional<Incarnation> stated, boolean wasReady) {
-        if (stated.isEmpty() || stated.get().leaving()) {
+        if (stated.isEmpty() || stated.get().draining()) {
             service.forgetTarget(id);
         }
         if (stated.isEmpty() && wasReady) {
@@ -165,7 +166,7 @@
     }
 
     private void retain(Set<String> keys, long endOffset) {
-        for (String id : directory.retain(keys, endOffset)) {
+        for (String id : directory.retainListed(keys, endOffset)) {
             LogEvent.of("target_not_listed").with("target", id).info(log);
             changed(id, Optional.empty(), false);
         }
--- a/src/main/java/org/dogwoodwinch/forwarding/CallProgress.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CallProgress.java
@@ -33,7 +33,7 @@
      *
      * @return whether the call reached a target
      */
-    public boolean sent() {
+    public boolean hasReachedTarget() {
         return possibleRunsCount + rejectionsCount > 0;
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/CallerLimits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CallerLimits.java
@@ -11,5 +11,5 @@
 public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
     /** Limits in force until a configuration sets others: the default sizes of common HTTP servers. */
-    public static final CallerLimits INITIAL = new CallerLimits(16_384, 4_194_304, 5_000, 30_000);
+    public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 5_000, 30_000);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ConnectionSharers.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ConnectionShares.java
@@ -11,14 +11,14 @@
  * the number of instances seen plus a few more keeps the sum below the limit while spare instances join, because the
  * others see a spare before callers reach it.
  */
-public final class ConnectionSharers {
+public final class ConnectionShares {
 
     /** Instances may join before they are seen: one for each this many instances seen, as there are few spares. */
     private static final int JOINING_DIVISOR = 4;
 
     private static final int MAX_JOINING_COUNT = 4;
 
-    private ConnectionSharers() {}
+    private ConnectionShares() {}
 
     /**
      * Returns the number of instances among which the connections are divided.
@@ -28,7 +28,7 @@
      * @param defaultCount the number to return if {@code maxSeenCount} is empty
      * @return the number of instances, at least two once a list was read
      */
-    public static int count(OptionalInt maxSeenCount, int defaultCount) {
+    public static int sharingInstancesCount(OptionalInt maxSeenCount, int defaultCount) {
         if (maxSeenCount.isEmpty()) {
             return defaultCount;
         }
--- a/src/main/java/org/dogwoodwinch/forwarding/CrashEvidence.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/CrashCorrelator.java
@@ -12,7 +12,7 @@
  * <p>A connection may also break because of the network, or for one answer alone. A lost call is attributed to a
  * crash only if its target is found gone soon afterwards: no connection could be opened, or its registration expired.
  */
-public final class CrashEvidence {
+public final class CrashCorrelator {
 
     private final long correlationMillis;
     private final Map<String, List<LostCall>> lostCallsByTarget = new HashMap<>();
@@ -23,7 +23,7 @@
      * @param correlationMillis maximum time between the loss of a call and the discovery of the crash to which it is
      *     attributed
      */
-    public CrashEvidence(long correlationMillis) {
+    public CrashCorrelator(long correlationMillis) {
         this.correlationMillis = correlationMillis;
     }
 
@@ -32,9 +32,9 @@
      *
      * @param fingerprint identifies equal calls of one caller
      * @param attemptId identifies the attempt, not null
-     * @param atMillis time of the loss, in monotonic milliseconds
+     * @param lostAtMillis time of the loss, in monotonic milliseconds
      */
-    public record LostCall(long fingerprint, String attemptId, long atMillis) {}
+    public record LostCall(long fingerprint, String attemptId, long lostAtMillis) {}
 
     /**
      * Records that the answer to a call was lost with its connection.
@@ -42,7 +42,7 @@
      * @param targetId the target's id, not null
      * @param call the call, not null
      */
-    public void lost(String targetId, LostCall call) {
+    public void recordLostCall(String targetId, LostCall call) {
         lostCallsByTarget.computeIfAbsent(targetId, _id -> new ArrayList<>()).add(call);
     }
 
@@ -53,13 +53,13 @@
      * @param nowMillis monotonic milliseconds
      * @return the calls attributed to the crash, each returned only once
      */
-    public List<LostCall> foundGone(String targetId, long nowMillis) {
+    public List<LostCall> takeCrashedCalls(String targetId, long nowMillis) {
         List<LostCall> lostCalls = lostCallsByTarget.remove(targetId);
         if (lostCalls == null) {
             return List.of();
         }
         return lostCalls.stream()
-                .filter(call -> nowMillis - call.atMillis() <= correlationMillis)
+                .filter(call -> nowMillis - call.lostAtMillis() <= correlationMillis)
                 .toList();
     }
 
@@ -71,7 +71,7 @@
     public void expire(long nowMillis) {
         lostCallsByTarget
                 .values()
-                .forEach(lostCalls -> lostCalls.removeIf(call -> nowMillis - call.atMillis() > correlationMillis));
+                .forEach(lostCalls -> lostCalls.removeIf(call -> nowMillis - call.lostAtMillis() > correlationMillis));
         lostCallsByTarget.values().removeIf(List::isEmpty);
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineChooser.java
@@ -28,10 +28,10 @@
     private static final double GAP_TO_PREFILL_RATIO = 2;
 
     private final TargetDirectory directory;
-    private final LoadBook loads;
-    private final PartIndex cacheIndex;
-    private final ReadRates prefillRates;
-    private final EngineChoicePolicy costModel;
+    private final LoadTracker loads;
+    private final KvCacheIndex cacheIndex;
+    private final PrefillRates prefillRates;
+    private final EngineCostModel costModel;
     private final TargetChooser fallback;
     private final String dataCentre;
 
@@ -48,10 +48,10 @@
      */
     public EngineChooser(
             TargetDirectory directory,
-            LoadBook loads,
-            PartIndex cacheIndex,
-            ReadRates prefillRates,
-            EngineChoicePolicy costModel,
+            LoadTracker loads,
+            KvCacheIndex cacheIndex,
+            PrefillRates prefillRates,
+            EngineCostModel costModel,
             TargetChooser fallback,
             String dataCentre) {
         this.directory = Objects.requireNonNull(directory, "directory");
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public Optional<Plan> choose(ChoiceQuery query) {
+    public Optional<ForwardingPlan> choose(TargetQuery query) {
         if (query.prompt().isEmpty() || query.service().engine().isEmpty()) {
             return fallback.choose(query);
         }
         Prompt prompt = query.prompt().get();
-        List<Incarnation> ready = directory.ready(query.service().name());
+        List<Incarnation> ready = directory.readyTargets(query.service().name());
         int[] cachedTokens = cachedPrefixTokens(ready, prompt);
         Optional<CachedPrefix> largestPrefix = largestCachedPrefix(ready, cachedTokens);
         String affinityEngineId = affinityEngineId(withoutRateLimit(ready), affinityKey(prompt));
@@ -94,17 +94,19 @@
         return best == null ? Optional.empty() : toPlan(query, best);
     }
 
-    private Optional<Plan> toPlan(ChoiceQuery query, Candidate best) {
+    private Optional<ForwardingPlan> toPlan(TargetQuery query, Candidate best) {
         // Uses the queue wait alone, so that a long prompt is not put behind others because of its own length.
         int level = queueWaitMillis(best.engine, query) > query.firstEventObjectiveMillis()
-                ? QueueLevel.late(query.urgency())
-                : QueueLevel.onTime(query.urgency());
-        Plan.Reading prefillWork = new Plan.Reading(level, best.prefillTokens, best.cacheSource);
+                ? QueueLevel.late(query.priority())
+                : QueueLevel.onTime(query.priority());
+        ForwardingPlan.PrefillWork prefillWork =
+                new ForwardingPlan.PrefillWork(level, best.prefillTokens, best.cacheSource);
         if (best.engine.stage() != Stage.PREFILL) {
-            return Optional.of(new Plan(best.engine, Optional.empty(), prefillWork));
+            return Optional.of(new ForwardingPlan(best.engine, Optional.empty(), prefillWork));
         }
         Optional<Incarnation> prefillTarget = Optional.of(best.engine);
-        return chooseRunner(query, best.engine).map(decodeTarget -> new Plan(decodeTarget, prefillTarget, prefillWork));
+        return chooseDecodeTarget(query, best.engine)
+                .map(decodeTarget -> new ForwardingPlan(decodeTarget, prefillTarget, prefillWork));
     }
 
     /**
@@ -115,15 +117,15 @@
      * @return the engine with the lowest load, preferring the data centres of the prefill engine and of this instance
      */
     @Override
-    public Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation prefillTarget) {
+    public Optional<Incarnation> chooseDecodeTarget(TargetQuery query, Incarnation prefillTarget) {
         Incarnation best = null;
         double lowestCost = Double.MAX_VALUE;
-        for (Incarnation engine : directory.ready(query.service().name())) {
+        for (Incarnation engine : directory.readyTargets(query.service().name())) {
             if (engine.stage() == Stage.PREFILL || !isEligible(engine, query)) {
                 continue;
             }
             double cost = queueWaitMillis(engine, query)
-                    + loads.at(engine.id()).callsCount() * costModel.runningCallDelayMillis();
+                    + loads.totalAt(engine.id()).callsCount() * costModel.runningCallDelayMillis();
             if (!engine.dataCentre().equals(prefillTarget.dataCentre())) {
                 cost += costModel.crossDataCentreMillis();
             }
@@ -138,8 +140,8 @@
         return Optional.ofNullable(best);
     }
 
-    private boolean isEligible(Incarnation engine, ChoiceQuery query) {
-        return !query.triedTargetIds().contains(engine.id()) && directory.hasRoom(engine);
+    private boolean isEligible(Incarnation engine, TargetQuery query) {
+        return !query.triedTargetIds().contains(engine.id()) && directory.hasCapacity(engine);
     }
 
     /**
@@ -147,25 +149,26 @@
      * whether or not they have a share of the limit.
      */
     private List<Incarnation> withoutRateLimit(List<Incarnation> ready) {
-        List<Incarnation> unlimited =
-                ready.stream().filter(engine -> !directory.isLimited(engine)).toList();
+        List<Incarnation> unlimited = ready.stream()
+                .filter(engine -> !directory.isRateLimited(engine))
+                .toList();
         return unlimited.isEmpty() ? ready : unlimited;
     }
 
     @Override
-    public boolean serves(Incarnation target) {
-        return directory.serves(target);
+    public boolean isCurrent(Incarnation target) {
+        return directory.isCurrent(target);
     }
 
     @Override
-    public long roomMillis(ChoiceQuery query) {
-        return directory.roomMillis(query.service().name(), query.triedTargetIds());
+    public long millisUntilCapacity(TargetQuery query) {
+        return directory.millisUntilCapacity(query.service().name(), query.triedTargetIds());
     }
 
     private Candidate evaluate(
             Incarnation engine,
             int cachedTokens,
-            ChoiceQuery query,
+            TargetQuery query,
             Prompt prompt,
             Optional<CachedPrefix> largestPrefix,
             boolean isAffinityEngine) {
@@ -204,25 +207,26 @@
      * tokens. One long prompt delays the next event of every stream on the engine beyond the gap that its caller
      * accepts, so all of them are late although their first events were on time.
      */
-    private double streamStallMillis(Incarnation engine, ChoiceQuery query, double prefillMillis) {
-        boolean exceedsGap = query.pauseMillis() > 0 && prefillMillis * GAP_TO_PREFILL_RATIO > query.pauseMillis();
+    private double streamStallMillis(Incarnation engine, TargetQuery query, double prefillMillis) {
+        boolean exceedsGap =
+                query.maxEventGapMillis() > 0 && prefillMillis * GAP_TO_PREFILL_RATIO > query.maxEventGapMillis();
         if (engine.stage() == Stage.PREFILL || !exceedsGap) {
             return 0;
         }
-        return costModel.stallMillis() * (1 + loads.at(engine.id()).callsCount());
+        return costModel.streamStallMillis() * (1 + loads.totalAt(engine.id()).callsCount());
     }
 
     /** Returns the cost to other calls of caching shared tokens on a second engine. */
     private double affinityMissMillis(Incarnation engine, Prompt prompt, int prefillTokens) {
-        int ownTokens = prompt.parts().isEmpty()
+        int ownTokens = prompt.segments().isEmpty()
                 ? prefillTokens
-                : prompt.parts().get(prompt.parts().size() - 1).tokens();
+                : prompt.segments().get(prompt.segments().size() - 1).tokens();
         return Math.max(0, prefillTokens - ownTokens) * costModel.affinityMissRatio() / tokensPerMilli(engine);
     }
 
     private int[] cachedPrefixTokens(List<Incarnation> ready, Prompt prompt) {
         return ready.stream()
-                .mapToInt(engine -> cacheIndex.keptTokens(engine.id(), prompt))
+                .mapToInt(engine -> cacheIndex.cachedPrefixTokens(engine.id(), prompt))
                 .toArray();
     }
 
@@ -238,29 +242,30 @@
         return cacheSource == null ? Optional.empty() : Optional.of(new CachedPrefix(cacheSource, mostTokens));
     }
 
-    private double kvFetchMillis(Incarnation engine, CachedPrefix from, ChoiceQuery query, int cachedTokens) {
+    private double kvFetchMillis(Incarnation engine, CachedPrefix from, TargetQuery query, int cachedTokens) {
         double transferMillis = kvTransferMillis(query, from.tokens - cachedTokens);
         boolean crossesDataCentres = !engine.dataCentre().equals(from.engine.dataCentre());
         return costModel.kvFetchMillis()
                 + (crossesDataCentres ? CROSS_DATA_CENTRE_RATIO * transferMillis : transferMillis);
     }
 
-    private double queueWaitMillis(Incarnation engine, ChoiceQuery query) {
-        return loads.at(engine.id()).unread().aheadOf(QueueLevel.onTime(query.urgency())) / tokensPerMilli(engine);
+    private double queueWaitMillis(Incarnation engine, TargetQuery query) {
+        return loads.totalAt(engine.id()).prefillQueue().tokensAheadOf(QueueLevel.onTime(query.priority()))
+                / tokensPerMilli(engine);
     }
 
     private double tokensPerMilli(Incarnation engine) {
         return prefillRates.tokensPerMilli(engine.service(), engine.stage());
     }
 
-    private double decodeStartMillis(Incarnation engine, ChoiceQuery query, Prompt prompt) {
+    private double decodeStartMillis(Incarnation engine, TargetQuery query, Prompt prompt) {
         if (engine.stage() != Stage.PREFILL) {
-            return loads.at(engine.id()).callsCount() * costModel.runningCallDelayMillis();
+            return loads.totalAt(engine.id()).callsCount() * costModel.runningCallDelayMillis();
         }
         return costModel.kvHandoffMillis() + kvTransferMillis(query, prompt.inputTokens());
     }
 
-    private static double kvTransferMillis(ChoiceQuery query, int tokens) {
+    private static double kvTransferMillis(TargetQuery query, int tokens) {
         EngineTraits traits = query.service().engine().orElseThrow();
         double bits = tokens * (double) traits.kvTokenBytes() * BITS_PER_BYTE;
         return bits / Math.max(1, traits.linkMbitPerSecond() * BITS_PER_MILLI_OF_MEGABIT);
@@ -268,11 +273,11 @@
 
     /** Returns the id of the last segment that is shared with other requests, or of the only segment. */
     private static String affinityKey(Prompt prompt) {
-        int count = prompt.parts().size();
+        int count = prompt.segments().size();
         if (count == 0) {
             return "";
         }
-        return prompt.parts().get(Math.max(0, count - 2)).id();
+        return prompt.segments().get(Math.max(0, count - 2)).id();
     }
 
     /** Prefers prefill-only engines, because a long prefill on a decode engine delays the streams that it decodes. */
@@ -284,7 +289,7 @@
             if (hasPrefillEngines && engine.stage() != Stage.PREFILL) {
                 continue;
             }
-            double score = Rendezvous.score(key, engine.id());
+            double score = RendezvousHash.score(key, engine.id());
             if (score > highest) {
                 highest = score;
                 affinityEngineId = engine.id();
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineChoicePolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineCostModel.java
@@ -10,18 +10,18 @@
  * @param interarrivalMillis mean time between two calls at one engine; calls that arrive during a prefill wait for it
  * @param runningCallDelayMillis delay that each call running on an engine adds to the next one
  * @param crossDataCentreMillis cost of crossing from one data centre to another
- * @param stallMillis cost of one stream whose gap between events exceeds its objective, for each stream that the
+ * @param streamStallMillis cost of one stream whose gap between events exceeds its objective, for each stream that the
  *     engine decodes
  */
-public record EngineChoicePolicy(
+public record EngineCostModel(
         double affinityMissRatio,
         double kvHandoffMillis,
         double kvFetchMillis,
         double interarrivalMillis,
         double runningCallDelayMillis,
         double crossDataCentreMillis,
-        double stallMillis) {
+        double streamStallMillis) {
 
     /** Used unless the settings define others. */
-    public static final EngineChoicePolicy STANDARD = new EngineChoicePolicy(3, 30, 15, 150, 3, 5, 300);
+    public static final EngineCostModel DEFAULT = new EngineCostModel(3, 30, 15, 150, 3, 5, 300);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/EngineTraits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/EngineTraits.java
@@ -8,7 +8,7 @@
  * @param kvTokenBytes size of the KV cache of one token
  * @param linkMbitPerSecond rate of KV cache transfers between engines
  * @param kvHandleTtlMillis time for which a prefilled prompt is kept for its transfer
- * @param switchMillis time for which an engine is unavailable while it changes its stage; zero if not configured
+ * @param stageChangeMillis time for which an engine is unavailable while it changes its stage; zero if not configured
  */
 public record EngineTraits(
         int slotsCount,
@@ -16,4 +16,4 @@
         long kvTokenBytes,
         double linkMbitPerSecond,
         long kvHandleTtlMillis,
-        long switchMillis) {}
+        long stageChangeMillis) {}
--- a/src/main/java/org/dogwoodwinch/forwarding/Incarnation.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Incarnation.java
@@ -13,10 +13,10 @@
  * @param port the target's port
  * @param dataCentre the target's data centre, not null
  * @param slotsCount maximum number of requests that run at the same time, at least one
- * @param leaving whether the target is draining
+ * @param draining whether the target is draining
  * @param stage the stage that the target serves, not null
  * @param weightVersion the version of the model's weights; zero if not stated
- * @param bornMillis start time, in milliseconds of the platform's clock; zero if not stated
+ * @param startedMillis start time, in milliseconds of the platform's clock; zero if not stated
  */
 public record Incarnation(
         String id,
@@ -25,10 +25,10 @@
         int port,
         String dataCentre,
         int slotsCount,
-        boolean leaving,
+        boolean draining,
         Stage stage,
         long weightVersion,
-        long bornMillis) {
+        long startedMillis) {
 
     /** Validates the components. */
     public Incarnation {
@@ -82,10 +82,10 @@
                 && port == that.port
                 && dataCentre.equals(that.dataCentre)
                 && slotsCount == that.slotsCount
-                && leaving == that.leaving
+                && draining == that.draining
                 && stage == that.stage
                 && weightVersion == that.weightVersion
-                && bornMillis == that.bornMillis;
+                && startedMillis == that.startedMillis;
     }
 
     @Override
--- a/src/main/java/org/dogwoodwinch/forwarding/PartIndex.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/KvCacheIndex.java
@@ -11,18 +11,18 @@
  * instance is therefore taken as cached at once, so that the next prompt with this segment is sent to the engine
  * before the engine reports it.
  */
-public final class PartIndex {
+public final class KvCacheIndex {
 
     private final Map<String, Map<String, Integer>> cachedTokensByEngine = new HashMap<>();
-    private final SharedSegments shared = new SharedSegments();
+    private final SharedSegments sharedSegments = new SharedSegments();
 
     /**
      * Returns the segments that are known to be shared by several requests.
      *
      * @return the shared segments, always the same object
      */
-    public SharedSegments shared() {
-        return shared;
+    public SharedSegments sharedSegments() {
+        return sharedSegments;
     }
 
     /**
@@ -32,7 +32,7 @@
      * @param segmentId the segment's id, not null
      * @return the cached tokens, as far as known; zero if there are none
      */
-    public int keptOf(String engineId, String segmentId) {
+    public int cachedTokens(String engineId, String segmentId) {
         return cachedTokensByEngine.getOrDefault(engineId, Map.of()).getOrDefault(segmentId, 0);
     }
 
@@ -43,7 +43,7 @@
      * @param segmentId the segment's id, not null
      * @param cachedTokens the number of its tokens that are now cached; zero if the segment was evicted
      */
-    public void kept(String engineId, String segmentId, int cachedTokens) {
+    public void setCachedTokens(String engineId, String segmentId, int cachedTokens) {
         Map<String, Integer> tokensBySegment = cachedTokensByEngine.computeIfAbsent(engineId, _id -> new HashMap<>());
         if (cachedTokens <= 0) {
             tokensBySegment.remove(segmentId);
@@ -58,8 +58,8 @@
      * @param engineId the engine's id, not null
      * @param prompt the prompt, not null
      */
-    public void read(String engineId, Prompt prompt) {
-        prompt.parts().forEach(segment -> kept(engineId, segment.id(), segment.tokens()));
+    public void recordPrefill(String engineId, Prompt prompt) {
+        prompt.segments().forEach(segment -> setCachedTokens(engineId, segment.id(), segment.tokens()));
     }
 
     /**
@@ -67,7 +67,7 @@
      *
      * @param engineId the engine's id, not null
      */
-    public void forget(String engineId) {
+    public void removeEngine(String engineId) {
         cachedTokensByEngine.remove(engineId);
     }
 
@@ -76,7 +76,7 @@
      *
      * @param engineIds the ids of the engines to keep, not null
      */
-    public void retain(Set<String> engineIds) {
+    public void retainEngines(Set<String> engineIds) {
         cachedTokensByEngine.keySet().retainAll(engineIds);
     }
 
@@ -87,7 +87,7 @@
      * @param minTokens the minimum number of cached tokens
      * @return the cached tokens by segment id
      */
-    public Map<String, Integer> keptAtLeast(String engineId, int minTokens) {
+    public Map<String, Integer> cachedSegments(String engineId, int minTokens) {
         Map<String, Integer> found = new HashMap<>();
         cachedTokensByEngine.getOrDefault(engineId, Map.of()).forEach((segmentId, tokens) -> {
             if (tokens >= minTokens) {
@@ -104,10 +104,10 @@
      * @param prompt the prompt, not null
      * @return the cached tokens from the start of the prompt up to the first gap
      */
-    public int keptTokens(String engineId, Prompt prompt) {
+    public int cachedPrefixTokens(String engineId, Prompt prompt) {
         Map<String, Integer> tokensBySegment = cachedTokensByEngine.getOrDefault(engineId, Map.of());
         int sum = 0;
-        for (PromptPart segment : prompt.parts()) {
+        for (PromptSegment segment : prompt.segments()) {
             int cachedTokens = Math.min(segment.tokens(), tokensBySegment.getOrDefault(segment.id(), 0));
             sum += cachedTokens;
             if (cachedTokens < segment.tokens()) {
@@ -122,7 +122,7 @@
      *
      * @return the sum over all engines
      */
-    public int size() {
+    public int segmentsCount() {
         return cachedTokensByEngine.values().stream().mapToInt(Map::size).sum();
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LeastLoadedChooser.java
@@ -10,7 +10,7 @@
 public final class LeastLoadedChooser implements TargetChooser {
 
     private final TargetDirectory directory;
-    private final LoadBook loads;
+    private final LoadTracker loads;
     private final UniformRandomProvider random;
 
     /**
@@ -20,23 +20,23 @@
      * @param loads the calls in flight at the targets, not null
      * @param random breaks ties, so that the instances do not all begin with the same target, not null
      */
-    public LeastLoadedChooser(TargetDirectory directory, LoadBook loads, UniformRandomProvider random) {
+    public LeastLoadedChooser(TargetDirectory directory, LoadTracker loads, UniformRandomProvider random) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.loads = Objects.requireNonNull(loads, "loads");
         this.random = Objects.requireNonNull(random, "random");
     }
 
     @Override
-    public Optional<Plan> choose(ChoiceQuery query) {
+    public Optional<ForwardingPlan> choose(TargetQuery query) {
         List<Incarnation> best = new ArrayList<>();
         double lowestLoad = Double.MAX_VALUE;
-        for (Incarnation target : directory.ready(query.service().name())) {
+        for (Incarnation target : directory.readyTargets(query.service().name())) {
             if (query.triedTargetIds().contains(target.id())
                     || target.stage() == Stage.PREFILL
-                    || !directory.hasRoom(target)) {
+                    || !directory.hasCapacity(target)) {
                 continue;
             }
-            double load = loads.at(target.id()).callsCount() / (double) Math.max(1, target.slotsCount());
+            double load = loads.totalAt(target.id()).callsCount() / (double) Math.max(1, target.slotsCount());
             if (load < lowestLoad) {
                 lowestLoad = load;
                 best.clear();
@@ -47,16 +47,17 @@
         }
         return best.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new Plan(best.get(random.nextInt(best.size())), Optional.empty(), Plan.Reading.NONE));
+                : Optional.of(new ForwardingPlan(
+                        best.get(random.nextInt(best.size())), Optional.empty(), ForwardingPlan.PrefillWork.NONE));
     }
 
     @Override
-    public boolean serves(Incarnation target) {
-        return directory.serves(target);
+    public boolean isCurrent(Incarnation target) {
+        return directory.isCurrent(target);
     }
 
     @Override
-    public long roomMillis(ChoiceQuery query) {
-        return directory.roomMillis(query.service().name(), query.triedTargetIds());
+    public long millisUntilCapacity(TargetQuery query) {
+        return directory.millisUntilCapacity(query.service().name(), query.triedTargetIds());
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LoadBook.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/LoadTracker.java
@@ -10,9 +10,9 @@
  * Tracks the calls in flight at each target: those of this instance immediately, those of the other instances as they
  * report them. The cost of a lookup does not depend on the number of instances. Not thread-safe.
  */
-public final class LoadBook {
+public final class LoadTracker {
 
-    private final Map<String, TargetLoad> own = new HashMap<>();
+    private final Map<String, TargetLoad> ownLoads = new HashMap<>();
     private final Map<String, TargetLoad> totalLoads = new HashMap<>();
     private final Map<String, Map<String, TargetLoad>> peerLoads = new HashMap<>();
 
@@ -23,29 +23,29 @@
      * @param level the call's level in the target's queue
      * @param prefillTokens the tokens that the target has to prefill before the first event
      */
-    public void sent(String targetId, int level, int prefillTokens) {
-        adjust(targetId, new TargetLoad(1, ReadQueue.one(level, prefillTokens)));
+    public void recordSend(String targetId, int level, int prefillTokens) {
+        adjust(targetId, new TargetLoad(1, PrefillQueue.ofPrompt(level, prefillTokens)));
     }
 
     /**
      * Records that the prompt of a call was prefilled.
      *
      * @param targetId the target's id, not null
-     * @param level the level passed to {@link #sent}
-     * @param prefillTokens the tokens passed to {@link #sent}
+     * @param level the level passed to {@link #recordSend}
+     * @param prefillTokens the tokens passed to {@link #recordSend}
      */
-    public void read(String targetId, int level, int prefillTokens) {
-        adjust(targetId, new TargetLoad(0, ReadQueue.EMPTY.minus(ReadQueue.one(level, prefillTokens))));
+    public void recordPrefill(String targetId, int level, int prefillTokens) {
+        adjust(targetId, new TargetLoad(0, PrefillQueue.EMPTY.minus(PrefillQueue.ofPrompt(level, prefillTokens))));
     }
 
     /**
-     * Records the end of a call whose prompt was recorded with {@link #read} before, even if its prefill was
+     * Records the end of a call whose prompt was recorded with {@link #recordPrefill} before, even if its prefill was
      * abandoned.
      *
      * @param targetId the target's id, not null
      */
-    public void ended(String targetId) {
-        adjust(targetId, new TargetLoad(-1, ReadQueue.EMPTY));
+    public void recordEnd(String targetId) {
+        adjust(targetId, new TargetLoad(-1, PrefillQueue.EMPTY));
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param peer the instance's name, not null
      * @param loads the instance's loads by target id, not null
      */
-    public void heard(String peer, Map<String, TargetLoad> loads) {
+    public void replacePeerLoads(String peer, Map<String, TargetLoad> loads) {
         removePeer(peer);
         Map<String, TargetLoad> reported = Map.copyOf(loads);
         peerLoads.put(peer, reported);
@@ -77,8 +77,8 @@
      *
      * @return the loads by target id
      */
-    public Map<String, TargetLoad> own() {
-        return Map.copyOf(own);
+    public Map<String, TargetLoad> ownLoads() {
+        return Map.copyOf(ownLoads);
     }
 
     /**
@@ -87,7 +87,7 @@
      * @param targetId the target's id, not null
      * @return the sum
      */
-    public TargetLoad at(String targetId) {
+    public TargetLoad totalAt(String targetId) {
         return totalLoads.getOrDefault(targetId, TargetLoad.EMPTY);
     }
 
@@ -99,7 +99,7 @@
     }
 
     private void adjust(String targetId, TargetLoad difference) {
-        update(own, targetId, current -> current.plus(difference));
+        update(ownLoads, targetId, current -> current.plus(difference));
         update(totalLoads, targetId, current -> current.plus(difference));
     }
 
--- a/src/main/java/org/dogwoodwinch/forwarding/OrderLease.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/OrderLease.java
@@ -39,7 +39,7 @@
      * @param nowMillis monotonic milliseconds
      * @return the end that the log must have; empty while the lease of another holder may be valid
      */
-    public OptionalLong mayClaimAt(long nowMillis) {
+    public OptionalLong claimableOffset(long nowMillis) {
         boolean otherLeaseOver = endIsOwn || nowMillis - endSeenAtMillis >= validMillis + separationMillis;
         return otherLeaseOver ? OptionalLong.of(endOffset) : OptionalLong.empty();
     }
@@ -49,7 +49,7 @@
      *
      * @param offset the record's offset, which is the fencing token
      */
-    public void written(long offset) {
+    public void recordWritten(long offset) {
         endOffset = offset + 1;
         endIsOwn = true;
     }
@@ -61,7 +61,7 @@
      * @param end the end of the log
      * @param nowMillis monotonic milliseconds
      */
-    public void endsElsewhere(long end, long nowMillis) {
+    public void recordForeignEnd(long end, long nowMillis) {
         endOffset = end;
         endIsOwn = false;
         endSeenAtMillis = nowMillis;
@@ -72,7 +72,7 @@
      *
      * @param nowMillis monotonic milliseconds
      */
-    public void unknown(long nowMillis) {
+    public void recordUnknownOutcome(long nowMillis) {
         endIsOwn = false;
         endSeenAtMillis = nowMillis;
     }
@@ -84,7 +84,7 @@
      * @param wallElapsedMillis wall-clock time since then, which counts a suspension
      * @return whether the lease is valid
      */
-    public boolean valid(long monotonicElapsedMillis, long wallElapsedMillis) {
+    public boolean isValid(long monotonicElapsedMillis, long wallElapsedMillis) {
         return Math.max(monotonicElapsedMillis, Math.abs(wallElapsedMillis)) < validMillis;
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/ReadQueue.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/PrefillQueue.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /** The prompts that wait for prefill at an engine, by the queue level of their calls. Immutable. */
-public final class ReadQueue {
+public final class PrefillQueue {
 
     /** The empty queue. */
-    public static final ReadQueue EMPTY = new ReadQueue(new long[QueueLevel.COUNT], new int[QueueLevel.COUNT]);
+    public static final PrefillQueue EMPTY = new PrefillQueue(new long[QueueLevel.COUNT], new int[QueueLevel.COUNT]);
 
     private final long[] tokens;
     private final int[] prompts;
 
-    private ReadQueue(long[] tokens, int[] prompts) {
+    private PrefillQueue(long[] tokens, int[] prompts) {
         this.tokens = tokens;
         this.prompts = prompts;
     }
@@ -25,14 +25,14 @@
      * @return the queue
      * @throws IllegalArgumentException if there are more levels than engines distinguish
      */
-    public static ReadQueue of(List<Long> tokens, List<Integer> prompts) {
+    public static PrefillQueue of(List<Long> tokens, List<Integer> prompts) {
         if (tokens.size() > QueueLevel.COUNT || prompts.size() > QueueLevel.COUNT) {
             throw new IllegalArgumentException(
                     "at most " + QueueLevel.COUNT + " levels allowed: " + tokens.size() + ", " + prompts.size());
         }
         long[] tokensOfLevels = tokens.stream().mapToLong(Long::longValue).toArray();
         int[] promptsOfLevels = prompts.stream().mapToInt(Integer::intValue).toArray();
-        return new ReadQueue(
+        return new PrefillQueue(
                 Arrays.copyOf(tokensOfLevels, QueueLevel.COUNT), Arrays.copyOf(promptsOfLevels, QueueLevel.COUNT));
     }
 
@@ -43,8 +43,8 @@
      * @param tokens the tokens to prefill
      * @return the queue
      */
-    public static ReadQueue one(int level, long tokens) {
-        return EMPTY.with(level, tokens, tokens == 0 ? 0 : 1);
+    public static PrefillQueue ofPrompt(int level, long tokens) {
+        return EMPTY.plusPrompts(level, tokens, tokens == 0 ? 0 : 1);
     }
 
     /**
@@ -55,7 +55,7 @@
      * @param level the call's level
      * @return the expected number of tokens ahead of the call
      */
-    public long aheadOf(int level) {
+    public long tokensAheadOf(int level) {
         long earlierTokens = 0;
         for (int i = 0; i <= level; i++) {
             earlierTokens += tokens[i];
@@ -122,11 +122,11 @@
      * @param other the other queue, not null
      * @return the sum
      */
-    public ReadQueue plus(ReadQueue other) {
+    public PrefillQueue plus(PrefillQueue other) {
         return combine(other, 1);
     }
 
-    ReadQueue minus(ReadQueue other) {
+    PrefillQueue minus(PrefillQueue other) {
         return combine(other, -1);
     }
 
@@ -139,27 +139,27 @@
      * @return the longer queue
      * @throws IndexOutOfBoundsException if engines do not distinguish such a level
      */
-    public ReadQueue with(int level, long addedTokens, int addedPrompts) {
+    public PrefillQueue plusPrompts(int level, long addedTokens, int addedPrompts) {
         long[] newTokens = tokens.clone();
         int[] newPrompts = prompts.clone();
         newTokens[level] += addedTokens;
         newPrompts[level] += addedPrompts;
-        return new ReadQueue(newTokens, newPrompts);
+        return new PrefillQueue(newTokens, newPrompts);
     }
 
-    private ReadQueue combine(ReadQueue other, int sign) {
+    private PrefillQueue combine(PrefillQueue other, int sign) {
         long[] newTokens = tokens.clone();
         int[] newPrompts = prompts.clone();
         for (int i = 0; i < newTokens.length; i++) {
             newTokens[i] += sign * other.tokens[i];
             newPrompts[i] += sign * other.prompts[i];
         }
-        return new ReadQueue(newTokens, newPrompts);
+        return new PrefillQueue(newTokens, newPrompts);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof ReadQueue queue
+        return other instanceof PrefillQueue queue
                 && Arrays.equals(tokens, queue.tokens)
                 && Arrays.equals(prompts, queue.prompts);
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/ReadRates.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/PrefillRates.java
@@ -10,7 +10,7 @@
  *
  * <p>The operator's configuration does not contain these rates, and they fall while an engine also decodes.
  */
-public final class ReadRates {
+public final class PrefillRates {
 
     /**
      * Weight of a new observation in the exponential moving average: one tenth follows a change within about 20 calls
@@ -32,7 +32,7 @@
      *
      * @param initialTokensPerMilli the rate assumed until a call has been observed, greater than zero
      */
-    public ReadRates(double initialTokensPerMilli) {
+    public PrefillRates(double initialTokensPerMilli) {
         this.initialTokensPerMilli = initialTokensPerMilli;
     }
 
--- a/src/main/java/org/dogwoodwinch/forwarding/Prompt.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/Prompt.java
@@ -9,14 +9,14 @@
  * @param model the model's name, not null, may be empty
  * @param inputTokens the length of the prompt
  * @param maxOutputTokens maximum number of tokens to generate
- * @param parts the segments of the prompt in order, not null; the last one belongs to this request or its session
+ * @param segments the segments of the prompt in order, not null; the last one belongs to this request or its session
  *     alone
  */
-public record Prompt(String model, int inputTokens, int maxOutputTokens, List<PromptPart> parts) {
+public record Prompt(String model, int inputTokens, int maxOutputTokens, List<PromptSegment> segments) {
 
     /** Validates the components and copies the list. */
     public Prompt {
         Objects.requireNonNull(model, "model");
-        parts = List.copyOf(parts);
+        segments = List.copyOf(segments);
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/PromptPart.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/PromptSegment.java
@@ -8,10 +8,10 @@
  * @param id the segment's id, not null
  * @param tokens the length of the segment
  */
-public record PromptPart(String id, int tokens) {
+public record PromptSegment(String id, int tokens) {
 
     /** Validates the components. */
-    public PromptPart {
+    public PromptSegment {
         Objects.requireNonNull(id, "id");
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/LimitShares.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RateLimitShares.java
@@ -24,7 +24,7 @@
  * waits until those that ranked before it have received the change. An instance that is wrong in spite of this adds
  * one share, and the sum stays below one and a half times the limit.
  */
-public final class LimitShares {
+public final class RateLimitShares {
 
     /** With two share holders, the loss of one leaves the target half of its calls. */
     private static final int MIN_HOLDERS_COUNT = 2;
@@ -52,14 +52,14 @@
     private long unchangedSinceMillis;
 
     /**
-     * Creates an instance that has no share until the first call of {@link #look}.
+     * Creates an instance that has no share until the first call of {@link #refresh}.
      *
      * @param ownName the name of this instance, not null
      * @param members the names of the instances that consider each other members, including this one; empty while
      *     this instance is not sure of the membership, not null
      * @param clockMillis monotonic milliseconds, not null
      */
-    public LimitShares(String ownName, Supplier<Optional<Set<String>>> members, LongSupplier clockMillis) {
+    public RateLimitShares(String ownName, Supplier<Optional<Set<String>>> members, LongSupplier clockMillis) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
         this.members = Objects.requireNonNull(members, "members");
         this.clockMillis = Objects.requireNonNull(clockMillis, "clockMillis");
@@ -67,7 +67,7 @@
     }
 
     /** Reads the current membership. Must be called several times per second. */
-    public void look() {
+    public void refresh() {
         long nowMillis = clockMillis.getAsLong();
         Set<String> names = members.get().map(Set::copyOf).orElse(NO_MEMBERS);
         Membership current = recentMemberships.getLast();
@@ -94,7 +94,7 @@
      * @param limitPerSecond the calls per second that the target accepts from all instances together
      * @return the calls per second of this instance; zero for most instances
      */
-    public double perSecond(String targetId, double limitPerSecond) {
+    public double sharePerSecond(String targetId, double limitPerSecond) {
         long holdersCount = holdersCount(limitPerSecond);
         return rank(targetId) < holdersCount ? Math.max(MIN_PER_SECOND, limitPerSecond) / holdersCount : 0;
     }
@@ -142,10 +142,10 @@
     }
 
     private int rankIn(Set<String> names, String targetId) {
-        double ownScore = Rendezvous.score(targetId, ownName);
+        double ownScore = RendezvousHash.score(targetId, ownName);
         int higherRankedCount = 0;
         for (String name : names) {
-            if (Rendezvous.score(targetId, name) > ownScore) {
+            if (RendezvousHash.score(targetId, name) > ownScore) {
                 higherRankedCount++;
             }
         }
--- a/src/main/java/org/dogwoodwinch/forwarding/Rendezvous.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RendezvousHash.java
@@ -4,7 +4,7 @@
  * Ranks targets for a key by rendezvous hashing, so that all instances compute the same ranking without communication,
  * and few keys move when a target is removed.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
 
     private static final double UNIFORM_RANGE = 0x1.0p53;
 
@@ -20,7 +20,7 @@
 
     private static final int SHIFT = 33;
 
-    private Rendezvous() {}
+    private RendezvousHash() {}
 
     /**
      * Returns the score of a target for a key. The target with the highest score ranks first for the key.
--- a/src/main/java/org/dogwoodwinch/forwarding/RetryBudget.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RetryBudget.java
@@ -56,7 +56,7 @@
      *
      * @param newRatio the retries allowed per request received by this instance
      */
-    public void reconfigure(double newRatio) {
+    public void setRatio(double newRatio) {
         ratio = newRatio * USABLE_RATIO;
     }
 
@@ -79,7 +79,7 @@
      * @param nowMillis monotonic milliseconds
      * @return whether the retry may be sent
      */
-    public boolean takeRepeat(String service, long nowMillis) {
+    public boolean tryTakeRetry(String service, long nowMillis) {
         SlidingWindow window = window(service);
         window.advanceTo(nowMillis / sliceMillis);
         if (sum(window.retries) + 1 > allowedRetries(window, nowMillis)) {
@@ -96,7 +96,7 @@
      * @param nowMillis monotonic milliseconds
      * @return the number of retries that could be taken now, not negative
      */
-    public double left(String service, long nowMillis) {
+    public double remaining(String service, long nowMillis) {
         SlidingWindow window = window(service);
         window.advanceTo(nowMillis / sliceMillis);
         return Math.max(0, allowedRetries(window, nowMillis) - sum(window.retries));
--- a/src/main/java/org/dogwoodwinch/forwarding/RetryPolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RetryPolicy.java
@@ -27,14 +27,14 @@
      *     allowed
      * @return the next step
      */
-    public NextStep after(SendOutcome outcome, CallProgress progress, BooleanSupplier tryTakeRetry) {
+    public NextStep nextStep(SendOutcome outcome, CallProgress progress, BooleanSupplier tryTakeRetry) {
         if (outcome instanceof SendOutcome.NotSent) {
             boolean attemptsLeft = progress.failedConnectsCount() <= maxFailedConnectsCount && isTimeLeft(progress);
-            return attemptsLeft && (!progress.sent() || tryTakeRetry.getAsBoolean())
+            return attemptsLeft && (!progress.hasReachedTarget() || tryTakeRetry.getAsBoolean())
                     ? new NextStep.SendAgain()
                     : giveUp(progress);
         }
-        if (outcome instanceof SendOutcome.Rejected || outcome instanceof SendOutcome.NotRead) {
+        if (outcome instanceof SendOutcome.Rejected || outcome instanceof SendOutcome.NotPrefilled) {
             boolean attemptsLeft = progress.rejectionsCount() <= maxRejectionsCount && isTimeLeft(progress);
             return attemptsLeft && isAnotherRunAllowed(progress) && tryTakeRetry.getAsBoolean()
                     ? new NextStep.SendAgain()
--- a/src/main/java/org/dogwoodwinch/forwarding/RouteTable.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/RouteTable.java
@@ -95,7 +95,7 @@
      * @param requestTarget the request's path, with or without a query, not null
      * @return the route, or empty if none matches
      */
-    public Optional<ServiceRoute> find(String host, String requestTarget) {
+    public Optional<ServiceRoute> findRoute(String host, String requestTarget) {
         Map<String, ServiceRoute> routes = routesByHost.get(stripPort(host).toLowerCase(Locale.ROOT));
         if (routes == null) {
             return Optional.empty();
--- a/src/main/java/org/dogwoodwinch/forwarding/SendOutcome.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/SendOutcome.java
@@ -30,9 +30,9 @@
      *
      * @param reason the cause, for logs and metrics, not null
      */
-    record NotRead(String reason) implements SendOutcome {
+    record NotPrefilled(String reason) implements SendOutcome {
         /** Validates the component. */
-        public NotRead {
+        public NotPrefilled {
             Objects.requireNonNull(reason, "reason");
         }
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/ServiceRoute.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/ServiceRoute.java
@@ -12,11 +12,11 @@
  * @param kind the kind of its calls, which determines what may be retried, not null
  * @param resumable whether another target may continue a stream after its last event
  * @param timeoutMillis maximum time that a caller waits
- * @param targetLatencyMillis the latency objective, within which an answer earns its full credit; zero if there is
+ * @param latencyObjectiveMillis the latency objective, within which an answer earns its full credit; zero if there is
  *     none
- * @param gapAimMillis maximum gap between two events that still meets the objective; zero if there is none
+ * @param maxEventGapMillis maximum gap between two events that still meets the objective; zero if there is none
  * @param maxAttemptsCount maximum number of targets to which one request of a caller may be sent, at least one
- * @param urgency the priority, where zero is the most urgent
+ * @param priority the priority, where zero is the most urgent
  * @param services the services to which the calls are forwarded, with their weights, not empty
  */
 public record ServiceRoute(
@@ -26,10 +26,10 @@
         RouteKind kind,
         boolean resumable,
         long timeoutMillis,
-        long targetLatencyMillis,
-        long gapAimMillis,
+        long latencyObjectiveMillis,
+        long maxEventGapMillis,
         int maxAttemptsCount,
-        int urgency,
+        int priority,
         List<WeightedService> services) {
 
     /**
@@ -55,7 +55,7 @@
      *
      * @return whether running the call twice is harmless
      */
-    public boolean idempotent() {
+    public boolean isIdempotent() {
         return kind == RouteKind.REPEATABLE || (kind == RouteKind.STREAM && resumable);
     }
 
--- a/src/main/java/org/dogwoodwinch/forwarding/SharedSegments.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/SharedSegments.java
@@ -26,22 +26,22 @@
      *
      * @param prompt the prompt, not null
      */
-    public void saw(Prompt prompt) {
-        int lastIndex = prompt.parts().size() - 1;
+    public void recordPrompt(Prompt prompt) {
+        int lastIndex = prompt.segments().size() - 1;
         for (int i = 0; i < lastIndex; i++) {
-            addShared(prompt.parts().get(i).id());
+            addShared(prompt.segments().get(i).id());
         }
         if (lastIndex < 0) {
             return;
         }
-        String last = prompt.parts().get(lastIndex).id();
+        String last = prompt.segments().get(lastIndex).id();
         if (seenLast.put(last, true) != null) {
             addShared(last);
         }
     }
 
     private void addShared(String segmentId) {
-        if (learn(segmentId)) {
+        if (markShared(segmentId)) {
             newlyShared.add(segmentId);
         }
     }
@@ -52,7 +52,7 @@
      * @param segmentId the segment's id, not null
      * @return whether the segment was not yet known to be shared
      */
-    public boolean learn(String segmentId) {
+    public boolean markShared(String segmentId) {
         return shared.put(segmentId, true) == null;
     }
 
@@ -72,7 +72,7 @@
      *
      * @return the segment ids, in the order in which they were found
      */
-    public List<String> takeNews() {
+    public List<String> takeNewlyShared() {
         List<String> taken = List.copyOf(newlyShared);
         newlyShared.clear();
         return taken;
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanPolicy.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanPolicy.java
@@ -23,5 +23,5 @@
         long dwellMillis) {
 
     /** Used unless the settings define others. */
-    public static final StagePlanPolicy STANDARD = new StagePlanPolicy(1_000, 4_000, 60, 3, 0.8, 3, 1_500);
+    public static final StagePlanPolicy DEFAULT = new StagePlanPolicy(1_000, 4_000, 60, 3, 0.8, 3, 1_500);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/StagePlanner.java
@@ -26,7 +26,7 @@
     private static final long MAX_CHANGE_MILLIS = 15_000;
 
     private final StagePlanPolicy policy;
-    private final ReadRates prefillRates;
+    private final PrefillRates prefillRates;
     private final TwoHorizonAverage prefillWait;
     private final TwoHorizonAverage decodeWait;
     private final TwoHorizonAverage decodeBusy;
@@ -40,7 +40,7 @@
      * @param policy the thresholds, not null
      * @param prefillRates the prefill rates of the engines, not null
      */
-    public StagePlanner(StagePlanPolicy policy, ReadRates prefillRates) {
+    public StagePlanner(StagePlanPolicy policy, PrefillRates prefillRates) {
         this.policy = Objects.requireNonNull(policy, "policy");
         this.prefillRates = Objects.requireNonNull(prefillRates, "prefillRates");
         this.prefillWait = new TwoHorizonAverage(policy);
@@ -55,7 +55,7 @@
      * @param stage the new stage, not null
      * @param reason the measured averages, for logs, not null
      */
-    public record Change(Incarnation engine, Stage stage, String reason) {}
+    public record StageChange(Incarnation engine, Stage stage, String reason) {}
 
     /**
      * Records the current loads and returns a change if one is worthwhile. Must be called regularly, even if no
@@ -68,7 +68,7 @@
      * @param nowMillis monotonic milliseconds
      * @return the change to order now, or empty if none is worthwhile
      */
-    public Optional<Change> plan(
+    public Optional<StageChange> planChange(
             List<Incarnation> ready,
             Predicate<Incarnation> isRateLimited,
             Function<String, TargetLoad> loadOf,
@@ -81,7 +81,7 @@
         List<Incarnation> prefillEngines = withStage(unlimited, Stage.PREFILL);
         List<Incarnation> decodeEngines = withStage(unlimited, Stage.DECODE);
         if (ready.stream().anyMatch(isRateLimited)) {
-            Optional<Change> replacement = replaceRateLimited(prefillEngines, decodeEngines, loadOf, isEligible);
+            Optional<StageChange> replacement = replaceRateLimited(prefillEngines, decodeEngines, loadOf, isEligible);
             if (replacement.isPresent()) {
                 return replacement;
             }
@@ -114,7 +114,7 @@
      * Prefilled prompts have no engine to run on, and callers are refused. No prompts queue at the rate-limited
      * engines, so the measured waits do not show the shortage.
      */
-    private Optional<Change> replaceRateLimited(
+    private Optional<StageChange> replaceRateLimited(
             List<Incarnation> prefillEngines,
             List<Incarnation> decodeEngines,
             Function<String, TargetLoad> loadOf,
@@ -151,7 +151,7 @@
      * @param unavailableMillis time for which the engine is unavailable
      * @param nowMillis monotonic milliseconds
      */
-    public void ordered(Change change, long unavailableMillis, long nowMillis) {
+    public void recordOrdered(StageChange change, long unavailableMillis, long nowMillis) {
         pendingChanges.add(new PendingChange(change, nowMillis + MAX_CHANGE_MILLIS));
         long intervalMillis = unavailableMillis + policy.dwellMillis();
         nextChangeMillis = nowMillis + intervalMillis / Math.max(1, enginesCount / ENGINES_PER_CHANGE);
@@ -162,7 +162,7 @@
      *
      * @param change the change that was ordered, not null
      */
-    public void notTaken(Change change) {
+    public void recordRejected(StageChange change) {
         pendingChanges.removeIf(pending -> pending.change.equals(change));
     }
 
@@ -188,7 +188,7 @@
         return decodeWaits || decodeFull;
     }
 
-    private Optional<Change> chooseChange(
+    private Optional<StageChange> chooseChange(
             List<Incarnation> candidates,
             Stage stage,
             Function<String, TargetLoad> loadOf,
@@ -198,13 +198,13 @@
                 .min(Comparator.<Incarnation>comparingInt(
                                 engine -> loadOf.apply(engine.id()).callsCount())
                         .thenComparing(Incarnation::id))
-                .map(engine -> new Change(engine, stage, toString()));
+                .map(engine -> new StageChange(engine, stage, toString()));
     }
 
     private double meanWaitMillis(List<Incarnation> engines, Function<String, TargetLoad> loadOf) {
         double sum = 0;
         for (Incarnation engine : engines) {
-            sum += loadOf.apply(engine.id()).unread().totalTokens()
+            sum += loadOf.apply(engine.id()).prefillQueue().totalTokens()
                     / prefillRates.tokensPerMilli(engine.service(), engine.stage());
         }
         return sum / engines.size();
@@ -237,7 +237,7 @@
     }
 
     /** A change whose engine is expected to be listed with its new stage. */
-    private record PendingChange(Change change, long untilMillis) {
+    private record PendingChange(StageChange change, long untilMillis) {
 
         boolean isOver(List<Incarnation> ready, long nowMillis) {
             return nowMillis >= untilMillis
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetChooser.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetChooser.java
@@ -11,7 +11,7 @@
      * @param query the call, not null
      * @return the plan, or empty if no target may receive the call
      */
-    Optional<Plan> choose(ChoiceQuery query);
+    Optional<ForwardingPlan> choose(TargetQuery query);
 
     /**
      * Chooses the target that runs a call whose prompt another target has prefilled.
@@ -20,8 +20,8 @@
      * @param prefillTarget the target that prefilled, not null
      * @return the target, or empty if no target may receive the call
      */
-    default Optional<Incarnation> chooseRunner(ChoiceQuery query, Incarnation prefillTarget) {
-        return choose(query).map(Plan::target);
+    default Optional<Incarnation> chooseDecodeTarget(TargetQuery query, Incarnation prefillTarget) {
+        return choose(query).map(ForwardingPlan::target);
     }
 
     /**
@@ -30,7 +30,7 @@
      * @param target the target as it was chosen, not null
      * @return false if it has since begun to drain, was removed, restarted, or changed its stage
      */
-    boolean serves(Incarnation target);
+    boolean isCurrent(Incarnation target);
 
     /**
      * Returns when a target may accept a call for which none was available.
@@ -38,5 +38,5 @@
      * @param query the call, not null
      * @return the time from now in milliseconds, zero if it is not known
      */
-    long roomMillis(ChoiceQuery query);
+    long millisUntilCapacity(TargetQuery query);
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetDirectory.java
@@ -18,7 +18,7 @@
 public final class TargetDirectory {
 
     private final TargetHealth health;
-    private final TargetLimits limits;
+    private final TargetRateLimits limits;
     private final Map<String, Entry> entries = new HashMap<>();
     private Optional<Map<String, List<Incarnation>>> readyByService = Optional.empty();
     private int readyCount;
@@ -29,7 +29,7 @@
      * @param health the targets that cannot be reached from this instance, not null
      * @param limits the rate limits that targets state, and this instance's remaining share of them, not null
      */
-    public TargetDirectory(TargetHealth health, TargetLimits limits) {
+    public TargetDirectory(TargetHealth health, TargetRateLimits limits) {
         this.limits = Objects.requireNonNull(limits, "limits");
         this.health = Objects.requireNonNull(health, "health");
     }
@@ -60,7 +60,7 @@
      * @param endOffset the end of the log when the listing began
      * @return the ids of the removed entries
      */
-    public List<String> retain(Collection<String> listed, long endOffset) {
+    public List<String> retainListed(Collection<String> listed, long endOffset) {
         List<String> dropped = new ArrayList<>();
         entries.forEach((id, entry) -> {
             if (entry.offset < endOffset && entry.incarnation.isPresent() && !listed.contains(id)) {
@@ -86,11 +86,11 @@
      * @param service the service's name, not null
      * @return the targets that are listed and not draining, without those that are ejected or changing their stage
      */
-    public List<Incarnation> ready(String service) {
+    public List<Incarnation> readyTargets(String service) {
         if (readyByService.isEmpty()) {
             readyByService = Optional.of(indexByService());
         }
-        return health.usable(readyByService.get().getOrDefault(service, List.of()));
+        return health.filterUsable(readyByService.get().getOrDefault(service, List.of()));
     }
 
     /**
@@ -99,10 +99,10 @@
      * @param target the target as it was chosen, not null
      * @return false if it has since begun to drain, was removed, restarted, or changed its stage
      */
-    public boolean serves(Incarnation target) {
+    public boolean isCurrent(Incarnation target) {
         return find(target.id())
-                .filter(current -> !current.leaving()
-                        && current.bornMillis() == target.bornMillis()
+                .filter(current -> !current.draining()
+                        && current.startedMillis() == target.startedMillis()
                         && current.address().equals(target.address())
                         && current.stage() == target.stage())
                 .isPresent();
@@ -114,8 +114,8 @@
      * @param target the target, not null
      * @return false if the target states a rate limit and this instance's share of it is used up
      */
-    public boolean hasRoom(Incarnation target) {
-        return limits.hasRoom(target.id());
+    public boolean hasCapacity(Incarnation target) {
+        return limits.hasCapacity(target.id());
     }
 
     /**
@@ -125,8 +125,8 @@
      * @param target the target, not null
      * @return whether the target is rate-limited
      */
-    public boolean isLimited(Incarnation target) {
-        return limits.isLimited(target.id());
+    public boolean isRateLimited(Incarnation target) {
+        return limits.isRateLimited(target.id());
     }
 
     /**
@@ -136,10 +136,10 @@
      * @param triedTargetIds the ids of targets to leave out, not null
      * @return the time from now in milliseconds; zero if a target has capacity, or no target remains
      */
-    public long roomMillis(String service, Set<String> triedTargetIds) {
-        return ready(service).stream()
+    public long millisUntilCapacity(String service, Set<String> triedTargetIds) {
+        return readyTargets(service).stream()
                 .filter(target -> !triedTargetIds.contains(target.id()))
-                .mapToLong(target -> limits.roomMillis(target.id()))
+                .mapToLong(target -> limits.millisUntilCapacity(target.id()))
                 .min()
                 .orElse(0);
     }
@@ -190,12 +190,12 @@
         boolean startedAfter(Optional<Incarnation> other) {
             return incarnation.isPresent()
                     && other.isPresent()
-                    && other.get().bornMillis() != 0
-                    && incarnation.get().bornMillis() > other.get().bornMillis();
+                    && other.get().startedMillis() != 0
+                    && incarnation.get().startedMillis() > other.get().startedMillis();
         }
 
         boolean isReady() {
-            return incarnation.isPresent() && !incarnation.get().leaving();
+            return incarnation.isPresent() && !incarnation.get().draining();
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetHealth.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetHealth.java
@@ -67,7 +67,7 @@
      * @param targetId the target's id, not null
      * @return the time until the target is tried again, in milliseconds
      */
-    public long unreachable(String targetId) {
+    public long recordUnreachable(String targetId) {
         return eject(targetId, MAX_EJECTION_MILLIS, false);
     }
 
@@ -78,7 +78,7 @@
      * @param targetId the target's id, not null
      * @return the time until the target is tried again, in milliseconds; zero if it is not ejected
      */
-    public long brokeOff(String targetId) {
+    public long recordBrokenConnection(String targetId) {
         CallHistory history = callHistories.computeIfAbsent(targetId, _id -> new CallHistory());
         history.consecutiveBroken++;
         if (history.consecutiveBroken < CONSECUTIVE_BROKEN_LIMIT && answeredRecently(targetId)) {
@@ -106,7 +106,7 @@
      *     double
      * @param ejectionMillis the ejection time here; if it is not positive, the target is not ejected
      */
-    public void told(String targetId, long peerEjectionMillis, long ejectionMillis) {
+    public void recordPeerEjection(String targetId, long peerEjectionMillis, long ejectionMillis) {
         long untilMillis = clockMillis.getAsLong() + ejectionMillis;
         Ejection ejection = ejections.get(targetId);
         if (ejectionMillis > 0
@@ -124,7 +124,7 @@
      * @param targetId the target's id, not null
      * @return whether its ejection time has not yet passed
      */
-    public boolean isPaused(String targetId) {
+    public boolean isEjected(String targetId) {
         return isEjectedAt(targetId, clockMillis.getAsLong());
     }
 
@@ -134,7 +134,7 @@
      * @param targetId the target's id, not null
      * @param maxMillis the time for which it is left out, unless it is available earlier
      */
-    public void away(String targetId, long maxMillis) {
+    public void startStageChange(String targetId, long maxMillis) {
         stageChangeUntilMillis.put(targetId, clockMillis.getAsLong() + maxMillis);
     }
 
@@ -143,7 +143,7 @@
      *
      * @param targetId the target's id, not null
      */
-    public void back(String targetId) {
+    public void endStageChange(String targetId) {
         stageChangeUntilMillis.remove(targetId);
     }
 
@@ -153,7 +153,7 @@
      * @param targetId the target's id, not null
      * @return whether it is left out for this reason
      */
-    public boolean isAway(String targetId) {
+    public boolean isChangingStage(String targetId) {
         Long untilMillis = stageChangeUntilMillis.get(targetId);
         return untilMillis != null && clockMillis.getAsLong() < untilMillis;
     }
@@ -166,7 +166,7 @@
      *
      * @param targetId the target's id, not null
      */
-    public void answered(String targetId) {
+    public void recordAnswer(String targetId) {
         CallHistory history = callHistories.computeIfAbsent(targetId, _id -> new CallHistory());
         history.lastAnswerMillis = clockMillis.getAsLong();
         history.consecutiveBroken = 0;
@@ -181,7 +181,7 @@
      *
      * @param targetId the target's id, not null
      */
-    public void toldSound(String targetId) {
+    public void recordPeerRecovery(String targetId) {
         ejections.remove(targetId);
     }
 
@@ -190,7 +190,7 @@
      *
      * @param targetId the target's id, not null
      */
-    public void forget(String targetId) {
+    public void remove(String targetId) {
         ejections.remove(targetId);
         stageChangeUntilMillis.remove(targetId);
         callHistories.remove(targetId);
@@ -202,13 +202,13 @@
      * @param targets the targets of one service, not null
      * @return the targets that may be tried; all of them if more than half would be left out
      */
-    public List<Incarnation> usable(List<Incarnation> targets) {
+    public List<Incarnation> filterUsable(List<Incarnation> targets) {
         if (ejections.isEmpty() && stageChangeUntilMillis.isEmpty()) {
             return targets;
         }
         long nowMillis = clockMillis.getAsLong();
         List<Incarnation> usable = targets.stream()
-                .filter(target -> !isEjectedAt(target.id(), nowMillis) && !isAway(target.id()))
+                .filter(target -> !isEjectedAt(target.id(), nowMillis) && !isChangingStage(target.id()))
                 .toList();
         return 2 * usable.size() < targets.size() ? targets : usable;
     }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetLoad.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetLoad.java
@@ -6,16 +6,16 @@
  * The calls in flight at a target.
  *
  * @param callsCount number of calls that were sent and have not ended
- * @param unread the prompts of calls without a first event, not null
+ * @param prefillQueue the prompts of calls without a first event, not null
  */
-public record TargetLoad(int callsCount, ReadQueue unread) {
+public record TargetLoad(int callsCount, PrefillQueue prefillQueue) {
 
     /** No calls in flight. */
-    public static final TargetLoad EMPTY = new TargetLoad(0, ReadQueue.EMPTY);
+    public static final TargetLoad EMPTY = new TargetLoad(0, PrefillQueue.EMPTY);
 
     /** Validates the components. */
     public TargetLoad {
-        Objects.requireNonNull(unread, "unread");
+        Objects.requireNonNull(prefillQueue, "prefillQueue");
     }
 
     /**
@@ -24,7 +24,7 @@
      * @return whether the load is empty
      */
     public boolean isEmpty() {
-        return callsCount == 0 && unread.equals(ReadQueue.EMPTY);
+        return callsCount == 0 && prefillQueue.equals(PrefillQueue.EMPTY);
     }
 
     /**
@@ -34,7 +34,7 @@
      * @return the sum
      */
     public TargetLoad plus(TargetLoad other) {
-        return new TargetLoad(callsCount + other.callsCount, unread.plus(other.unread));
+        return new TargetLoad(callsCount + other.callsCount, prefillQueue.plus(other.prefillQueue));
     }
 
     /**
@@ -44,6 +44,6 @@
      * @return the difference
      */
     public TargetLoad minus(TargetLoad other) {
-        return new TargetLoad(callsCount - other.callsCount, unread.minus(other.unread));
+        return new TargetLoad(callsCount - other.callsCount, prefillQueue.minus(other.prefillQueue));
     }
 }
--- a/src/main/java/org/dogwoodwinch/forwarding/TargetLimits.java
+++ b/src/main/java/org/dogwoodwinch/forwarding/TargetRateLimits.java
@@ -17,7 +17,7 @@
  * arrives there counts, even one that it rejects. Each attempt therefore takes a call from this instance's share
  * before a connection is taken for it.
  */
-public final class TargetLimits {
+public final class TargetRateLimits {
 
     /** An unused share expires after this time: an overloaded target should receive no burst. */
     private static final double BURST_MILLIS = 250;
@@ -34,7 +34,7 @@
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** The change of a target's known rate limit. */
-    public enum News {
+    public enum LimitChange {
         /** The limit is unchanged. */
         NONE,
         /** The target states a limit, and stated none before. */
@@ -48,7 +48,7 @@
     }
 
     private final LongSupplier clockMillis;
-    private final LimitShares shares;
+    private final RateLimitShares shares;
     private final Map<String, LimitState> limits = new HashMap<>();
     private final Map<String, Long> endedMillisByTarget = new HashMap<>();
 
@@ -58,7 +58,7 @@
      * @param clockMillis monotonic milliseconds, not null
      * @param shares the shares of this instance, not null
      */
-    public TargetLimits(LongSupplier clockMillis, LimitShares shares) {
+    public TargetRateLimits(LongSupplier clockMillis, RateLimitShares shares) {
         this.clockMillis = Objects.requireNonNull(clockMillis, "clockMillis");
         this.shares = Objects.requireNonNull(shares, "shares");
     }
@@ -72,14 +72,14 @@
      * @param sentMillis time at which the call was sent, in monotonic milliseconds
      * @return the change
      */
-    public News answered(String targetId, OptionalDouble callsPerSecond, long sentMillis) {
+    public LimitChange recordAnswer(String targetId, OptionalDouble callsPerSecond, long sentMillis) {
         LimitState limit = limits.get(targetId);
         if (callsPerSecond.isPresent()) {
             return setLimit(targetId, callsPerSecond.getAsDouble(), clockMillis.getAsLong());
         }
         return limit != null && sentMillis > limit.statedMillis
                 ? endLimit(targetId, clockMillis.getAsLong())
-                : News.NONE;
+                : LimitChange.NONE;
     }
 
     /**
@@ -91,40 +91,42 @@
      * @param statedMillis time of the target's statement, in monotonic milliseconds of this instance
      * @return the change
      */
-    public News told(String targetId, OptionalDouble callsPerSecond, long statedMillis) {
+    public LimitChange recordPeerReport(String targetId, OptionalDouble callsPerSecond, long statedMillis) {
         LimitState limit = limits.get(targetId);
         if (callsPerSecond.isEmpty()) {
-            return limit != null && statedMillis > limit.statedMillis ? endLimit(targetId, statedMillis) : News.NONE;
+            return limit != null && statedMillis > limit.statedMillis
+                    ? endLimit(targetId, statedMillis)
+                    : LimitChange.NONE;
         }
         if (limit == null) {
             boolean alreadyEnded = statedMillis <= endedMillisByTarget.getOrDefault(targetId, Long.MIN_VALUE);
-            return alreadyEnded ? News.NONE : setLimit(targetId, callsPerSecond.getAsDouble(), statedMillis);
+            return alreadyEnded ? LimitChange.NONE : setLimit(targetId, callsPerSecond.getAsDouble(), statedMillis);
         }
         limit.lastReportMillis = clockMillis.getAsLong();
         return statedMillis > limit.statedMillis
                 ? setLimit(targetId, callsPerSecond.getAsDouble(), statedMillis)
-                : News.NONE;
+                : LimitChange.NONE;
     }
 
-    private News setLimit(String targetId, double callsPerSecond, long statedMillis) {
+    private LimitChange setLimit(String targetId, double callsPerSecond, long statedMillis) {
         long nowMillis = clockMillis.getAsLong();
         LimitState limit = limits.get(targetId);
         if (limit == null) {
             TokenBucket unused = TokenBucket.empty(BURST_MILLIS, MIN_BURST_CALLS, nowMillis);
             limits.put(targetId, new LimitState(unused, callsPerSecond, statedMillis, nowMillis));
-            return News.NAMED;
+            return LimitChange.NAMED;
         }
         double before = limit.callsPerSecond;
         limit.callsPerSecond = callsPerSecond;
         limit.statedMillis = statedMillis;
         limit.lastReportMillis = nowMillis;
-        return before == callsPerSecond ? News.NONE : News.CHANGED;
+        return before == callsPerSecond ? LimitChange.NONE : LimitChange.CHANGED;
     }
 
-    private News endLimit(String targetId, long atMillis) {
+    private LimitChange endLimit(String targetId, long atMillis) {
         limits.remove(targetId);
         endedMillisByTarget.put(targetId, atMillis);
-        return News.ENDED;
+        return LimitChange.ENDED;
     }
 
     /**
@@ -134,7 +136,7 @@
      *
      * @return the ids of the targets whose limits were removed
      */
-    public List<String> lapse() {
+    public List<String> expire() {
         long oldestMillis = clockMillis.getAsLong() - REPORT_TTL_MILLIS;
         endedMillisByTarget.values().removeIf(atMillis -> atMillis < oldestMillis);
         List<String> expired = new ArrayList<>();
@@ -153,7 +155,7 @@
      *
      * @return the known limits by target id
      */
-    public Map<String, StatedLimit> kept() {
+    public Map<String, StatedLimit> heldLimits() {
         Map<String, StatedLimit> held = new HashMap<>();
         limits.forEach((id, limit) -> {
             if (shares.isShareHolder(id, limit.callsPerSecond)) {
@@ -169,7 +171,7 @@
      * @param targetId the target's id, not null
      * @return whether a limit stated by the target is in force
      */
-    public boolean isLimited(String targetId) {
+    public boolean isRateLimited(String targetId) {
         return limits.containsKey(targetId);
     }
 
@@ -178,7 +180,7 @@
      *
      * @return the number over all services
      */
-    public int count() {
+    public int limitedCount() {
         return limits.size();
     }
 
@@ -188,7 +190,7 @@
      * @param targetId the target's id, not null
      * @return false if the target is rate-limited and this instance has no share or has used it up
      */
-    public boolean hasRoom(String targetId) {
+    public boolean hasCapacity(String targetId) {
         LimitState limit = limits.get(targetId);
         return limit == null || refreshedBucket(targetId, limit).canTake(1, clockMillis.getAsLong());
     }
@@ -198,8 +200,8 @@
      *
      * @return the sorted ids of the targets that are rate-limited and have no capacity for this instance
      */
-    public List<String> usedUp() {
-        return limits.keySet().stream().filter(id -> !hasRoom(id)).sorted().toList();
+    public List<String> exhaustedTargetIds() {
+        return limits.keySet().stream().filter(id -> !hasCapacity(id)).sorted().toList();
     }
 
     /**
@@ -208,7 +210,7 @@
      * @param targetId the target's id, not null
      * @return whether the call may be sent
      */
-    public boolean take(String targetId) {
+    public boolean tryTake(String targetId) {
         LimitState limit = limits.get(targetId);
         if (limit == null) {
             return true;
@@ -228,14 +230,14 @@
      * @param targetId the target's id, not null
      * @return the time from now in milliseconds; zero if a call may be sent at once
      */
-    public long roomMillis(String targetId) {
+    public long millisUntilCapacity(String targetId) {
         LimitState limit = limits.get(targetId);
         if (limit == null) {
             return 0;
         }
         long nowMillis = clockMillis.getAsLong();
         TokenBucket bucket = refreshedBucket(targetId, limit);
-        return shares.perSecond(targetId, limit.callsPerSecond) > 0
+        return shares.sharePerSecond(targetId, limit.callsPerSecond) > 0
                 ? bucket.millisUntil(1, nowMillis)
                 : Math.round(MILLIS_PER_SECOND / Math.max(limit.callsPerSecond, 1 / MILLIS_PER_SECOND));
     }
@@ -245,23 +247,23 @@
      *
      * @param targetId the target's id, not null
      */
-    public void forget(String targetId) {
+    public void remove(String targetId) {
         limits.remove(targetId);
         endedMillisByTarget.remove(targetId);
     }
 
     private TokenBucket refreshedBucket(String targetId, LimitState limit) {
-        limit.bucket.setRate(shares.perSecond(targetId, limit.callsPerSecond), clockMillis.getAsLong());
+        limit.bucket.setRate(shares.sharePerSecond(targetId, limit.callsPerSecond), clockMillis.getAsLong());
         return limit.bucket;
     }
 
     /**
      * A rate limit as stated by its target.
      *
-     * @param perSecond the calls per second that the target accepts from all instances together
+     * @param callsPerSecond the calls per second that the target accepts from all instances together
      * @param statedMillis time of the statement, in monotonic milliseconds of this instance
      */
-    public record StatedLimit(double perSecond, long statedMillis) {}
+    public record StatedLimit(double callsPerSecond, long statedMillis) {}
 
     private static final class LimitState {
 
--- a/src/main/java/org/dogwoodwinch/peer/Succession.java
+++ b/src/main/java/org/dogwoodwinch/peer/Succession.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
-import org.dogwoodwinch.forwarding.Rendezvous;
+import org.dogwoodwinch.forwarding.RendezvousHash;
 
 /**
  * The order in which the instances of a data centre take over what one of them does for all. All of them work it out
@@ -99,13 +99,13 @@
      * @return whether no other one ranks higher for the thing
      */
     public boolean fallsToOwn(String key, Collection<String> names) {
-        double own = Rendezvous.score(key, ownName);
-        return names.stream().noneMatch(name -> !name.equals(ownName) && Rendezvous.score(key, name) > own);
+        double own = RendezvousHash.score(key, ownName);
+        return names.stream().noneMatch(name -> !name.equals(ownName) && RendezvousHash.score(key, name) > own);
     }
 
     /** The greatest stands first. */
     private Comparator<String> order(String where) {
         return Comparator.<String>comparingDouble(name -> linksMbps.getOrDefault(name, 0.0))
-                .thenComparingDouble(name -> Rendezvous.score(where, name));
+                .thenComparingDouble(name -> RendezvousHash.score(where, name));
     }
 }
--- a/src/main/java/org/dogwoodwinch/platform/ConfigurationDecoder.java
+++ b/src/main/java/org/dogwoodwinch/platform/ConfigurationDecoder.java
@@ -101,7 +101,7 @@
     }
 
     private static CallerLimits limits(JsonNode limits) {
-        CallerLimits otherwise = CallerLimits.INITIAL;
+        CallerLimits otherwise = CallerLimits.DEFAULT;
         return new CallerLimits(
                 limits.path("maxHeaderBytes").asInt(otherwise.maxHeaderBytes()),
                 limits.path("maxBodyBytes").asInt(otherwise.maxBodyBytes()),
--- a/src/main/java/org/dogwoodwinch/platform/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/EngineClient.java
@@ -241,11 +241,11 @@
         try {
             JsonNode root = JsonTrees.read(answered.body().toByteArray());
             long bornMillis = TargetEntryDecoder.born(root);
-            if (bornMillis != 0 && engine.bornMillis() != 0 && bornMillis != engine.bornMillis()) {
+            if (bornMillis != 0 && engine.startedMillis() != 0 && bornMillis != engine.startedMillis()) {
                 LogEvent.of("engine_of_another_start")
                         .with("target", engine.id())
                         .with("bornMillis", bornMillis)
-                        .with("knownMillis", engine.bornMillis())
+                        .with("knownMillis", engine.startedMillis())
                         .info(log);
                 return Optional.empty();
             }
--- a/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
+++ b/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
@@ -16,7 +16,7 @@
 import java.util.TreeSet;
 import java.util.regex.Pattern;
 import org.dogwoodwinch.forwarding.Prompt;
-import org.dogwoodwinch.forwarding.PromptPart;
+import org.dogwoodwinch.forwarding.PromptSegment;
 import org.dogwoodwinch.relay.AnswerFacts;
 import org.dogwoodwinch.relay.CallFacts;
 import org.dogwoodwinch.relay.CallHeaders;
@@ -143,8 +143,8 @@
         return Optional.of(new Prompt(model, input, output, parts(headers.get(HeaderNames.PROMPT_PARTS))));
     }
 
-    private static List<PromptPart> parts(String text) {
-        List<PromptPart> parts = new ArrayList<>();
+    private static List<PromptSegment> parts(String text) {
+        List<PromptSegment> parts = new ArrayList<>();
         if (text == null) {
             return parts;
         }
@@ -152,7 +152,7 @@
             int colon = entry.indexOf(':');
             if (colon > 0) {
                 int tokens = (int) number(entry.substring(colon + 1).strip()).orElse(0);
-                parts.add(new PromptPart(entry.substring(0, colon).strip().toLowerCase(Locale.ROOT), tokens));
+                parts.add(new PromptSegment(entry.substring(0, colon).strip().toLowerCase(Locale.ROOT), tokens));
             }
         }
         return parts;
--- a/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.PartIndex;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.time.TimeSource;
 import org.slf4j.Logger;
@@ -40,7 +40,7 @@
     private static final int MOST_DOUBLINGS = 10;
 
     private final EngineControl control;
-    private final PartIndex parts;
+    private final KvCacheIndex parts;
     private final Supplier<List<Incarnation>> engines;
     private final Predicate<String> ownDuty;
     private final CacheListener listener;
@@ -62,7 +62,7 @@
      */
     public CacheWatch(
             EngineControl control,
-            PartIndex parts,
+            KvCacheIndex parts,
             Supplier<List<Incarnation>> engines,
             Predicate<String> ownDuty,
             CacheListener listener,
@@ -99,21 +99,21 @@
             }
             return gone;
         });
-        parts.retain(ids);
+        parts.retainEngines(ids);
         time.schedule(roundMillis, this::round);
     }
 
     private void ask(Incarnation engine) {
         Reading reading = readings.get(engine.id());
-        if (reading != null && reading.bornMillis != engine.bornMillis()) {
+        if (reading != null && reading.bornMillis != engine.startedMillis()) {
             // What an earlier start said, or still says, is of no use; nor is the number it was asked up to.
             readings.remove(engine.id());
-            parts.forget(engine.id());
+            parts.removeEngine(engine.id());
             listener.listed(engine.id());
             reading = null;
         }
         if (reading == null) {
-            reading = new Reading(engine.bornMillis());
+            reading = new Reading(engine.startedMillis());
             readings.put(engine.id(), reading);
         }
         ask(engine, reading);
@@ -147,13 +147,13 @@
 
     private void take(Incarnation engine, Reading reading, CacheChanges told) {
         if (reading.epoch.isPresent() && !reading.epoch.get().equals(told.epoch())) {
-            parts.forget(engine.id());
+            parts.removeEngine(engine.id());
             listener.listed(engine.id());
         }
         reading.epoch = Optional.of(told.epoch());
         reading.nextNumber = told.nextNumber();
         for (CacheChanges.CacheChange change : told.changes()) {
-            parts.kept(engine.id(), change.partId(), change.keptTokens());
+            parts.setCachedTokens(engine.id(), change.partId(), change.keptTokens());
             listener.changed(engine.id(), change.partId(), change.keptTokens());
         }
         if (told.gap() && time.monotonicMillis() >= reading.listAtMillis) {
@@ -178,10 +178,10 @@
     }
 
     private void takeList(String engineId, Reading reading, CacheList told) {
-        parts.forget(engineId);
+        parts.removeEngine(engineId);
         reading.epoch = Optional.of(told.epoch());
         reading.nextNumber = told.nextNumber();
-        told.parts().forEach(part -> parts.kept(engineId, part.partId(), part.keptTokens()));
+        told.parts().forEach(part -> parts.setCachedTokens(engineId, part.partId(), part.keptTokens()));
         listener.listed(engineId);
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dogwoodwinch.forwarding.CallProgress;
-import org.dogwoodwinch.forwarding.ChoiceQuery;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.NextStep;
-import org.dogwoodwinch.forwarding.Plan;
 import org.dogwoodwinch.forwarding.Prompt;
 import org.dogwoodwinch.forwarding.RouteKind;
 import org.dogwoodwinch.forwarding.SendOutcome;
 import org.dogwoodwinch.forwarding.ServiceEntry;
 import org.dogwoodwinch.forwarding.ServiceRoute;
+import org.dogwoodwinch.forwarding.TargetQuery;
 import org.dogwoodwinch.time.Cancellable;
 
 /**
@@ -48,7 +48,7 @@
     private final Set<String> triedIds = new HashSet<>();
     private State state = State.SENDING;
     private Cancellable limit;
-    private Plan plan;
+    private ForwardingPlan plan;
     private TargetConnection connection;
     private Optional<SendAccount> account = Optional.empty();
     private ReceivedAnswer answer;
@@ -97,7 +97,7 @@
     void start() {
         parts.budget().countRequest(service.name(), nowMillis());
         // Once a call: seen again with each send, its own last part would pass for a session's.
-        facts.prompt().ifPresent(parts.parts().shared()::saw);
+        facts.prompt().ifPresent(parts.parts().sharedSegments()::recordPrompt);
         if (parts.suspicions().quarantined(fingerprint)) {
             parts.report().quarantined(this);
             OwnAnswers.refuse(
@@ -178,28 +178,28 @@
     }
 
     private long objectiveLeftMillis() {
-        return route.targetLatencyMillis() <= 0
+        return route.latencyObjectiveMillis() <= 0
                 ? Long.MAX_VALUE
-                : call.arrivalMillis() + route.targetLatencyMillis() - nowMillis();
+                : call.arrivalMillis() + route.latencyObjectiveMillis() - nowMillis();
     }
 
-    private ChoiceQuery query() {
+    private TargetQuery query() {
         return query(triedIds);
     }
 
-    private ChoiceQuery query(Set<String> avoided) {
-        return new ChoiceQuery(
+    private TargetQuery query(Set<String> avoided) {
+        return new TargetQuery(
                 service,
                 facts.prompt(),
-                route.urgency(),
+                route.priority(),
                 objectiveLeftMillis(),
-                route.gapAimMillis(),
+                route.maxEventGapMillis(),
                 avoided,
                 !readApart);
     }
 
     /** A suspect is kept away from other suspects; where it has no other place, it runs beside them. */
-    private Optional<Plan> choose() {
+    private Optional<ForwardingPlan> choose() {
         Set<String> suspectsTargets = parts.suspicions().avoided(fingerprint);
         if (suspectsTargets.isEmpty()) {
             return parts.chooser().choose(query());
@@ -210,14 +210,14 @@
     }
 
     private void attempt() {
-        Optional<Plan> chosen = choose();
+        Optional<ForwardingPlan> chosen = choose();
         if (chosen.isEmpty()) {
             noTarget();
             return;
         }
         plan = chosen.get();
-        if (plan.prefill().isPresent()) {
-            readPrompt(plan.prefill().get());
+        if (plan.prefillTarget().isPresent()) {
+            readPrompt(plan.prefillTarget().get());
         } else {
             connect();
         }
@@ -225,7 +225,7 @@
 
     private void noTarget() {
         parts.report().noTarget(this);
-        long roomMillis = parts.chooser().roomMillis(query());
+        long roomMillis = parts.chooser().millisUntilCapacity(query());
         follow(new SendOutcome.NotSent("no_target"), parts.retryPolicy().giveUp(progress(), roomMillis));
     }
 
@@ -233,7 +233,7 @@
     private void readPrompt(Incarnation reader) {
         readApart = true;
         PromptReading started = new PromptReading(
-                parts, service, reader, facts.prompt().orElseThrow(), plan.reading(), this::promptWasRead);
+                parts, service, reader, facts.prompt().orElseThrow(), plan.prefillWork(), this::promptWasRead);
         reading = Optional.of(started);
         started.start(call.arrivalMillis(), () -> outbound(reader, true));
     }
@@ -262,12 +262,13 @@
     }
 
     private void runElsewhere(Incarnation reader) {
-        Optional<Incarnation> runner = parts.chooser().chooseRunner(query(), reader);
+        Optional<Incarnation> runner = parts.chooser().chooseDecodeTarget(query(), reader);
         if (runner.isEmpty()) {
             noTarget();
             return;
         }
-        plan = new Plan(runner.get(), Optional.empty(), plan.reading().done());
+        plan = new ForwardingPlan(
+                runner.get(), Optional.empty(), plan.prefillWork().withoutPrefill());
         connect();
     }
 
@@ -280,8 +281,8 @@
     private void readingFailed(Incarnation reader, String reason) {
         rejectionsCount++;
         triedIds.add(reader.id());
-        SendOutcome outcome = new SendOutcome.NotRead(reason);
-        NextStep step = parts.retryPolicy().after(outcome, progress(), this::takeRepeat);
+        SendOutcome outcome = new SendOutcome.NotPrefilled(reason);
+        NextStep step = parts.retryPolicy().nextStep(outcome, progress(), this::takeRepeat);
         parts.report().promptNotRead(this, reader, reason, step, budgetLeft());
         follow(outcome, step);
     }
@@ -312,7 +313,7 @@
             limitReached();
             return;
         }
-        if (!parts.chooser().serves(plan.target())) {
+        if (!parts.chooser().isCurrent(plan.target())) {
             parts.connections().giveBack(taken);
             parts.report().leftBeforeSend(requestId(), plan.target());
             chooseAgain();
@@ -322,9 +323,9 @@
         triedIds.add(plan.target().id());
         answer = null;
         Optional<Prompt> unread = memory.isPresent() ? Optional.empty() : facts.prompt();
-        SendAccount opened = SendAccount.begin(parts, plan.target(), unread, plan.reading());
+        SendAccount opened = SendAccount.begin(parts, plan.target(), unread, plan.prefillWork());
         account = Optional.of(opened);
-        parts.report().sent(requestId(), plan.target(), plan.reading(), opened.aheadTokens(), purpose());
+        parts.report().sent(requestId(), plan.target(), plan.prefillWork(), opened.aheadTokens(), purpose());
         parts.suspicions().sending(fingerprint, requestId(), plan.target().id());
         OutboundCall outbound = outbound(plan.target(), false);
         // A handle can be taken once.
@@ -349,10 +350,10 @@
         SendFacts sending = new SendFacts(
                 target,
                 Math.max(1, remainingMillis()),
-                facts.prompt().map(_prompt -> plan.reading().level()),
+                facts.prompt().map(_prompt -> plan.prefillWork().level()),
                 prefillOnly,
                 memory,
-                plan.reading().keeper(),
+                plan.prefillWork().cacheSource(),
                 events.lastEventId());
         HttpHeaders headers = parts.callHeaders().forSend(call.headers(), sending);
         return new OutboundCall(requestId(), call.method(), call.uri(), headers, call.body(), call.framed());
@@ -473,24 +474,24 @@
             runsCount++;
         }
         events.dropPartial();
-        NextStep step = parts.retryPolicy().after(outcome, progress(), this::takeRepeat);
+        NextStep step = parts.retryPolicy().nextStep(outcome, progress(), this::takeRepeat);
         parts.report().sendFailed(this, outcome, step, budgetLeft());
         follow(outcome, step);
     }
 
     private boolean takeRepeat() {
-        boolean taken = parts.budget().takeRepeat(service.name(), nowMillis());
+        boolean taken = parts.budget().tryTakeRetry(service.name(), nowMillis());
         parts.report().repeat(service.name(), taken ? RelayReport.Repeat.TAKEN : RelayReport.Repeat.NOT_GRANTED);
         return taken;
     }
 
     private double budgetLeft() {
-        return parts.budget().left(service.name(), nowMillis());
+        return parts.budget().remaining(service.name(), nowMillis());
     }
 
     private CallProgress progress() {
         return new CallProgress(
-                route.idempotent(),
+                route.isIdempotent(),
                 runsCount,
                 rejectionsCount,
                 failedConnectsCount,
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -11,9 +11,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.dogwoodwinch.forwarding.CallerLimits;
 import org.dogwoodwinch.forwarding.EngineTraits;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.PartIndex;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.PrefillRates;
 import org.dogwoodwinch.forwarding.RetryBudget;
 import org.dogwoodwinch.forwarding.RetryPolicy;
 import org.dogwoodwinch.forwarding.RouteTable;
@@ -21,7 +21,7 @@
 import org.dogwoodwinch.forwarding.ServiceRoute;
 import org.dogwoodwinch.forwarding.TargetChooser;
 import org.dogwoodwinch.forwarding.TargetHealth;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.net.Transport;
 import org.dogwoodwinch.request.Quarantine;
@@ -84,7 +84,7 @@
                         callHeaders,
                         time,
                         policy,
-                        decisions.limits()::take,
+                        decisions.limits()::tryTake,
                         metrics::connectionOpened,
                         this::targetUnreachable),
                 decisions.chooser(),
@@ -120,14 +120,14 @@
      */
     public record Decisions(
             TargetChooser chooser,
-            LoadBook loads,
-            PartIndex parts,
-            ReadRates rates,
+            LoadTracker loads,
+            KvCacheIndex parts,
+            PrefillRates rates,
             RetryPolicy retryPolicy,
             RetryBudget budget,
             Quarantine quarantine,
             TargetHealth health,
-            TargetLimits limits,
+            TargetRateLimits limits,
             StatedLimits statedLimits,
             BreakOffs breakOffs,
             IntSupplier sharersCount) {}
@@ -231,7 +231,7 @@
     public long switchMillis(String serviceName) {
         return table.flatMap(current -> current.service(serviceName))
                 .flatMap(ServiceEntry::engine)
-                .map(EngineTraits::switchMillis)
+                .map(EngineTraits::stageChangeMillis)
                 .orElse(0L);
     }
 
@@ -261,7 +261,7 @@
      * @param targetId its id, not null
      */
     public void targetChangedStage(String targetId) {
-        health.back(targetId);
+        health.endStageChange(targetId);
     }
 
     /**
@@ -276,11 +276,11 @@
     public void targetStartedAgain(String targetId) {
         targetFoundGone(targetId);
         forgetTarget(targetId);
-        parts.parts().forget(targetId);
+        parts.parts().removeEngine(targetId);
     }
 
     private void targetUnreachable(String targetId) {
-        report.unreachable(targetId, health.unreachable(targetId), "connect_failed");
+        report.unreachable(targetId, health.recordUnreachable(targetId), "connect_failed");
         parts.suspicions().foundGone(targetId);
     }
 
@@ -343,7 +343,7 @@
 
     @Override
     public CallerLimits limits() {
-        return table.map(RouteTable::limits).orElse(CallerLimits.INITIAL);
+        return table.map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
     }
 
     @Override
@@ -371,7 +371,7 @@
             return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "no configuration yet");
         }
         RouteTable current = table.get();
-        Optional<ServiceRoute> route = current.find(call.headers().get("host"), call.uri());
+        Optional<ServiceRoute> route = current.findRoute(call.headers().get("host"), call.uri());
         if (route.isEmpty()) {
             return refuse(facts, caller, onDone, OwnAnswers.NOT_FOUND, "no route");
         }
--- a/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 import java.util.Objects;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.NextStep;
-import org.dogwoodwinch.forwarding.Plan;
 import org.dogwoodwinch.forwarding.SendOutcome;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.dogwoodwinch.logging.LogEvent;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -17,9 +17,9 @@
     private static final Logger log = LoggerFactory.getLogger(LoggingReport.class);
 
     private final ForwardingMetrics metrics;
-    private final TargetLimits limits;
+    private final TargetRateLimits limits;
 
-    LoggingReport(ForwardingMetrics metrics, TargetLimits limits) {
+    LoggingReport(ForwardingMetrics metrics, TargetRateLimits limits) {
         this.limits = Objects.requireNonNull(limits, "limits");
         this.metrics = Objects.requireNonNull(metrics, "metrics");
     }
@@ -43,7 +43,9 @@
     @Override
     public void noTarget(CallRelay call) {
         metrics.refused(OwnAnswers.UNAVAILABLE, "no_target");
-        about("no_target", call).with("limitUsedUp", limits.usedUp()).info(log);
+        about("no_target", call)
+                .with("limitUsedUp", limits.exhaustedTargetIds())
+                .info(log);
     }
 
     @Override
@@ -95,19 +97,23 @@
 
     @Override
     public void sent(
-            String requestId, Incarnation target, Plan.Reading reading, long aheadTokens, SendPurpose purpose) {
-        metrics.sent(lower(purpose), limits.isLimited(target.id()));
+            String requestId,
+            Incarnation target,
+            ForwardingPlan.PrefillWork reading,
+            long aheadTokens,
+            SendPurpose purpose) {
+        metrics.sent(lower(purpose), limits.isRateLimited(target.id()));
         if (log.isDebugEnabled()) {
             LogEvent.of("call_sent")
                     .with("request", requestId)
                     .with("target", target.id())
                     .with("stage", target.stage())
                     .with("level", reading.level())
-                    .with("unreadTokens", reading.unreadTokens())
+                    .with("unreadTokens", reading.prefillTokens())
                     .with("aheadTokens", aheadTokens)
-                    .with("keeper", reading.keeper().map(Incarnation::id).orElse(""))
+                    .with("keeper", reading.cacheSource().map(Incarnation::id).orElse(""))
                     .with("purpose", lower(purpose))
-                    .with("limitUsedUp", limits.usedUp())
+                    .with("limitUsedUp", limits.exhaustedTargetIds())
                     .debug(log);
         }
     }
@@ -117,7 +123,7 @@
         LogEvent.of("target_left_before_send")
                 .with("request", requestId)
                 .with("target", target.id())
-                .with("bornMillis", target.bornMillis())
+                .with("bornMillis", target.startedMillis())
                 .info(log);
     }
 
@@ -164,7 +170,7 @@
         if (outcome instanceof SendOutcome.NotSent) {
             return "not_sent";
         }
-        if (outcome instanceof SendOutcome.Rejected || outcome instanceof SendOutcome.NotRead) {
+        if (outcome instanceof SendOutcome.Rejected || outcome instanceof SendOutcome.NotPrefilled) {
             return "not_run";
         }
         return outcome instanceof SendOutcome.Unknown ? "unknown" : "ran";
@@ -174,7 +180,7 @@
         if (outcome instanceof SendOutcome.NotSent notSent) {
             return notSent.reason();
         }
-        if (outcome instanceof SendOutcome.NotRead notRead) {
+        if (outcome instanceof SendOutcome.NotPrefilled notRead) {
             return notRead.reason();
         }
         if (outcome instanceof SendOutcome.Unknown unknown) {
--- a/src/main/java/org/dogwoodwinch/relay/PromptReading.java
+++ b/src/main/java/org/dogwoodwinch/relay/PromptReading.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.dogwoodwinch.bytes.Bytes;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.Plan;
 import org.dogwoodwinch.forwarding.Prompt;
 import org.dogwoodwinch.forwarding.ServiceEntry;
 
@@ -26,7 +26,7 @@
     private final ServiceEntry service;
     private final Incarnation reader;
     private final Prompt prompt;
-    private final Plan.Reading reading;
+    private final ForwardingPlan.PrefillWork reading;
     private final Consumer<ReadingOutcome> onEnd;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<TargetConnection> connection = Optional.empty();
@@ -49,7 +49,7 @@
             ServiceEntry service,
             Incarnation reader,
             Prompt prompt,
-            Plan.Reading reading,
+            ForwardingPlan.PrefillWork reading,
             Consumer<ReadingOutcome> onEnd) {
         this.parts = Objects.requireNonNull(parts, "parts");
         this.service = Objects.requireNonNull(service, "service");
@@ -89,7 +89,7 @@
             return;
         }
         OutboundCall outbound = call.get();
-        if (!parts.chooser().serves(reader)) {
+        if (!parts.chooser().isCurrent(reader)) {
             parts.connections().giveBack(taken);
             parts.report().leftBeforeSend(outbound.requestId(), reader);
             end(new ReadingOutcome.NotSent("target_left"));
--- a/src/main/java/org/dogwoodwinch/relay/RelayParts.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayParts.java
@@ -5,9 +5,9 @@
 import java.util.Objects;
 import java.util.function.IntSupplier;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.PartIndex;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.PrefillRates;
 import org.dogwoodwinch.forwarding.RetryBudget;
 import org.dogwoodwinch.forwarding.RetryPolicy;
 import org.dogwoodwinch.forwarding.ServiceEntry;
@@ -41,9 +41,9 @@
         TargetConnections connections,
         TargetChooser chooser,
         EngineControl control,
-        LoadBook loads,
-        PartIndex parts,
-        ReadRates rates,
+        LoadTracker loads,
+        KvCacheIndex parts,
+        PrefillRates rates,
         RetryPolicy retryPolicy,
         RetryBudget budget,
         Suspicions suspicions,
@@ -103,7 +103,7 @@
     /** A target answered: at this address is the one that was meant, or it is not. */
     void answered(String targetId, boolean otherTargets) {
         if (otherTargets) {
-            report.unreachable(targetId, health.unreachable(targetId), "other_target_answers");
+            report.unreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
         } else {
             breakOffs.answered(targetId);
         }
--- a/src/main/java/org/dogwoodwinch/relay/RelayReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayReport.java
@@ -1,8 +1,8 @@
 package org.dogwoodwinch.relay;
 
+import org.dogwoodwinch.forwarding.ForwardingPlan;
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.NextStep;
-import org.dogwoodwinch.forwarding.Plan;
 import org.dogwoodwinch.forwarding.SendOutcome;
 
 /** Hears every decision about a call, to count and to log it. */
@@ -39,7 +39,12 @@
     void limitReached(CallRelay call, boolean mayHaveRun);
 
     /** A call or the reading of its prompt goes to a target. */
-    void sent(String requestId, Incarnation target, Plan.Reading reading, long aheadTokens, SendPurpose purpose);
+    void sent(
+            String requestId,
+            Incarnation target,
+            ForwardingPlan.PrefillWork reading,
+            long aheadTokens,
+            SendPurpose purpose);
 
     /** The first byte of a streamed answer goes to the caller. */
     void firstByte(CallRelay call);
--- a/src/main/java/org/dogwoodwinch/relay/SendAccount.java
+++ b/src/main/java/org/dogwoodwinch/relay/SendAccount.java
@@ -2,8 +2,8 @@
 
 import java.util.Objects;
 import java.util.Optional;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.Plan;
 import org.dogwoodwinch.forwarding.Prompt;
 
 /** What one send puts on a target, from its first byte until its prompt is read and until it ends. */
@@ -12,20 +12,21 @@
     private final RelayParts parts;
     private final Incarnation target;
     private final Optional<Prompt> prompt;
-    private final Plan.Reading reading;
+    private final ForwardingPlan.PrefillWork reading;
     private final long aheadTokens;
     private final long sentMillis;
     private boolean unread = true;
     private boolean open = true;
 
-    private SendAccount(RelayParts parts, Incarnation target, Optional<Prompt> prompt, Plan.Reading reading) {
+    private SendAccount(
+            RelayParts parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
         this.parts = parts;
         this.target = target;
         this.prompt = prompt;
         this.reading = reading;
-        this.aheadTokens = parts.loads().at(target.id()).unread().aheadOf(reading.level());
+        this.aheadTokens = parts.loads().totalAt(target.id()).prefillQueue().tokensAheadOf(reading.level());
         this.sentMillis = parts.time().monotonicMillis();
-        parts.loads().sent(target.id(), reading.level(), reading.unreadTokens());
+        parts.loads().recordSend(target.id(), reading.level(), reading.prefillTokens());
     }
 
     /**
@@ -37,7 +38,8 @@
      * @param reading how it is read, not null
      * @return the account
      */
-    static SendAccount begin(RelayParts parts, Incarnation target, Optional<Prompt> prompt, Plan.Reading reading) {
+    static SendAccount begin(
+            RelayParts parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
         Objects.requireNonNull(target, "target");
         return new SendAccount(parts, target, prompt, reading);
     }
@@ -67,8 +69,8 @@
         settlePrompt();
         prompt.ifPresent(read -> {
             long millis = ageMillis();
-            parts.rates().observe(target.service(), target.stage(), aheadTokens + reading.unreadTokens(), millis);
-            parts.parts().read(target.id(), read);
+            parts.rates().observe(target.service(), target.stage(), aheadTokens + reading.prefillTokens(), millis);
+            parts.parts().recordPrefill(target.id(), read);
         });
     }
 
@@ -79,13 +81,13 @@
         }
         open = false;
         settlePrompt();
-        parts.loads().ended(target.id());
+        parts.loads().recordEnd(target.id());
     }
 
     private void settlePrompt() {
         if (unread) {
             unread = false;
-            parts.loads().read(target.id(), reading.level(), reading.unreadTokens());
+            parts.loads().recordPrefill(target.id(), reading.level(), reading.prefillTokens());
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/Suspicions.java
+++ b/src/main/java/org/dogwoodwinch/relay/Suspicions.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Objects;
 import java.util.Set;
-import org.dogwoodwinch.forwarding.CrashEvidence;
-import org.dogwoodwinch.forwarding.CrashEvidence.LostCall;
+import org.dogwoodwinch.forwarding.CrashCorrelator;
+import org.dogwoodwinch.forwarding.CrashCorrelator.LostCall;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.request.Quarantine;
 import org.dogwoodwinch.request.Quarantine.Status;
@@ -31,7 +31,7 @@
 
     private final Quarantine quarantine;
     private final TimeSource time;
-    private final CrashEvidence evidence = new CrashEvidence(EVIDENCE_MILLIS);
+    private final CrashCorrelator evidence = new CrashCorrelator(EVIDENCE_MILLIS);
 
     Suspicions(Quarantine quarantine, TimeSource time) {
         this.quarantine = Objects.requireNonNull(quarantine, "quarantine");
@@ -70,11 +70,11 @@
     void lost(long fingerprint, String attemptId, String targetId) {
         long nowMillis = time.monotonicMillis();
         evidence.expire(nowMillis);
-        evidence.lost(targetId, new LostCall(fingerprint, attemptId, nowMillis));
+        evidence.recordLostCall(targetId, new LostCall(fingerprint, attemptId, nowMillis));
     }
 
     void foundGone(String targetId) {
-        for (LostCall call : evidence.foundGone(targetId, time.monotonicMillis())) {
+        for (LostCall call : evidence.takeCrashedCalls(targetId, time.monotonicMillis())) {
             quarantine.onCrash(call.fingerprint(), call.attemptId(), targetId);
             LogEvent.of("crash_suspect")
                     .with("request", call.attemptId())
--- a/src/test/java/org/dogwoodwinch/architecture/PlatformRoomTest.java
+++ b/src/test/java/org/dogwoodwinch/architecture/PlatformRoomTest.java
@@ -38,7 +38,7 @@
             .resideInAPackage("..dogwoodwinch.platform..")
             .should()
             .dependOnClassesThat()
-            .haveNameMatching(".*\\.(RetryPolicy|RetryBudget|TargetChooser|LoadBook|StreamFollower|TimeSource)")
+            .haveNameMatching(".*\\.(RetryPolicy|RetryBudget|TargetChooser|LoadTracker|StreamFollower|TimeSource)")
             .orShould()
             .dependOnClassesThat()
             .resideInAnyPackage(
--- a/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
@@ -75,13 +75,13 @@
 
         play(HALF_BACK_MILLIS, false);
         int leftOutCount = healths.stream()
-                .mapToInt(health -> TARGETS_COUNT - health.usable(targets).size())
+                .mapToInt(health -> TARGETS_COUNT - health.filterUsable(targets).size())
                 .sum();
         assertTrue(leftOutCount <= MEMBERS_COUNT * BROKEN_COUNT / 2, leftOutCount + " are still left alone");
 
         play(ALL_BACK_MILLIS - HALF_BACK_MILLIS, false);
         for (TargetHealth health : healths) {
-            assertEquals(TARGETS_COUNT, health.usable(targets).size());
+            assertEquals(TARGETS_COUNT, health.filterUsable(targets).size());
         }
     }
 
@@ -93,8 +93,8 @@
         shared.get(0).brokeOff("t3");
         fleet.time.advanceMillis(900);
 
-        assertEquals(TARGETS_COUNT, healths.get(1).usable(targets).size());
-        assertEquals(TARGETS_COUNT - 1, healths.get(2).usable(targets).size());
+        assertEquals(TARGETS_COUNT, healths.get(1).filterUsable(targets).size());
+        assertEquals(TARGETS_COUNT - 1, healths.get(2).filterUsable(targets).size());
     }
 
     /** Calls come one after the other at any instance, and half of them would rather go to a target with nothing to do. */
@@ -102,7 +102,7 @@
         int metCount = 0;
         for (long played = 0; played < forMillis; played += CALL_GAP_MILLIS) {
             int member = random.nextInt(MEMBERS_COUNT);
-            List<Incarnation> usable = healths.get(member).usable(targets);
+            List<Incarnation> usable = healths.get(member).filterUsable(targets);
             List<Incarnation> idle =
                     usable.stream().filter(BrokenTargetsTest::mayBreak).toList();
             List<Incarnation> among = random.nextBoolean() && !idle.isEmpty() ? idle : usable;
--- a/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
@@ -35,11 +35,11 @@
     void allInstancesLeaveAnEngineAloneUntilItIsBack() {
         shared.get(0).tell("e1", 15_000);
         fleet.time.advanceMillis(500);
-        healths.forEach(health -> assertTrue(health.isAway("e1")));
+        healths.forEach(health -> assertTrue(health.isChangingStage("e1")));
 
         shared.get(0).tell("e1", 0);
         fleet.time.advanceMillis(500);
-        healths.forEach(health -> assertFalse(health.isAway("e1")));
+        healths.forEach(health -> assertFalse(health.isChangingStage("e1")));
     }
 
     /** The engine crashed while it changed and is back under its id: a word from before must not leave it idle. */
@@ -50,7 +50,7 @@
         shared.get(0).tell("e1", 15_000);
         fleet.time.advanceMillis(500);
 
-        assertFalse(healths.get(1).isAway("e1"));
-        assertTrue(healths.get(2).isAway("e1"));
+        assertFalse(healths.get(1).isChangingStage("e1"));
+        assertTrue(healths.get(2).isChangingStage("e1"));
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/FullLinkTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/FullLinkTest.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.PartIndex;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
+import org.dogwoodwinch.forwarding.LoadTracker;
 import org.dogwoodwinch.forwarding.Prompt;
-import org.dogwoodwinch.forwarding.PromptPart;
+import org.dogwoodwinch.forwarding.PromptSegment;
 import org.dogwoodwinch.peer.PeerTopic;
 import org.junit.jupiter.api.Test;
 
@@ -51,9 +51,9 @@
 
     private final RelayFleet fleet = new RelayFleet(centres(), 3);
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(4);
-    private final List<PartIndex> indexes = new ArrayList<>();
+    private final List<KvCacheIndex> indexes = new ArrayList<>();
     private final List<KeptSharing> sharings = new ArrayList<>();
-    private final List<LoadBook> loads = new ArrayList<>();
+    private final List<LoadTracker> loads = new ArrayList<>();
     private final Map<String, Deque<String>> documentsKept = new HashMap<>();
     private final Set<String> keptOnce = new HashSet<>();
     private int callsCount;
@@ -62,8 +62,8 @@
 
     FullLinkTest() {
         for (RelayFleet.Member member : fleet.members) {
-            PartIndex index = new PartIndex();
-            LoadBook book = new LoadBook();
+            KvCacheIndex index = new KvCacheIndex();
+            LoadTracker book = new LoadTracker();
             indexes.add(index);
             loads.add(book);
             sharings.add(new KeptSharing(member.exchange, index, _id -> 0, fleet.time));
@@ -145,17 +145,17 @@
                 COMMON_TOKENS + DOCUMENT_TOKENS + OWN_TOKENS,
                 10,
                 List.of(
-                        new PromptPart(common, COMMON_TOKENS),
-                        new PromptPart(document, DOCUMENT_TOKENS),
-                        new PromptPart(part("e", callsCount), OWN_TOKENS)));
+                        new PromptSegment(common, COMMON_TOKENS),
+                        new PromptSegment(document, DOCUMENT_TOKENS),
+                        new PromptSegment(part("e", callsCount), OWN_TOKENS)));
         callsCount++;
         int member = caller();
-        indexes.get(member).shared().saw(prompt);
-        indexes.get(member).read(engine, prompt);
-        LoadBook book = loads.get(member);
-        book.sent(engine, 0, prompt.inputTokens());
-        fleet.time.schedule(READ_MILLIS, () -> book.read(engine, 0, prompt.inputTokens()));
-        fleet.time.schedule(CALL_MILLIS, () -> book.ended(engine));
+        indexes.get(member).sharedSegments().recordPrompt(prompt);
+        indexes.get(member).recordPrefill(engine, prompt);
+        LoadTracker book = loads.get(member);
+        book.recordSend(engine, 0, prompt.inputTokens());
+        fleet.time.schedule(READ_MILLIS, () -> book.recordPrefill(engine, 0, prompt.inputTokens()));
+        fleet.time.schedule(CALL_MILLIS, () -> book.recordEnd(engine));
         if (keptOnce.add(common)) {
             changed(engine, common, COMMON_TOKENS);
         }
@@ -184,7 +184,7 @@
     private void changed(String engine, String part, int tokens) {
         for (int i = 0; i < fleet.members.size(); i++) {
             if (fleet.members.get(i).exchange.fallsToOwn(engine)) {
-                indexes.get(i).kept(engine, part, tokens);
+                indexes.get(i).setCachedTokens(engine, part, tokens);
                 sharings.get(i).changed(engine, part, tokens);
             }
         }
--- a/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.dogwoodwinch.forwarding.PartIndex;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.forwarding.Prompt;
-import org.dogwoodwinch.forwarding.PromptPart;
+import org.dogwoodwinch.forwarding.PromptSegment;
 import org.junit.jupiter.api.Test;
 
 class KeptSharingTest {
@@ -37,7 +37,7 @@
 
     private final RelayFleet fleet = new RelayFleet(MEMBERS_COUNT, 1, 3);
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(4);
-    private final List<PartIndex> indexes = new ArrayList<>();
+    private final List<KvCacheIndex> indexes = new ArrayList<>();
     private final List<KeptSharing> sharings = new ArrayList<>();
     private final Map<String, Deque<String>> ownKept = new HashMap<>();
     private final Set<Integer> sharedKept = new HashSet<>();
@@ -45,7 +45,7 @@
 
     KeptSharingTest() {
         for (RelayFleet.Member member : fleet.members) {
-            PartIndex index = new PartIndex();
+            KvCacheIndex index = new KvCacheIndex();
             indexes.add(index);
             sharings.add(new KeptSharing(member.exchange, index, _id -> 0, fleet.time));
         }
@@ -81,7 +81,7 @@
             String engine = home(shared);
             Prompt prompt = prompt(shared, "none");
             long knowingCount = indexes.stream()
-                    .filter(index -> index.keptTokens(engine, prompt) >= SHARED_TOKENS)
+                    .filter(index -> index.cachedPrefixTokens(engine, prompt) >= SHARED_TOKENS)
                     .count();
             long wanted = knowingCount == 0 ? 0 : MEMBERS_COUNT;
             assertEquals(wanted, knowingCount, "instances that know where part " + shared + " is kept");
@@ -92,22 +92,22 @@
     @Test
     void afterAStartOfAllASmallFleetKnowsWhatEnginesKeep() {
         RelayFleet small = new RelayFleet(6, 3, 3);
-        List<PartIndex> started = new ArrayList<>();
+        List<KvCacheIndex> started = new ArrayList<>();
         List<KeptSharing> telling = new ArrayList<>();
         for (RelayFleet.Member member : small.members) {
-            PartIndex index = new PartIndex();
+            KvCacheIndex index = new KvCacheIndex();
             started.add(index);
             telling.add(new KeptSharing(member.exchange, index, _id -> 0, small.time));
         }
         small.time.advanceMillis(1_000);
 
-        started.get(0).kept("engine1", "shared1", SHARED_TOKENS);
+        started.get(0).setCachedTokens("engine1", "shared1", SHARED_TOKENS);
         telling.get(0).listed("engine1");
         telling.get(0).changed("engine1", "shared2", SHARED_TOKENS);
         small.time.advanceMillis(1_000);
 
         List<Integer> known = started.stream()
-                .map(index -> index.keptOf("engine1", "shared1"))
+                .map(index -> index.cachedTokens("engine1", "shared1"))
                 .filter(tokens -> tokens >= SHARED_TOKENS)
                 .toList();
         assertEquals(inOneCentre(small), known.size());
@@ -142,15 +142,15 @@
     }
 
     private void sent(int member, String engine, Prompt prompt) {
-        indexes.get(member).shared().saw(prompt);
-        indexes.get(member).read(engine, prompt);
+        indexes.get(member).sharedSegments().recordPrompt(prompt);
+        indexes.get(member).recordPrefill(engine, prompt);
     }
 
     /** The engine tells a change to the instance that watches it. */
     private void changed(String engine, String part, int tokens) {
         for (int i = 0; i < MEMBERS_COUNT; i++) {
             if (fleet.members.get(i).exchange.fallsToOwn(engine)) {
-                indexes.get(i).kept(engine, part, tokens);
+                indexes.get(i).setCachedTokens(engine, part, tokens);
                 sharings.get(i).changed(engine, part, tokens);
             }
         }
@@ -165,6 +165,6 @@
                 "m",
                 SHARED_TOKENS + OWN_TOKENS,
                 10,
-                List.of(new PromptPart("shared" + shared, SHARED_TOKENS), new PromptPart(own, OWN_TOKENS)));
+                List.of(new PromptSegment("shared" + shared, SHARED_TOKENS), new PromptSegment(own, OWN_TOKENS)));
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
@@ -15,9 +15,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.LimitShares;
+import org.dogwoodwinch.forwarding.RateLimitShares;
 import org.dogwoodwinch.forwarding.Stage;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.junit.jupiter.api.Test;
 
 /** Load: many instances that would all rather call one target, which names a limit for all of them together. */
@@ -45,7 +45,7 @@
         instances.get(0).call();
         fleet.time.advanceMillis(STABLE_MILLIS / 3);
 
-        instances.forEach(each -> assertTrue(each.limits.isLimited("t1"), each.member.name));
+        instances.forEach(each -> assertTrue(each.limits.isRateLimited("t1"), each.member.name));
         assertEquals(2, instances.stream().filter(Instance::hasShare).count(), "of two calls a second for all");
     }
 
@@ -122,7 +122,7 @@
         limit = OptionalDouble.empty();
         play(3_000);
 
-        instances.forEach(each -> assertFalse(each.limits.isLimited("t1"), each.member.name));
+        instances.forEach(each -> assertFalse(each.limits.isRateLimited("t1"), each.member.name));
     }
 
     /** An instance that hears nothing for a moment misses the end, and nobody repeats to it what is over. */
@@ -138,10 +138,10 @@
         limit = OptionalDouble.empty();
         play(3_000);
         deaf.member.deaf = false;
-        assertTrue(deaf.limits.isLimited("t1"));
+        assertTrue(deaf.limits.isRateLimited("t1"));
         fleet.time.advanceMillis(12_000);
 
-        assertFalse(deaf.limits.isLimited("t1"));
+        assertFalse(deaf.limits.isRateLimited("t1"));
     }
 
     /** While nobody calls the target, those who have a share of its limit keep the others informed. */
@@ -153,7 +153,7 @@
 
         fleet.time.advanceMillis(60_000);
 
-        instances.forEach(each -> assertTrue(each.limits.isLimited("t1"), each.member.name));
+        instances.forEach(each -> assertTrue(each.limits.isRateLimited("t1"), each.member.name));
     }
 
     @Test
@@ -165,8 +165,8 @@
         instances.get(0).call();
         fleet.time.advanceMillis(1_000);
 
-        assertFalse(instances.get(1).limits.isLimited("t1"));
-        assertTrue(instances.get(2).limits.isLimited("t1"));
+        assertFalse(instances.get(1).limits.isRateLimited("t1"));
+        assertTrue(instances.get(2).limits.isRateLimited("t1"));
     }
 
     private void start(int count) {
@@ -200,15 +200,15 @@
     private final class Instance {
 
         private final RelayFleet.Member member;
-        private final TargetLimits limits;
-        private final LimitShares shares;
+        private final TargetRateLimits limits;
+        private final RateLimitShares shares;
         private final LimitSharing sharing;
         private Optional<Set<String>> countsOn = Optional.of(names());
 
         Instance(RelayFleet.Member member) {
             this.member = member;
-            this.shares = new LimitShares(member.name, () -> countsOn, fleet.time::monotonicMillis);
-            this.limits = new TargetLimits(fleet.time::monotonicMillis, shares);
+            this.shares = new RateLimitShares(member.name, () -> countsOn, fleet.time::monotonicMillis);
+            this.limits = new TargetRateLimits(fleet.time::monotonicMillis, shares);
             this.sharing = new LimitSharing(
                     member.exchange,
                     limits,
@@ -219,12 +219,12 @@
         }
 
         boolean hasShare() {
-            return limit.isPresent() && shares.perSecond("t1", limit.getAsDouble()) > 0;
+            return limit.isPresent() && shares.sharePerSecond("t1", limit.getAsDouble()) > 0;
         }
 
         /** Calls the target if it may; the answer comes at once. */
         void call() {
-            if (limits.take("t1")) {
+            if (limits.tryTake("t1")) {
                 long sentMillis = fleet.time.monotonicMillis();
                 arrivalsMillis.add(sentMillis);
                 OptionalDouble named = limit;
--- a/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
@@ -13,16 +13,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.follow.ConditionalLog;
-import org.dogwoodwinch.forwarding.ChoiceQuery;
 import org.dogwoodwinch.forwarding.EngineTraits;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.LeastLoadedChooser;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.NoLimits;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.NoRateLimits;
 import org.dogwoodwinch.forwarding.OrderLease;
-import org.dogwoodwinch.forwarding.Plan;
-import org.dogwoodwinch.forwarding.ReadQueue;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.PrefillQueue;
+import org.dogwoodwinch.forwarding.PrefillRates;
 import org.dogwoodwinch.forwarding.ServiceEntry;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.forwarding.StagePlanPolicy;
@@ -30,6 +29,7 @@
 import org.dogwoodwinch.forwarding.TargetDirectory;
 import org.dogwoodwinch.forwarding.TargetHealth;
 import org.dogwoodwinch.forwarding.TargetLoad;
+import org.dogwoodwinch.forwarding.TargetQuery;
 import org.dogwoodwinch.relay.OrderOutcome;
 import org.dogwoodwinch.relay.OrderState;
 import org.dogwoodwinch.relay.SilentEngines;
@@ -78,7 +78,8 @@
 
         play(6_000);
 
-        instances.forEach(each -> assertEquals(8, each.directory.ready("s").size()));
+        instances.forEach(
+                each -> assertEquals(8, each.directory.readyTargets("s").size()));
     }
 
     /** The answer is lost, and the engine carries the order out seconds later, when its work counts on it again. */
@@ -107,7 +108,7 @@
                                 instances.get(0).loads,
                                 () -> Set.of("s"),
                                 _service -> SWITCH_MILLIS,
-                                _service -> new StagePlanner(StagePlanPolicy.STANDARD, new ReadRates(30)),
+                                _service -> new StagePlanner(StagePlanPolicy.DEFAULT, new PrefillRates(30)),
                                 () -> true,
                                 () -> engines.changedCount == 0 && engines.orderedAtMillis < 0,
                                 (_record, end) -> CompletableFuture.completedFuture(new ConditionalLog.Written(end)),
@@ -141,8 +142,8 @@
     private final class Instance {
 
         private final TargetHealth health = new TargetHealth(time::monotonicMillis);
-        private final TargetDirectory directory = new TargetDirectory(health, NoLimits.book());
-        private final LoadBook loads = new LoadBook();
+        private final TargetDirectory directory = new TargetDirectory(health, NoRateLimits.create());
+        private final LoadTracker loads = new LoadTracker();
         private final LeastLoadedChooser chooser = new LeastLoadedChooser(directory, loads, random);
         private long nextOffset;
 
@@ -150,13 +151,13 @@
             for (int i = 0; i < 8; i++) {
                 list(engine(i, i < 3 ? Stage.PREFILL : Stage.DECODE));
                 if (i < 3) {
-                    loads.heard("others" + i, Map.of("e" + i, waiting()));
+                    loads.replacePeerLoads("others" + i, Map.of("e" + i, waiting()));
                 }
             }
         }
 
         private TargetLoad waiting() {
-            return new TargetLoad(4, ReadQueue.one(0, 30_000));
+            return new TargetLoad(4, PrefillQueue.ofPrompt(0, 30_000));
         }
 
         void list(Incarnation engine) {
@@ -165,15 +166,15 @@
 
         void away(String engineId, long millis) {
             if (millis > 0) {
-                health.away(engineId, millis);
+                health.startStageChange(engineId, millis);
             } else {
-                health.back(engineId);
+                health.endStageChange(engineId);
             }
         }
 
         void call() {
-            ChoiceQuery query = new ChoiceQuery(service, Optional.empty(), 1, 1_000, 0, Set.of(), true);
-            Optional<Plan> plan = chooser.choose(query);
+            TargetQuery query = new TargetQuery(service, Optional.empty(), 1, 1_000, 0, Set.of(), true);
+            Optional<ForwardingPlan> plan = chooser.choose(query);
             if (plan.isEmpty()) {
                 withoutTargetCount++;
                 return;
@@ -183,8 +184,8 @@
                 rejectedCount++;
                 return;
             }
-            loads.sent(id, 0, 0);
-            time.schedule(RUN_MILLIS, () -> loads.ended(id));
+            loads.recordSend(id, 0, 0);
+            time.schedule(RUN_MILLIS, () -> loads.recordEnd(id));
         }
     }
 
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -15,10 +15,10 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.follow.ConditionalLog;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.NoLimits;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.NoRateLimits;
 import org.dogwoodwinch.forwarding.OrderLease;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.PrefillRates;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.forwarding.StagePlanPolicy;
 import org.dogwoodwinch.forwarding.StagePlanner;
@@ -51,9 +51,9 @@
     /** One instance: it believes that orders fall to it while its switch says so. */
     private final class Giver implements EngineControl {
 
-        private final LoadBook loads = new LoadBook();
+        private final LoadTracker loads = new LoadTracker();
         private final TargetDirectory directory =
-                new TargetDirectory(new TargetHealth(time::monotonicMillis), NoLimits.book());
+                new TargetDirectory(new TargetHealth(time::monotonicMillis), NoRateLimits.create());
         private boolean gives;
         private boolean storeLosesAnswers;
         private long storeMillis = 4;
@@ -67,7 +67,7 @@
                         i,
                         Optional.of(new Incarnation("e" + i, "s", "10.0.0.1", 80, "dc", 24, false, stage, 1)));
                 if (i < 3) {
-                    loads.sent("e" + i, 0, 30_000);
+                    loads.recordSend("e" + i, 0, 30_000);
                 }
             }
             new StageOrders(
@@ -77,7 +77,7 @@
                                     loads,
                                     () -> Set.of("s"),
                                     _service -> 3_000,
-                                    _service -> new StagePlanner(StagePlanPolicy.STANDARD, new ReadRates(30)),
+                                    _service -> new StagePlanner(StagePlanPolicy.DEFAULT, new PrefillRates(30)),
                                     () -> true,
                                     () -> gives,
                                     this::append,
--- a/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
@@ -12,13 +12,13 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.follow.KeyedRecord;
 import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.forwarding.LeastLoadedChooser;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.NoLimits;
-import org.dogwoodwinch.forwarding.PartIndex;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.NoRateLimits;
+import org.dogwoodwinch.forwarding.PrefillRates;
 import org.dogwoodwinch.forwarding.Prompt;
-import org.dogwoodwinch.forwarding.PromptPart;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.PromptSegment;
 import org.dogwoodwinch.forwarding.RetryBudget;
 import org.dogwoodwinch.forwarding.RetryPolicy;
 import org.dogwoodwinch.forwarding.TargetDirectory;
@@ -39,14 +39,14 @@
     private static final long LAPSE_MILLIS = 1_600;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final PartIndex parts = new PartIndex();
-    private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), NoLimits.book());
+    private final KvCacheIndex parts = new KvCacheIndex();
+    private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), NoRateLimits.create());
     private final TargetsReader reader = new TargetsReader(
             directory, service(), new ForwardingMetrics(new PrometheusRegistry()), time, LAPSE_MILLIS);
     private long offset;
 
     private ForwardingService service() {
-        LoadBook loads = new LoadBook();
+        LoadTracker loads = new LoadTracker();
         return new ForwardingService(
                 (_target, _handler, outcome) -> outcome.failed(),
                 time,
@@ -58,13 +58,13 @@
                         new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(2)),
                         loads,
                         parts,
-                        new ReadRates(30),
+                        new PrefillRates(30),
                         new RetryPolicy(1, 1, 1, 1),
                         new RetryBudget(0, () -> 0, 1_000, 0),
                         Quarantine.NONE,
                         new TargetHealth(() -> 0),
-                        NoLimits.book(),
-                        new OwnLimits(NoLimits.book()),
+                        NoRateLimits.create(),
+                        new OwnLimits(NoRateLimits.create()),
                         new OwnBreakOffs(new TargetHealth(() -> 0)),
                         () -> 1),
                 new ForwardingMetrics(new PrometheusRegistry()));
@@ -88,7 +88,10 @@
     }
 
     private List<String> ready() {
-        return directory.ready("s").stream().map(Incarnation::id).sorted().toList();
+        return directory.readyTargets("s").stream()
+                .map(Incarnation::id)
+                .sorted()
+                .toList();
     }
 
     @Test
@@ -183,14 +186,14 @@
      */
     @Test
     void whatAnEngineKeptIsForgottenWhenItStartsAgainUnderItsId() {
-        Prompt prompt = new Prompt("m", 900, 9, List.of(new PromptPart("p", 900)));
+        Prompt prompt = new Prompt("m", 900, 9, List.of(new PromptSegment("p", 900)));
         entryBorn("a", "10.0.0.1:80", 1_000);
-        parts.kept("a", "p", 900);
+        parts.setCachedTokens("a", "p", 900);
         entryBorn("a", "10.0.0.1:80", 1_000);
-        assertEquals(900, parts.keptTokens("a", prompt));
+        assertEquals(900, parts.cachedPrefixTokens("a", prompt));
 
         entryBorn("a", "10.0.0.1:80", 2_000);
-        assertEquals(0, parts.keptTokens("a", prompt));
+        assertEquals(0, parts.cachedPrefixTokens("a", prompt));
     }
 
     /**
--- a/src/test/java/org/dogwoodwinch/forwarding/ConnectionSharersTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/ConnectionSharesTest.java
@@ -6,14 +6,14 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-class ConnectionSharersTest {
+class ConnectionSharesTest {
 
     /**
      * With 210 / 16 = 13 connections each, nine instances held 117 of 210 and refused calls while answers were lost.
      */
     @Test
     void nineInstancesEachGetNineteenOfTwoHundredTenConnections() {
-        int each = 210 / ConnectionSharers.count(OptionalInt.of(9), 16);
+        int each = 210 / ConnectionShares.sharingInstancesCount(OptionalInt.of(9), 16);
         assertEquals(19, each);
     }
 
@@ -24,7 +24,7 @@
     @Test
     void sumStaysWithinLimitWhileInstancesJoin() {
         for (int seen = 1; seen <= 500; seen++) {
-            int instancesCount = ConnectionSharers.count(OptionalInt.of(seen), 16);
+            int instancesCount = ConnectionShares.sharingInstancesCount(OptionalInt.of(seen), 16);
             int joining = instancesCount - seen;
             assertTrue(joining >= 1);
             assertTrue((seen + joining) * (540 / instancesCount) <= 540);
@@ -33,6 +33,6 @@
 
     @Test
     void defaultCountIsUsedBeforeFirstList() {
-        assertEquals(16, ConnectionSharers.count(OptionalInt.empty(), 16));
+        assertEquals(16, ConnectionShares.sharingInstancesCount(OptionalInt.empty(), 16));
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/EngineChooserTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/EngineChooserTest.java
@@ -20,10 +20,10 @@
     private static final ServiceEntry SERVICE =
             new ServiceEntry("s", 360, Optional.of(new EngineTraits(64, 400_000, 18_000, 370_000, 5_000, 3_000)));
 
-    private final TargetLimits limits = NoLimits.book();
+    private final TargetRateLimits limits = NoRateLimits.create();
     private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), limits);
-    private final LoadBook loads = new LoadBook();
-    private final PartIndex cacheIndex = new PartIndex();
+    private final LoadTracker loads = new LoadTracker();
+    private final KvCacheIndex cacheIndex = new KvCacheIndex();
 
     @BeforeEach
     void registerEngines() {
@@ -44,28 +44,33 @@
                 directory,
                 loads,
                 cacheIndex,
-                new ReadRates(30),
-                EngineChoicePolicy.STANDARD,
+                new PrefillRates(30),
+                EngineCostModel.DEFAULT,
                 new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(seed)),
                 "dc");
     }
 
-    private static ChoiceQuery query(String sharedSegment, String ownSegment, String... triedTargetIds) {
+    private static TargetQuery query(String sharedSegment, String ownSegment, String... triedTargetIds) {
         Prompt prompt = new Prompt(
-                "m", 17_000, 20, List.of(new PromptPart(sharedSegment, 13_000), new PromptPart(ownSegment, 4_000)));
-        return new ChoiceQuery(SERVICE, Optional.of(prompt), 1, 5_000, 0, Set.of(triedTargetIds), true);
+                "m",
+                17_000,
+                20,
+                List.of(new PromptSegment(sharedSegment, 13_000), new PromptSegment(ownSegment, 4_000)));
+        return new TargetQuery(SERVICE, Optional.of(prompt), 1, 5_000, 0, Set.of(triedTargetIds), true);
     }
 
-    private static String prefillTargetId(Plan plan) {
-        return plan.prefill().orElseGet(plan::target).id();
+    private static String prefillTargetId(ForwardingPlan plan) {
+        return plan.prefillTarget().orElseGet(plan::target).id();
     }
 
     /** Two instances that have no information from each other must prefill a shared segment on the same engine. */
     @Test
     void instancesChooseSameAffinityEngine() {
         for (int i = 0; i < 50; i++) {
-            Plan firstPlan = chooser(1).choose(query("part" + i, "x" + i)).orElseThrow();
-            Plan secondPlan = chooser(2).choose(query("part" + i, "y" + i)).orElseThrow();
+            ForwardingPlan firstPlan =
+                    chooser(1).choose(query("part" + i, "x" + i)).orElseThrow();
+            ForwardingPlan secondPlan =
+                    chooser(2).choose(query("part" + i, "y" + i)).orElseThrow();
             assertEquals(prefillTargetId(firstPlan), prefillTargetId(secondPlan));
         }
     }
@@ -103,36 +108,37 @@
     /** A fetch takes milliseconds and a prefill hundreds of them, so only the call's own tokens are prefilled. */
     @Test
     void segmentCachedOnAnotherEngineIsFetched() {
-        cacheIndex.kept("d3", "part", 13_000);
+        cacheIndex.setCachedTokens("d3", "part", 13_000);
 
-        Plan plan = chooser(1).choose(query("part", "x")).orElseThrow();
+        ForwardingPlan plan = chooser(1).choose(query("part", "x")).orElseThrow();
 
-        assertEquals(4_000, plan.reading().unreadTokens());
-        assertEquals("d3", plan.reading().keeper().map(Incarnation::id).orElseGet(() -> prefillTargetId(plan)));
+        assertEquals(4_000, plan.prefillWork().prefillTokens());
+        assertEquals(
+                "d3", plan.prefillWork().cacheSource().map(Incarnation::id).orElseGet(() -> prefillTargetId(plan)));
     }
 
     @Test
     void engineWithCachedSegmentFetchesNothing() {
-        cacheIndex.kept("p1", "part", 13_000);
+        cacheIndex.setCachedTokens("p1", "part", 13_000);
 
-        Plan plan = chooser(1).choose(query("part", "x")).orElseThrow();
+        ForwardingPlan plan = chooser(1).choose(query("part", "x")).orElseThrow();
 
         assertEquals("p1", prefillTargetId(plan));
-        assertEquals(Optional.empty(), plan.reading().keeper());
+        assertEquals(Optional.empty(), plan.prefillWork().cacheSource());
     }
 
     /** A prefill of few tokens is faster than a fetch. */
     @Test
     void shortSegmentIsPrefilledInsteadOfFetched() {
-        Prompt prompt = new Prompt("m", 300, 20, List.of(new PromptPart("short", 200), new PromptPart("x", 100)));
-        cacheIndex.kept("d3", "short", 200);
+        Prompt prompt = new Prompt("m", 300, 20, List.of(new PromptSegment("short", 200), new PromptSegment("x", 100)));
+        cacheIndex.setCachedTokens("d3", "short", 200);
 
-        Plan plan = chooser(1)
-                .choose(new ChoiceQuery(SERVICE, Optional.of(prompt), 0, 500, 0, Set.of("d3"), true))
+        ForwardingPlan plan = chooser(1)
+                .choose(new TargetQuery(SERVICE, Optional.of(prompt), 0, 500, 0, Set.of("d3"), true))
                 .orElseThrow();
 
-        assertEquals(Optional.empty(), plan.reading().keeper());
-        assertEquals(300, plan.reading().unreadTokens());
+        assertEquals(Optional.empty(), plan.prefillWork().cacheSource());
+        assertEquals(300, plan.prefillWork().prefillTokens());
     }
 
     /** Only lower-priority prompts wait at the affinity engine, which prefills the urgent call before them. */
@@ -140,9 +146,9 @@
     void queuedLowerPriorityPromptsDoNotMoveUrgentCall() {
         String affinityEngineId =
                 prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
-        ReadQueue lowerPriorityQueue =
-                ReadQueue.of(List.of(0L, 0L, 0L, 0L, 0L, 0L, 200_000L), List.of(0, 0, 0, 0, 0, 0, 400));
-        loads.heard("peer", Map.of(affinityEngineId, new TargetLoad(400, lowerPriorityQueue)));
+        PrefillQueue lowerPriorityQueue =
+                PrefillQueue.of(List.of(0L, 0L, 0L, 0L, 0L, 0L, 200_000L), List.of(0, 0, 0, 0, 0, 0, 400));
+        loads.replacePeerLoads("peer", Map.of(affinityEngineId, new TargetLoad(400, lowerPriorityQueue)));
 
         assertEquals(
                 affinityEngineId,
@@ -154,38 +160,38 @@
     void lateCallGetsLevelBehindCallsOnTime() {
         assertEquals(
                 QueueLevel.onTime(1),
-                chooser(1).choose(query("a", "x")).orElseThrow().reading().level());
+                chooser(1).choose(query("a", "x")).orElseThrow().prefillWork().level());
         Map<String, TargetLoad> busy = new HashMap<>();
-        directory.all().forEach(engine -> busy.put(engine.id(), new TargetLoad(9, ReadQueue.one(0, 900_000))));
-        loads.heard("peer", busy);
+        directory.all().forEach(engine -> busy.put(engine.id(), new TargetLoad(9, PrefillQueue.ofPrompt(0, 900_000))));
+        loads.replacePeerLoads("peer", busy);
 
         assertEquals(
                 QueueLevel.late(1),
-                chooser(1).choose(query("a", "x")).orElseThrow().reading().level());
+                chooser(1).choose(query("a", "x")).orElseThrow().prefillWork().level());
     }
 
     /** A prompt treated as late because of its length would never be prefilled while shorter ones arrive. */
     @Test
     void longPromptIsNotLateBecauseOfItsLength() {
-        Plan plan = chooser(1).choose(longCall(60_000)).orElseThrow();
+        ForwardingPlan plan = chooser(1).choose(longCall(60_000)).orElseThrow();
 
-        assertEquals(QueueLevel.onTime(1), plan.reading().level());
+        assertEquals(QueueLevel.onTime(1), plan.prefillWork().level());
     }
 
-    private static ChoiceQuery longCall(int tokens) {
-        Prompt prompt = new Prompt("m", tokens, 20, List.of(new PromptPart("x", tokens)));
-        return new ChoiceQuery(SERVICE, Optional.of(prompt), 1, 500, 0, Set.of(), true);
+    private static TargetQuery longCall(int tokens) {
+        Prompt prompt = new Prompt("m", tokens, 20, List.of(new PromptSegment("x", tokens)));
+        return new TargetQuery(SERVICE, Optional.of(prompt), 1, 500, 0, Set.of(), true);
     }
 
     /** The prompt was already prefilled separately once, so the target that runs the call now also prefills it. */
     @Test
     void callWithoutSeparatePrefillIsPrefilledWhereItRuns() {
-        ChoiceQuery query = query("part", "x");
-        Plan plan = chooser(1)
-                .choose(new ChoiceQuery(SERVICE, query.prompt(), 1, 5_000, 0, Set.of(), false))
+        TargetQuery query = query("part", "x");
+        ForwardingPlan plan = chooser(1)
+                .choose(new TargetQuery(SERVICE, query.prompt(), 1, 5_000, 0, Set.of(), false))
                 .orElseThrow();
 
-        assertEquals(Optional.empty(), plan.prefill());
+        assertEquals(Optional.empty(), plan.prefillTarget());
         assertEquals(Stage.DECODE, plan.target().stage());
     }
 
@@ -194,7 +200,8 @@
     void overloadedAffinityEngineIsNotChosen() {
         String affinityEngineId =
                 prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
-        loads.heard("peer", Map.of(affinityEngineId, new TargetLoad(30, ReadQueue.one(0, 5_000_000))));
+        loads.replacePeerLoads(
+                "peer", Map.of(affinityEngineId, new TargetLoad(30, PrefillQueue.ofPrompt(0, 5_000_000))));
 
         assertFalse(affinityEngineId.equals(
                 prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow())));
@@ -204,7 +211,7 @@
     void decodeTargetIsTheLeastLoadedEngine() {
         for (int i = 0; i < 5; i++) {
             if (i != 2) {
-                loads.sent("d" + i, 0, 10_000);
+                loads.recordSend("d" + i, 0, 10_000);
             }
         }
         Incarnation prefillTarget = directory.find("p0").orElseThrow();
@@ -212,7 +219,7 @@
         assertEquals(
                 "d2",
                 chooser(1)
-                        .chooseRunner(query("a", "b"), prefillTarget)
+                        .chooseDecodeTarget(query("a", "b"), prefillTarget)
                         .orElseThrow()
                         .id());
     }
@@ -229,26 +236,30 @@
     @Test
     void longPromptIsNotPrefilledBesideStreamsWithGapObjective() {
         for (int i = 0; i < 3; i++) {
-            loads.sent("p" + i, 0, 12_000);
-            cacheIndex.kept("d" + i, "shared", 13_000);
+            loads.recordSend("p" + i, 0, 12_000);
+            cacheIndex.setCachedTokens("d" + i, "shared", 13_000);
         }
         for (int i = 0; i < 5; i++) {
-            loads.sent("d" + i, 0, 0);
+            loads.recordSend("d" + i, 0, 0);
         }
-        ChoiceQuery query = query("shared", "own");
-        ChoiceQuery withGapObjective = new ChoiceQuery(SERVICE, query.prompt(), 1, 5_000, 150, Set.of(), true);
-
-        assertTrue(chooser(1).choose(query).orElseThrow().prefill().isEmpty());
-        assertTrue(chooser(1).choose(withGapObjective).orElseThrow().prefill().isPresent());
+        TargetQuery query = query("shared", "own");
+        TargetQuery withGapObjective = new TargetQuery(SERVICE, query.prompt(), 1, 5_000, 150, Set.of(), true);
+
+        assertTrue(chooser(1).choose(query).orElseThrow().prefillTarget().isEmpty());
+        assertTrue(chooser(1)
+                .choose(withGapObjective)
+                .orElseThrow()
+                .prefillTarget()
+                .isPresent());
     }
 
     /** A short prefill fits into a gap, so a decode engine with streams may do it. */
     @Test
     void shortPromptIsPrefilledWhereItRuns() {
-        loads.sent("d0", 0, 0);
-        Prompt prompt = new Prompt("m", 400, 5, List.of(new PromptPart("q", 400)));
-        ChoiceQuery query = new ChoiceQuery(SERVICE, Optional.of(prompt), 0, 250, 150, Set.of(), true);
-        assertTrue(chooser(1).choose(query).orElseThrow().prefill().isEmpty());
+        loads.recordSend("d0", 0, 0);
+        Prompt prompt = new Prompt("m", 400, 5, List.of(new PromptSegment("q", 400)));
+        TargetQuery query = new TargetQuery(SERVICE, Optional.of(prompt), 0, 250, 150, Set.of(), true);
+        assertTrue(chooser(1).choose(query).orElseThrow().prefillTarget().isEmpty());
     }
 
     /** The segment moves with all its calls, not only with those that find no share of the limit left. */
@@ -257,7 +268,7 @@
         String affinityEngineId =
                 prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
 
-        limits.answered(affinityEngineId, OptionalDouble.of(1_000), 0);
+        limits.recordAnswer(affinityEngineId, OptionalDouble.of(1_000), 0);
         String newAffinityEngineId =
                 prefillTargetId(chooser(1).choose(query("part", "x")).orElseThrow());
 
@@ -272,26 +283,27 @@
     /** Fetching segments from a rate-limited engine does not count as a call to it. */
     @Test
     void segmentCachedOnRateLimitedEngineIsFetched() {
-        cacheIndex.read(
-                "p0", new Prompt("m", 17_000, 20, List.of(new PromptPart("part", 13_000), new PromptPart("o", 4_000))));
-        limits.answered("p0", OptionalDouble.of(2), 0);
+        cacheIndex.recordPrefill(
+                "p0",
+                new Prompt("m", 17_000, 20, List.of(new PromptSegment("part", 13_000), new PromptSegment("o", 4_000))));
+        limits.recordAnswer("p0", OptionalDouble.of(2), 0);
 
-        Plan plan = chooser(1).choose(query("part", "x")).orElseThrow();
+        ForwardingPlan plan = chooser(1).choose(query("part", "x")).orElseThrow();
 
         assertNotEquals("p0", prefillTargetId(plan));
-        assertEquals("p0", plan.reading().keeper().orElseThrow().id());
+        assertEquals("p0", plan.prefillWork().cacheSource().orElseThrow().id());
     }
 
     @Test
     void noPlanUntilNextCapacityWhenAllEnginesAreExhausted() {
         for (int i = 0; i < 5; i++) {
-            limits.answered("d" + i, OptionalDouble.of(4 + i), 0);
+            limits.recordAnswer("d" + i, OptionalDouble.of(4 + i), 0);
         }
         for (int i = 0; i < 3; i++) {
-            limits.answered("p" + i, OptionalDouble.of(5), 0);
+            limits.recordAnswer("p" + i, OptionalDouble.of(5), 0);
         }
 
         assertEquals(Optional.empty(), chooser(1).choose(query("part", "x")));
-        assertEquals(125, chooser(1).roomMillis(query("part", "x")));
+        assertEquals(125, chooser(1).millisUntilCapacity(query("part", "x")));
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/NoLimits.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/NoRateLimits.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /** Creates rate limits for tests in which no target states one. */
-public final class NoLimits {
+public final class NoRateLimits {
 
-    private NoLimits() {}
+    private NoRateLimits() {}
 
     /**
      * Creates an instance without limits.
      *
      * @return the instance
      */
-    public static TargetLimits book() {
-        return new TargetLimits(() -> 0, new LimitShares("i0", Optional::empty, () -> 0));
+    public static TargetRateLimits create() {
+        return new TargetRateLimits(() -> 0, new RateLimitShares("i0", Optional::empty, () -> 0));
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/LimitSharesTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RateLimitSharesTest.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class LimitSharesTest {
+class RateLimitSharesTest {
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     private Optional<Set<String>> members = Optional.of(names(95));
@@ -21,7 +21,7 @@
     void limitIsDividedAmongFewHoldersOfAboutOneCallPerSecond() {
         for (double limit : new double[] {1, 2.3, 3.5, 20, 90}) {
             List<Double> held = shares(names(95)).stream()
-                    .map(each -> each.perSecond("t1", limit))
+                    .map(each -> each.sharePerSecond("t1", limit))
                     .filter(share -> share > 0)
                     .toList();
 
@@ -33,7 +33,7 @@
     @Test
     void targetWithZeroLimitGetsOccasionalCalls() {
         double sum = shares(names(95)).stream()
-                .mapToDouble(each -> each.perSecond("t1", 0))
+                .mapToDouble(each -> each.sharePerSecond("t1", 0))
                 .sum();
 
         assertTrue(sum > 0 && sum < 1, "calls per second: " + sum);
@@ -42,19 +42,19 @@
     /** A restarted instance may be one of many; it is sure to be alone after several announcement intervals. */
     @Test
     void soleInstanceGetsWholeLimitAfterConfirmation() {
-        LimitShares alone = shares(Set.of("i0")).get(0);
-        assertEquals(2, alone.perSecond("t1", 8));
+        RateLimitShares alone = shares(Set.of("i0")).get(0);
+        assertEquals(2, alone.sharePerSecond("t1", 8));
 
         time.advanceMillis(60_000);
 
-        assertEquals(8, alone.perSecond("t1", 8));
+        assertEquals(8, alone.sharePerSecond("t1", 8));
     }
 
     @Test
     void differentTargetsHaveDifferentHolders() {
-        List<LimitShares> all = shares(names(6));
+        List<RateLimitShares> all = shares(names(6));
         long withoutShareCount = all.stream()
-                .filter(each -> IntStream.range(0, 8).allMatch(t -> each.perSecond("t" + t, 2) == 0))
+                .filter(each -> IntStream.range(0, 8).allMatch(t -> each.sharePerSecond("t" + t, 2) == 0))
                 .count();
 
         assertTrue(
@@ -63,59 +63,59 @@
 
     @Test
     void unknownMembershipGivesNoShare() {
-        LimitShares shares = new LimitShares("i0", () -> members, time::monotonicMillis);
+        RateLimitShares shares = new RateLimitShares("i0", () -> members, time::monotonicMillis);
         members = Optional.of(Set.of("i0"));
-        shares.look();
+        shares.refresh();
         time.advanceMillis(2_001);
-        shares.look();
-        assertEquals(1, shares.perSecond("t1", 2));
+        shares.refresh();
+        assertEquals(1, shares.sharePerSecond("t1", 2));
 
         members = Optional.empty();
-        shares.look();
+        shares.refresh();
 
-        assertEquals(0, shares.perSecond("t1", 2));
+        assertEquals(0, shares.sharePerSecond("t1", 2));
     }
 
     /** Share holders that ranked before the new one continue to use their shares until they receive the change. */
     @Test
     void newHolderWaitsForPropagation() {
-        LimitShares shares = new LimitShares("i0", () -> members, time::monotonicMillis);
+        RateLimitShares shares = new RateLimitShares("i0", () -> members, time::monotonicMillis);
         String target = IntStream.range(0, 1_000)
                 .mapToObj(i -> "t" + i)
                 .filter(id -> names(95).stream()
-                                .filter(name -> Rendezvous.score(id, name) > Rendezvous.score(id, "i0"))
+                                .filter(name -> RendezvousHash.score(id, name) > RendezvousHash.score(id, "i0"))
                                 .count()
                         == 2)
                 .findFirst()
                 .orElseThrow();
-        shares.look();
+        shares.refresh();
         time.advanceMillis(2_001);
-        shares.look();
-        assertEquals(0, shares.perSecond(target, 2));
+        shares.refresh();
+        assertEquals(0, shares.sharePerSecond(target, 2));
 
         Set<String> remainingMembers = names(95);
         remainingMembers.remove(remainingMembers.stream()
-                .filter(name -> Rendezvous.score(target, name) > Rendezvous.score(target, "i0"))
+                .filter(name -> RendezvousHash.score(target, name) > RendezvousHash.score(target, "i0"))
                 .findFirst()
                 .orElseThrow());
         members = Optional.of(remainingMembers);
-        shares.look();
-        assertEquals(0, shares.perSecond(target, 2));
+        shares.refresh();
+        assertEquals(0, shares.sharePerSecond(target, 2));
         time.advanceMillis(2_001);
-        shares.look();
+        shares.refresh();
 
-        assertEquals(1, shares.perSecond(target, 2));
+        assertEquals(1, shares.sharePerSecond(target, 2));
     }
 
-    private List<LimitShares> shares(Set<String> names) {
-        List<LimitShares> all = new ArrayList<>();
+    private List<RateLimitShares> shares(Set<String> names) {
+        List<RateLimitShares> all = new ArrayList<>();
         for (String name : names) {
-            LimitShares shares = new LimitShares(name, () -> Optional.of(names), time::monotonicMillis);
-            shares.look();
+            RateLimitShares shares = new RateLimitShares(name, () -> Optional.of(names), time::monotonicMillis);
+            shares.refresh();
             all.add(shares);
         }
         time.advanceMillis(2_001);
-        all.forEach(LimitShares::look);
+        all.forEach(RateLimitShares::refresh);
         return all;
     }
 
--- a/src/test/java/org/dogwoodwinch/forwarding/RetryBudgetTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RetryBudgetTest.java
@@ -43,7 +43,7 @@
                 budgets.set(random.nextInt(instances), restarted(instances, now));
             }
             for (RetryBudget budget : budgets) {
-                if (random.nextInt(4) == 0 && budget.takeRepeat("s", now)) {
+                if (random.nextInt(4) == 0 && budget.tryTakeRetry("s", now)) {
                     retries.add(now);
                 }
             }
@@ -73,10 +73,10 @@
     @Test
     void retryIsAvailableAgainAfterWindow() {
         RetryBudget budget = new RetryBudget(0, () -> 1, WINDOW_MILLIS, -WINDOW_MILLIS);
-        assertTrue(budget.takeRepeat("s", 0));
-        assertFalse(budget.takeRepeat("s", WINDOW_MILLIS - 1));
+        assertTrue(budget.tryTakeRetry("s", 0));
+        assertFalse(budget.tryTakeRetry("s", WINDOW_MILLIS - 1));
 
-        assertTrue(budget.takeRepeat("s", WINDOW_MILLIS));
+        assertTrue(budget.tryTakeRetry("s", WINDOW_MILLIS));
     }
 
     /** A restarted process does not know what it spent, so it has no slack for one window. */
@@ -84,16 +84,16 @@
     void slackIsAvailableOneWindowAfterStart() {
         RetryBudget budget = new RetryBudget(0, () -> 5, WINDOW_MILLIS, 1_000);
 
-        assertFalse(budget.takeRepeat("s", 1_000 + WINDOW_MILLIS - 1));
-        assertTrue(budget.takeRepeat("s", 1_000 + WINDOW_MILLIS));
+        assertFalse(budget.tryTakeRetry("s", 1_000 + WINDOW_MILLIS - 1));
+        assertTrue(budget.tryTakeRetry("s", 1_000 + WINDOW_MILLIS));
     }
 
     @Test
     void retriesAreCountedPerService() {
         RetryBudget budget = new RetryBudget(0, () -> 1, WINDOW_MILLIS, -WINDOW_MILLIS);
-        assertTrue(budget.takeRepeat("s", 0));
+        assertTrue(budget.tryTakeRetry("s", 0));
 
-        assertFalse(budget.takeRepeat("s", 1));
-        assertEquals(1, budget.left("other", 1));
+        assertFalse(budget.tryTakeRetry("s", 1));
+        assertEquals(1, budget.remaining("other", 1));
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/RetryPolicyTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RetryPolicyTest.java
@@ -46,7 +46,7 @@
         boolean ran = outcome instanceof SendOutcome.Unknown || outcome instanceof SendOutcome.RanAndFailed;
         CallProgress afterSend = ran ? oneMoreRun(progress) : progress;
 
-        NextStep step = POLICY.after(outcome, afterSend, () -> true);
+        NextStep step = POLICY.nextStep(outcome, afterSend, () -> true);
 
         if (afterSend.mayHaveRun()) {
             assertTrue(!(step instanceof NextStep.Refuse));
@@ -65,10 +65,10 @@
             @ForAll("outcomes") SendOutcome outcome, @ForAll("progresses") CallProgress progress) {
         AtomicInteger taken = new AtomicInteger();
 
-        NextStep step = POLICY.after(outcome, progress, () -> taken.incrementAndGet() > 0);
-        NextStep withoutBudget = POLICY.after(outcome, progress, () -> false);
+        NextStep step = POLICY.nextStep(outcome, progress, () -> taken.incrementAndGet() > 0);
+        NextStep withoutBudget = POLICY.nextStep(outcome, progress, () -> false);
 
-        boolean first = outcome instanceof SendOutcome.NotSent && !progress.sent();
+        boolean first = outcome instanceof SendOutcome.NotSent && !progress.hasReachedTarget();
         assertEquals(step instanceof NextStep.SendAgain && !first ? 1 : 0, taken.get());
         assertTrue(first || !(withoutBudget instanceof NextStep.SendAgain));
     }
--- a/src/test/java/org/dogwoodwinch/forwarding/RouteTableTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/RouteTableTest.java
@@ -23,10 +23,10 @@
                     route("short", "a.example", "/x/", ALL),
                     route("other", "b.example", "/x/", ALL)),
             List.of(new ServiceEntry("s", 1, Optional.empty())),
-            CallerLimits.INITIAL);
+            CallerLimits.DEFAULT);
 
     private String find(String host, String requestTarget) {
-        return table.find(host, requestTarget).map(ServiceRoute::name).orElse("none");
+        return table.findRoute(host, requestTarget).map(ServiceRoute::name).orElse("none");
     }
 
     @Test
--- a/src/test/java/org/dogwoodwinch/forwarding/SharedSegmentsTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/SharedSegmentsTest.java
@@ -17,53 +17,53 @@
                 "m",
                 100,
                 10,
-                Arrays.stream(segmentIds).map(id -> new PromptPart(id, 10)).toList());
+                Arrays.stream(segmentIds).map(id -> new PromptSegment(id, 10)).toList());
     }
 
     @Test
     void allSegmentsButTheLastAreSharedAndReportedOnce() {
-        shared.saw(prompt("a", "b", "own1"));
-        shared.saw(prompt("a", "b", "own2"));
+        shared.recordPrompt(prompt("a", "b", "own1"));
+        shared.recordPrompt(prompt("a", "b", "own2"));
 
         assertTrue(shared.isShared("a") && shared.isShared("b"));
         assertFalse(shared.isShared("own1"));
-        assertEquals(List.of("a", "b"), shared.takeNews());
-        assertEquals(List.of(), shared.takeNews());
+        assertEquals(List.of("a", "b"), shared.takeNewlyShared());
+        assertEquals(List.of(), shared.takeNewlyShared());
     }
 
     /** The next request of a session ends with the same segment, so other requests do contain it. */
     @Test
     void repeatedLastSegmentIsShared() {
-        shared.saw(prompt("a", "s1"));
-        shared.saw(prompt("a", "s1"));
+        shared.recordPrompt(prompt("a", "s1"));
+        shared.recordPrompt(prompt("a", "s1"));
 
         assertTrue(shared.isShared("s1"));
-        assertEquals(List.of("a", "s1"), shared.takeNews());
+        assertEquals(List.of("a", "s1"), shared.takeNewlyShared());
     }
 
     @Test
     void segmentReportedByAnotherInstanceIsNotReportedAgain() {
-        assertTrue(shared.learn("a"));
-        assertFalse(shared.learn("a"));
+        assertTrue(shared.markShared("a"));
+        assertFalse(shared.markShared("a"));
 
-        shared.saw(prompt("a", "own"));
+        shared.recordPrompt(prompt("a", "own"));
 
-        assertEquals(List.of(), shared.takeNews());
+        assertEquals(List.of(), shared.takeNewlyShared());
     }
 
     @Test
     void promptWithoutSegmentsReportsNothing() {
-        shared.saw(prompt());
+        shared.recordPrompt(prompt());
 
-        assertEquals(List.of(), shared.takeNews());
+        assertEquals(List.of(), shared.takeNewlyShared());
     }
 
     /** New segments arrive all the time, so unused ones must be evicted. */
     @Test
     void leastRecentlyUsedSegmentIsEvicted() {
-        shared.saw(prompt("old", "own"));
+        shared.recordPrompt(prompt("old", "own"));
         for (int i = 0; i < 10_000; i++) {
-            shared.learn("p" + i);
+            shared.markShared("p" + i);
         }
 
         assertFalse(shared.isShared("old"));
