--- a/src/test/java/org/dogwoodwinch/forwarding/StagePlannerTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/StagePlannerTest.java
@@ -17,7 +17,7 @@
 
     private static final long STEP_MILLIS = 250;
 
-    private final StagePlanner planner = new StagePlanner(StagePlanPolicy.STANDARD, new ReadRates(30));
+    private final StagePlanner planner = new StagePlanner(StagePlanPolicy.DEFAULT, new PrefillRates(30));
     private final List<Incarnation> engines = new ArrayList<>();
     private final Map<String, TargetLoad> loads = new HashMap<>();
     private final Set<String> limitedEngineIds = new HashSet<>();
@@ -33,13 +33,14 @@
     private void load(Stage stage, int calls, long unreadTokens) {
         engines.stream()
                 .filter(engine -> engine.stage() == stage)
-                .forEach(engine -> loads.put(engine.id(), new TargetLoad(calls, ReadQueue.one(0, unreadTokens))));
+                .forEach(engine ->
+                        loads.put(engine.id(), new TargetLoad(calls, PrefillQueue.ofPrompt(0, unreadTokens))));
     }
 
-    private Optional<StagePlanner.Change> planFor(long millis) {
-        Optional<StagePlanner.Change> change = Optional.empty();
+    private Optional<StagePlanner.StageChange> planFor(long millis) {
+        Optional<StagePlanner.StageChange> change = Optional.empty();
         for (long end = nowMillis + millis; nowMillis < end && change.isEmpty(); nowMillis += STEP_MILLIS) {
-            change = planner.plan(
+            change = planner.planChange(
                     engines,
                     engine -> limitedEngineIds.contains(engine.id()),
                     id -> loads.getOrDefault(id, TargetLoad.EMPTY),
@@ -59,7 +60,7 @@
         load(Stage.PREFILL, 4, 12_000);
         load(Stage.DECODE, 2, 300);
 
-        StagePlanner.Change change = planFor(3_000).orElseThrow();
+        StagePlanner.StageChange change = planFor(3_000).orElseThrow();
         assertEquals(Stage.PREFILL, change.stage());
         assertEquals(Stage.DECODE, change.engine().stage());
     }
@@ -110,7 +111,7 @@
     void smallServiceChangesOneEngineAtATime() {
         engines(3, 5);
         load(Stage.PREFILL, 4, 12_000);
-        planner.ordered(planFor(3_000).orElseThrow(), 3_000, nowMillis);
+        planner.recordOrdered(planFor(3_000).orElseThrow(), 3_000, nowMillis);
         assertTrue(planFor(4_250).isEmpty());
         assertTrue(planFor(1_000).isPresent());
     }
@@ -123,7 +124,7 @@
     void largeServiceChangesSeveralEnginesAtATime() {
         engines(14, 26);
         load(Stage.PREFILL, 4, 12_000);
-        planner.ordered(planFor(3_000).orElseThrow(), 3_000, nowMillis);
+        planner.recordOrdered(planFor(3_000).orElseThrow(), 3_000, nowMillis);
         assertTrue(planFor(750).isEmpty());
         assertTrue(planFor(500).isPresent());
     }
@@ -134,7 +135,7 @@
         engines(3, 5);
         load(Stage.PREFILL, 4, 12_000);
         load(Stage.DECODE, 4, 0);
-        loads.put("e6", new TargetLoad(1, ReadQueue.EMPTY));
+        loads.put("e6", new TargetLoad(1, PrefillQueue.EMPTY));
         assertEquals("e6", planFor(3_000).orElseThrow().engine().id());
     }
 
@@ -144,12 +145,12 @@
         engines(5, 3);
         limitedEngineIds.addAll(Set.of("e5", "e6", "e7"));
 
-        StagePlanner.Change change = planFor(250).orElseThrow();
+        StagePlanner.StageChange change = planFor(250).orElseThrow();
         assertEquals(Stage.DECODE, change.stage());
-        planner.ordered(change, 3_000, nowMillis);
+        planner.recordOrdered(change, 3_000, nowMillis);
 
         assertTrue(planFor(10_000).isEmpty(), "the ordered change is still pending");
-        planner.notTaken(change);
+        planner.recordRejected(change);
         assertTrue(planFor(250).isPresent());
     }
 
--- a/src/test/java/org/dogwoodwinch/forwarding/TargetDirectoryTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/TargetDirectoryTest.java
@@ -11,14 +11,17 @@
 
 class TargetDirectoryTest {
 
-    private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), NoLimits.book());
+    private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), NoRateLimits.create());
 
     private static Optional<Incarnation> target(String id, boolean draining) {
         return Optional.of(new Incarnation(id, "s", "10.0.0.1", 80, "dc", 1, draining, Stage.WHOLE, 0));
     }
 
     private List<String> readyIds() {
-        return directory.ready("s").stream().map(Incarnation::id).sorted().toList();
+        return directory.readyTargets("s").stream()
+                .map(Incarnation::id)
+                .sorted()
+                .toList();
     }
 
     /** A page that was read late still lists a target that a newer record removed; the newer record counts. */
@@ -42,7 +45,7 @@
         directory.apply("b", 2, target("b", false));
         directory.apply("c", 9, target("c", false));
 
-        assertEquals(List.of("b"), directory.retain(Set.of("a"), 8));
+        assertEquals(List.of("b"), directory.retainListed(Set.of("a"), 8));
 
         assertEquals(List.of("a", "c"), readyIds());
         assertFalse(directory.apply("b", 7, target("b", false)));
@@ -55,7 +58,7 @@
         directory.apply("b", 2, target("b", true));
 
         assertEquals(List.of("a"), readyIds());
-        assertEquals(List.of(), directory.ready("t"));
+        assertEquals(List.of(), directory.readyTargets("t"));
         assertEquals(2, directory.all().size());
     }
 }
--- a/src/test/java/org/dogwoodwinch/forwarding/TargetHealthTest.java
+++ b/src/test/java/org/dogwoodwinch/forwarding/TargetHealthTest.java
@@ -24,7 +24,7 @@
     }
 
     private List<String> usableIds(int count) {
-        return health.usable(targets(count)).stream().map(Incarnation::id).toList();
+        return health.filterUsable(targets(count)).stream().map(Incarnation::id).toList();
     }
 
     /** A crashed target is tried by one call per ejection, and the ejection time doubles up to four seconds. */
@@ -32,7 +32,7 @@
     void unreachableTargetIsEjectedForDoublingTime() {
         List<Long> ejectionsMillis = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            long ejectionMillis = health.unreachable("t1");
+            long ejectionMillis = health.recordUnreachable("t1");
             ejectionsMillis.add(ejectionMillis);
             assertEquals(List.of("t0", "t2"), usableIds(3));
             time.advanceMillis(ejectionMillis);
@@ -44,56 +44,56 @@
     /** Twenty calls that fail at the same time count as one failure. */
     @Test
     void failuresDuringEjectionDoNotExtendIt() {
-        health.unreachable("t1");
+        health.recordUnreachable("t1");
         time.advanceMillis(100);
 
-        assertEquals(400, health.unreachable("t1"));
+        assertEquals(400, health.recordUnreachable("t1"));
         time.advanceMillis(400);
         assertEquals(List.of("t0", "t1", "t2"), usableIds(3));
     }
 
     @Test
     void answerEndsEjectionOfUnreachableTarget() {
-        health.unreachable("t1");
-        health.answered("t1");
+        health.recordUnreachable("t1");
+        health.recordAnswer("t1");
 
         assertEquals(3, usableIds(3).size());
-        assertEquals(500, health.unreachable("t1"));
+        assertEquals(500, health.recordUnreachable("t1"));
     }
 
     /** If this instance's own links are cut, no target can be reached, and all must remain usable. */
     @Test
     void atMostHalfOfAServiceIsEjected() {
-        health.unreachable("t0");
-        health.unreachable("t1");
+        health.recordUnreachable("t0");
+        health.recordUnreachable("t1");
         assertEquals(List.of("t2", "t3"), usableIds(4));
 
-        health.unreachable("t2");
+        health.recordUnreachable("t2");
         assertEquals(4, usableIds(4).size());
         assertEquals(1, usableIds(1).size());
     }
 
     @Test
     void removedTargetStartsWithFirstEjectionTime() {
-        health.unreachable("t1");
-        health.forget("t1");
+        health.recordUnreachable("t1");
+        health.remove("t1");
 
-        assertEquals(500, health.unreachable("t1"));
+        assertEquals(500, health.recordUnreachable("t1"));
     }
 
     /** The answer to a call sent before the break must not end the ejection, or every second call is lost there. */
     @Test
     void answerDuringEjectionForBrokenCallDoesNotEndIt() {
-        assertEquals(500, health.brokeOff("t1"));
-        health.answered("t1");
+        assertEquals(500, health.recordBrokenConnection("t1"));
+        health.recordAnswer("t1");
         assertEquals(List.of("t0", "t2"), usableIds(3));
 
         time.advanceMillis(500);
-        health.answered("t1");
+        health.recordAnswer("t1");
 
         assertEquals(3, usableIds(3).size());
         time.advanceMillis(2_000);
-        assertEquals(500, health.brokeOff("t1"));
+        assertEquals(500, health.recordBrokenConnection("t1"));
     }
 
     /**
@@ -109,9 +109,9 @@
             if (usableIds(4).contains(id)) {
                 usedCount++;
                 if (random.nextInt(5) < 2) {
-                    health.brokeOff(id);
+                    health.recordBrokenConnection(id);
                 } else {
-                    health.answered(id);
+                    health.recordAnswer(id);
                 }
             }
         }
@@ -120,22 +120,22 @@
 
     @Test
     void consecutiveBrokenCallsEjectTargetDespiteRecentAnswer() {
-        health.answered("t1");
-        assertEquals(0, health.brokeOff("t1"));
-        assertEquals(0, health.brokeOff("t1"));
-        assertEquals(500, health.brokeOff("t1"));
+        health.recordAnswer("t1");
+        assertEquals(0, health.recordBrokenConnection("t1"));
+        assertEquals(0, health.recordBrokenConnection("t1"));
+        assertEquals(500, health.recordBrokenConnection("t1"));
         assertEquals(List.of("t0", "t2"), usableIds(3));
     }
 
     /** Another instance lost a call there, but this instance has just received an answer. */
     @Test
     void peerEjectionIsIgnoredAfterRecentAnswer() {
-        health.answered("t1");
-        health.told("t1", 500, 1_000);
+        health.recordAnswer("t1");
+        health.recordPeerEjection("t1", 500, 1_000);
         assertEquals(3, usableIds(3).size());
 
         time.advanceMillis(2_000);
-        health.told("t1", 500, 1_000);
+        health.recordPeerEjection("t1", 500, 1_000);
         assertEquals(List.of("t0", "t2"), usableIds(3));
     }
 
@@ -144,7 +144,7 @@
     void ejectionForBrokenCallsLastsAtMostOneSecond() {
         List<Long> ejectionsMillis = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            ejectionsMillis.add(health.brokeOff("t1"));
+            ejectionsMillis.add(health.recordBrokenConnection("t1"));
             time.advanceMillis(1_000);
         }
         assertEquals(List.of(500L, 1_000L, 1_000L, 1_000L), ejectionsMillis);
@@ -153,23 +153,23 @@
     /** A report extends an ejection but never shortens it, and this instance's ejection time continues from there. */
     @Test
     void peerEjectionLastsForReportedTime() {
-        health.told("t1", 1_000, 2_500);
-        health.told("t1", 500, 100);
+        health.recordPeerEjection("t1", 1_000, 2_500);
+        health.recordPeerEjection("t1", 500, 100);
         time.advanceMillis(2_400);
         assertEquals(List.of("t0", "t2"), usableIds(3));
 
         time.advanceMillis(100);
         assertEquals(3, usableIds(3).size());
-        assertEquals(1_000, health.brokeOff("t1"));
+        assertEquals(1_000, health.recordBrokenConnection("t1"));
 
-        health.toldSound("t1");
+        health.recordPeerRecovery("t1");
         assertEquals(3, usableIds(3).size());
     }
 
     /** A report that arrives after its ejection has ended no longer has any effect. */
     @Test
     void expiredPeerEjectionIsIgnored() {
-        health.told("t1", 500, 0);
+        health.recordPeerEjection("t1", 500, 0);
 
         assertEquals(3, usableIds(3).size());
     }
--- a/src/test/java/org/dogwoodwinch/platform/ConfigurationDecoderTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/ConfigurationDecoderTest.java
@@ -34,13 +34,13 @@
     void readsRoutesServicesAndLimits() throws IOException {
         RouteTable table = ConfigurationDecoder.decode(Bytes.ofUtf8(CONFIGURATION));
 
-        ServiceRoute stream = table.find("desk.example", "/a/x").orElseThrow();
+        ServiceRoute stream = table.findRoute("desk.example", "/a/x").orElseThrow();
         assertEquals(7, table.version());
         assertEquals(RouteKind.STREAM, stream.kind());
-        assertTrue(stream.idempotent());
+        assertTrue(stream.isIdempotent());
         assertEquals(4_000, stream.timeoutMillis());
         assertEquals(2, stream.maxAttemptsCount());
-        ServiceRoute split = table.find("desk.example", "/b/").orElseThrow();
+        ServiceRoute split = table.findRoute("desk.example", "/b/").orElseThrow();
         assertEquals("t", split.chooseService(0.95));
         assertEquals(
                 new EngineTraits(64, 440_753, 18_432, 370_000, 5_000, 3_000),
--- a/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
@@ -52,10 +52,10 @@
         assertEquals("10.1.64.9:8080", engine.address());
         assertEquals(24, engine.slotsCount());
         assertEquals(Stage.DECODE, engine.stage());
-        assertFalse(engine.leaving());
+        assertFalse(engine.draining());
         assertEquals(
                 Stage.WHOLE, decode(ENTRY.replace("\"stage\":\"decode\",", "")).stage());
-        assertTrue(decode(ENTRY.replace("ready", "draining")).leaving());
+        assertTrue(decode(ENTRY.replace("ready", "draining")).draining());
     }
 
     static Stream<String> foreign() {
--- a/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.PartIndex;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.forwarding.Prompt;
-import org.dogwoodwinch.forwarding.PromptPart;
+import org.dogwoodwinch.forwarding.PromptSegment;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.relay.CacheChanges.CacheChange;
 import org.dogwoodwinch.time.VirtualTimeSource;
@@ -21,10 +21,10 @@
 
     private static final Incarnation ENGINE =
             new Incarnation("e1", "s", "10.0.0.1", 80, "dc", 64, false, Stage.DECODE, 1);
-    private static final Prompt PROMPT = new Prompt("m", 900, 9, List.of(new PromptPart("a", 900)));
+    private static final Prompt PROMPT = new Prompt("m", 900, 9, List.of(new PromptSegment("a", 900)));
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final PartIndex parts = new PartIndex();
+    private final KvCacheIndex parts = new KvCacheIndex();
     private final Control control = new Control();
     private final Heard listener = new Heard();
     private List<Incarnation> engines = List.of(ENGINE);
@@ -41,7 +41,7 @@
         started();
         control.tell(new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900), new CacheChange("a", 300))));
 
-        assertEquals(300, parts.keptTokens("e1", PROMPT));
+        assertEquals(300, parts.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
         assertEquals(List.of(0L, 7L), control.asked);
         assertEquals(0, control.lists.size());
@@ -59,7 +59,7 @@
         engines = List.of(new Incarnation("e1", "s", "10.0.0.1", 80, "dc", 64, false, Stage.DECODE, 1, 2_000));
         time.advanceMillis(250);
 
-        assertEquals(0, parts.keptTokens("e1", PROMPT));
+        assertEquals(0, parts.cachedPrefixTokens("e1", PROMPT));
         assertEquals(List.of(0L, 7L, 0L), control.asked);
     }
 
@@ -73,7 +73,7 @@
         control.tell(new CacheChanges("x", 90, true, List.of()));
         control.lists.get(0).complete(Optional.of(new CacheList("x", 95, List.of(new CacheChange("a", 900)))));
 
-        assertEquals(900, parts.keptTokens("e1", PROMPT));
+        assertEquals(900, parts.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
         assertEquals(List.of(0L, 95L), control.asked);
     }
@@ -87,7 +87,7 @@
         control.tell(new CacheChanges("x", 90, true, List.of()));
         control.lists.get(0).complete(Optional.of(new CacheList("x", 95, List.of())));
 
-        assertEquals(0, parts.keptTokens("e1", PROMPT));
+        assertEquals(0, parts.cachedPrefixTokens("e1", PROMPT));
     }
 
     /** An engine that keeps telling of gaps is asked for its list now and then only, and for changes meanwhile. */
@@ -116,7 +116,7 @@
         time.advanceMillis(250);
         control.tell(new CacheChanges("y", 0, false, List.of()));
 
-        assertEquals(0, parts.keptTokens("e1", PROMPT));
+        assertEquals(0, parts.cachedPrefixTokens("e1", PROMPT));
     }
 
     @Test
@@ -126,7 +126,7 @@
         engines = List.of();
         time.advanceMillis(250);
 
-        assertEquals(0, parts.size());
+        assertEquals(0, parts.segmentsCount());
     }
 
     /**
@@ -143,7 +143,7 @@
         control.tell(new CacheChanges("x", 6, false, List.of(new CacheChange("a", 0))));
 
         assertEquals(List.of(0L, 5L), control.asked);
-        assertEquals(900, parts.keptTokens("e1", PROMPT));
+        assertEquals(900, parts.cachedPrefixTokens("e1", PROMPT));
         assertEquals(List.of("a=900", "unwatched e1"), listener.words);
         ownDuty = true;
         time.advanceMillis(250);
--- a/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
@@ -188,7 +188,7 @@
 
         assertFalse(relay.target().open());
         assertEquals(0, relay.service.openCount());
-        assertEquals(0, relay.loads.at("t1").callsCount());
+        assertEquals(0, relay.loads.totalAt("t1").callsCount());
     }
 
     /** The process stops: calls under way are answered whole, and each answer asks the caller to go elsewhere. */
--- a/src/test/java/org/dogwoodwinch/relay/OwnBreakOffs.java
+++ b/src/test/java/org/dogwoodwinch/relay/OwnBreakOffs.java
@@ -7,16 +7,16 @@
 
     @Override
     public long brokeOff(String targetId) {
-        return health.brokeOff(targetId);
+        return health.recordBrokenConnection(targetId);
     }
 
     @Override
     public void answered(String targetId) {
-        health.answered(targetId);
+        health.recordAnswer(targetId);
     }
 
     @Override
     public void forget(String targetId) {
-        health.forget(targetId);
+        health.remove(targetId);
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/OwnLimits.java
+++ b/src/test/java/org/dogwoodwinch/relay/OwnLimits.java
@@ -2,18 +2,18 @@
 
 import java.util.OptionalDouble;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 
 /** Takes what targets state of their limits for one instance alone, and tells nobody. */
-public record OwnLimits(TargetLimits limits) implements StatedLimits {
+public record OwnLimits(TargetRateLimits limits) implements StatedLimits {
 
     @Override
     public void answered(Incarnation target, OptionalDouble perSecond, long sentMillis) {
-        limits.answered(target.id(), perSecond, sentMillis);
+        limits.recordAnswer(target.id(), perSecond, sentMillis);
     }
 
     @Override
     public void forget(String targetId) {
-        limits.forget(targetId);
+        limits.remove(targetId);
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/PromptReadingTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/PromptReadingTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.dogwoodwinch.forwarding.Incarnation;
-import org.dogwoodwinch.forwarding.ReadQueue;
+import org.dogwoodwinch.forwarding.PrefillQueue;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.junit.jupiter.api.Test;
@@ -71,7 +71,7 @@
 
         assertFalse(split.target().open());
         assertEquals(1, split.opened.size());
-        assertEquals(0, split.loads.at("p1").unread().totalTokens());
+        assertEquals(0, split.loads.totalAt("p1").prefillQueue().totalTokens());
     }
 
     /** A busy instance gets its connection to the reader late, and the caller's leaving lies unread beside it. */
@@ -155,7 +155,7 @@
         RelayFixture split = new RelayFixture().configured();
         split.engine("p1", Stage.PREFILL).engine("d1", Stage.DECODE);
         // Something waits at the engine that runs, so that reading elsewhere is sooner.
-        split.loads.heard("peer", Map.of("d1", new TargetLoad(9, ReadQueue.one(0, 400_000))));
+        split.loads.replacePeerLoads("peer", Map.of("d1", new TargetLoad(9, PrefillQueue.ofPrompt(0, 400_000))));
         return split;
     }
 
@@ -163,8 +163,8 @@
     private static RelayFixture modelWithKeeper() {
         RelayFixture split = model();
         split.listed(new Incarnation("d2", "reader", "10.0.0.9", 88, "dc-1", 64, false, Stage.DECODE, 1));
-        split.parts.kept("d2", "5c", 15_000);
-        split.loads.heard("other", Map.of("d2", new TargetLoad(9, ReadQueue.one(0, 400_000))));
+        split.parts.setCachedTokens("d2", "5c", 15_000);
+        split.loads.replacePeerLoads("other", Map.of("d2", new TargetLoad(9, PrefillQueue.ofPrompt(0, 400_000))));
         return split;
     }
 
--- a/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
+++ b/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
@@ -17,15 +17,15 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.forwarding.CallerLimits;
-import org.dogwoodwinch.forwarding.EngineChoicePolicy;
 import org.dogwoodwinch.forwarding.EngineChooser;
+import org.dogwoodwinch.forwarding.EngineCostModel;
 import org.dogwoodwinch.forwarding.EngineTraits;
 import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.forwarding.LeastLoadedChooser;
-import org.dogwoodwinch.forwarding.LimitShares;
-import org.dogwoodwinch.forwarding.LoadBook;
-import org.dogwoodwinch.forwarding.PartIndex;
-import org.dogwoodwinch.forwarding.ReadRates;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.PrefillRates;
+import org.dogwoodwinch.forwarding.RateLimitShares;
 import org.dogwoodwinch.forwarding.RetryBudget;
 import org.dogwoodwinch.forwarding.RetryPolicy;
 import org.dogwoodwinch.forwarding.RouteKind;
@@ -35,7 +35,7 @@
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.forwarding.TargetDirectory;
 import org.dogwoodwinch.forwarding.TargetHealth;
-import org.dogwoodwinch.forwarding.TargetLimits;
+import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.dogwoodwinch.forwarding.WeightedService;
 import org.dogwoodwinch.platform.PlatformHeaders;
 import org.dogwoodwinch.request.SuspectRegistry;
@@ -52,11 +52,11 @@
 
     final VirtualTimeSource time;
     final TargetHealth health;
-    final LimitShares shares;
-    final TargetLimits limits;
+    final RateLimitShares shares;
+    final TargetRateLimits limits;
     final TargetDirectory directory;
-    final LoadBook loads = new LoadBook();
-    final PartIndex parts = new PartIndex();
+    final LoadTracker loads = new LoadTracker();
+    final KvCacheIndex parts = new KvCacheIndex();
     final List<TargetEnd> opened = new ArrayList<>();
     final Set<String> unreachable = new HashSet<>();
     final List<String> released = new ArrayList<>();
@@ -80,17 +80,17 @@
     RelayFixture(double slack, VirtualTimeSource time, String instance, Set<String> instances) {
         this.time = time;
         this.health = new TargetHealth(time::monotonicMillis);
-        this.shares = new LimitShares(instance, () -> Optional.of(instances), time::monotonicMillis);
-        this.limits = new TargetLimits(time::monotonicMillis, shares);
+        this.shares = new RateLimitShares(instance, () -> Optional.of(instances), time::monotonicMillis);
+        this.limits = new TargetRateLimits(time::monotonicMillis, shares);
         this.directory = new TargetDirectory(health, limits);
         this.suspects = new SuspectRegistry(time, 600_000, 600_000, _notice -> {});
-        ReadRates rates = new ReadRates(30);
+        PrefillRates rates = new PrefillRates(30);
         EngineChooser chooser = new EngineChooser(
                 directory,
                 loads,
                 parts,
                 rates,
-                EngineChoicePolicy.STANDARD,
+                EngineCostModel.DEFAULT,
                 new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(7)),
                 "dc-1");
         service = new ForwardingService(
@@ -160,7 +160,7 @@
     /** As the reader of the targets' list does when a target says that it leaves. */
     RelayFixture leaving(String id) {
         Incarnation old = directory.find(id).orElseThrow();
-        relisted(old, old.host(), true, old.bornMillis());
+        relisted(old, old.host(), true, old.startedMillis());
         service.forgetTarget(id);
         return this;
     }
@@ -168,7 +168,7 @@
     /** As the reader of the targets' list does when a target has started again, elsewhere. */
     RelayFixture startedAgain(String id) {
         Incarnation old = directory.find(id).orElseThrow();
-        relisted(old, "10.0.9.9", false, old.bornMillis() + 1_000);
+        relisted(old, "10.0.9.9", false, old.startedMillis() + 1_000);
         service.targetStartedAgain(id);
         return this;
     }
--- a/src/test/java/org/dogwoodwinch/relay/TargetThatLeavesBeforeTheWriteTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/TargetThatLeavesBeforeTheWriteTest.java
@@ -7,7 +7,7 @@
 
 import java.util.Map;
 import java.util.Set;
-import org.dogwoodwinch.forwarding.ReadQueue;
+import org.dogwoodwinch.forwarding.PrefillQueue;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.junit.jupiter.api.Test;
@@ -126,8 +126,8 @@
                 .engine("p2", Stage.PREFILL)
                 .engine("d1", Stage.DECODE)
                 .engine("d2", Stage.DECODE);
-        TargetLoad busy = new TargetLoad(9, ReadQueue.one(0, 400_000));
-        split.loads.heard("peer", Map.of("d1", busy, "d2", busy));
+        TargetLoad busy = new TargetLoad(9, PrefillQueue.ofPrompt(0, 400_000));
+        split.loads.replacePeerLoads("peer", Map.of("d1", busy, "d2", busy));
         return split;
     }
 
--- a/src/test/java/org/dogwoodwinch/relay/TargetThatNamesALimitTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/TargetThatNamesALimitTest.java
@@ -109,7 +109,7 @@
             }
             instances.forEach(this::takeArrivals);
             time.advanceMillis(STEP_MILLIS);
-            instances.forEach(each -> each.shares.look());
+            instances.forEach(each -> each.shares.refresh());
             tellLoads();
         }
     }
@@ -118,7 +118,10 @@
         for (int i = 0; i < instances.size(); i++) {
             for (int j = 0; j < instances.size(); j++) {
                 if (i != j) {
-                    instances.get(i).loads.heard("i" + j, instances.get(j).loads.own());
+                    instances
+                            .get(i)
+                            .loads
+                            .replacePeerLoads("i" + j, instances.get(j).loads.ownLoads());
                 }
             }
         }
--- a/src/test/java/org/dogwoodwinch/relay/TargetsThatBreakOffTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/TargetsThatBreakOffTest.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.dogwoodwinch.forwarding.ReadQueue;
+import org.dogwoodwinch.forwarding.PrefillQueue;
 import org.dogwoodwinch.forwarding.Stage;
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.junit.jupiter.api.Test;
@@ -56,8 +56,8 @@
 
         play(split, "/model/a", (end, _id) -> end.reset());
 
-        assertTrue(split.parts.shared().isShared("s0"));
-        assertFalse(split.parts.shared().isShared("o0"));
+        assertTrue(split.parts.sharedSegments().isShared("s0"));
+        assertFalse(split.parts.sharedSegments().isShared("o0"));
     }
 
     /** The same where the reader rejects the call: that arrival counts too, and what follows is a repeat. */
@@ -99,13 +99,14 @@
         relay.caller().send(RelayFixture.get("/once/a", "a1"));
         RelayFixture.TargetEnd first = relay.target();
         first.answer(RelayFixture.success("a1", "one"));
-        relay.loads.heard("peer", Map.of(first.id().equals("t1") ? "t2" : "t1", new TargetLoad(5, ReadQueue.EMPTY)));
+        relay.loads.replacePeerLoads(
+                "peer", Map.of(first.id().equals("t1") ? "t2" : "t1", new TargetLoad(5, PrefillQueue.EMPTY)));
 
         relay.caller().send(RelayFixture.get("/once/b", "a2"));
         assertTrue(first.received().contains("a2"));
         first.reset();
 
-        assertEquals(2, relay.directory.ready("desk").size());
+        assertEquals(2, relay.directory.readyTargets("desk").size());
     }
 
     /** This instance's link is full, and bytes to a target stay unacknowledged: that is no act of the target. */
@@ -116,7 +117,7 @@
 
         relay.target().timeOut();
 
-        assertEquals(2, relay.directory.ready("desk").size());
+        assertEquals(2, relay.directory.readyTargets("desk").size());
     }
 
     /** Ten engines that only read and two that run; all have work, so that reading apart is sooner. */
@@ -126,8 +127,8 @@
             split.engine("p" + i, Stage.PREFILL);
         }
         split.engine("d1", Stage.DECODE).engine("d2", Stage.DECODE);
-        TargetLoad busy = new TargetLoad(9, ReadQueue.one(0, 4_000_000));
-        split.loads.heard("peer", Map.of("d1", busy, "d2", busy));
+        TargetLoad busy = new TargetLoad(9, PrefillQueue.ofPrompt(0, 4_000_000));
+        split.loads.replacePeerLoads("peer", Map.of("d1", busy, "d2", busy));
         return split;
     }
 
