--- a/src/main/java/org/dogwoodwinch/follow/ConditionalLog.java
+++ b/src/main/java/org/dogwoodwinch/follow/ConditionalLog.java
@@ -35,8 +35,8 @@
      * Writes a record.
      *
      * @param content the record, not null
-     * @param endOffset where the log has to end
+     * @param expectedEndOffset where the log has to end
      * @return completes with what became of it; never exceptionally
      */
-    CompletionStage<Appended> append(Bytes content, long endOffset);
+    CompletionStage<Appended> append(Bytes content, long expectedEndOffset);
 }
--- a/src/main/java/org/dogwoodwinch/follow/ReplicaPolicy.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicaPolicy.java
@@ -16,7 +16,7 @@
      * @param rank its place in the order of succession, zero is the first
      * @return milliseconds
      */
-    public long patienceMillis(int rank) {
+    public long takeoverDelayMillis(int rank) {
         return staggerMillis * Math.min(Math.max(0, rank - 1), mostStaggers);
     }
 }
--- a/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
@@ -41,10 +41,10 @@
     private static final Logger log = LoggerFactory.getLogger(ReplicatedStream.class);
 
     /** Records that are kept for followers that are a word behind; a storm of changes brings some tens a second. */
-    private static final int KEPT_RECORDS = 256;
+    private static final int MAX_BACKLOG_RECORDS = 256;
 
     /** A reader's sign of life where nothing is new: twice within the time that a word stands. */
-    private static final int SIGNS_WHILE_FRESH = 2;
+    private static final int HEARTBEATS_PER_STALENESS_BOUND = 2;
 
     private final String name;
     private final KeyedStream platform;
@@ -52,21 +52,21 @@
     private final TimeSource time;
     private final IntSupplier ownRank;
     private final Publisher publisher;
-    private final RepeatedMeaning repeated;
-    private final Deque<KeyedRecord> kept = new ArrayDeque<>();
-    private final Map<String, KeyedRecord> consumed = new LinkedHashMap<>();
-    private long consumedEndOffset = -1;
-    private boolean consumedWhole;
-    private long keptFirstOffset = -1;
-    private long keptEndOffset = -1;
-    private long toldFreshUntilMillis = Long.MIN_VALUE;
-    private long contactAtMillis = Long.MIN_VALUE;
-    private long saidAtMillis = Long.MIN_VALUE;
-    private long unsaidFromOffset = -1;
-    private Optional<Waiting> waiting = Optional.empty();
-    private Optional<CompletableFuture<ReadResult>> wholeAsked = Optional.empty();
-    private Optional<StreamUpdate> toldWhole = Optional.empty();
-    private long toldWholeUntilMillis = Long.MIN_VALUE;
+    private final RedundantRecordTracker redundantRecords;
+    private final Deque<KeyedRecord> backlog = new ArrayDeque<>();
+    private final Map<String, KeyedRecord> delivered = new LinkedHashMap<>();
+    private long deliveredEndOffset = -1;
+    private boolean snapshotDelivered;
+    private long backlogFirstOffset = -1;
+    private long backlogEndOffset = -1;
+    private long otherReaderFreshUntilMillis = Long.MIN_VALUE;
+    private long lastContactMillis = Long.MIN_VALUE;
+    private long lastPublishMillis = Long.MIN_VALUE;
+    private long unpublishedFromOffset = -1;
+    private Optional<PendingRead> pendingRead = Optional.empty();
+    private Optional<CompletableFuture<ReadResult>> pendingSnapshotRead = Optional.empty();
+    private Optional<StreamUpdate> receivedSnapshot = Optional.empty();
+    private long receivedSnapshotUntilMillis = Long.MIN_VALUE;
 
     /**
      * Creates a stream.
@@ -77,7 +77,7 @@
      * @param time the clock and timers, not null
      * @param ownRank this instance's place in the order of succession of its data centre, zero is the first, not null
      * @param publisher tells the others, not null
-     * @param meaning what a record says; two that say the same are equal, not null
+     * @param stateFunction what a record says; two that say the same are equal, not null
      */
     public ReplicatedStream(
             String name,
@@ -86,14 +86,14 @@
             TimeSource time,
             IntSupplier ownRank,
             Publisher publisher,
-            Function<KeyedRecord, Object> meaning) {
+            Function<KeyedRecord, Object> stateFunction) {
         this.name = Objects.requireNonNull(name, "name");
         this.platform = Objects.requireNonNull(platform, "platform");
         this.policy = Objects.requireNonNull(policy, "policy");
         this.time = Objects.requireNonNull(time, "time");
         this.ownRank = Objects.requireNonNull(ownRank, "ownRank");
         this.publisher = Objects.requireNonNull(publisher, "publisher");
-        this.repeated = new RepeatedMeaning(meaning, KEPT_RECORDS);
+        this.redundantRecords = new RedundantRecordTracker(stateFunction, MAX_BACKLOG_RECORDS);
     }
 
     /** Tells other instances, and asks them. */
@@ -102,11 +102,11 @@
         /**
          * Tells a word.
          *
-         * @param word the word, not null
+         * @param update the word, not null
          * @param ownReading whether it was read here: it is for the other data centres too; what came from one of them is
          *     for the own one alone, or two that both fail would pass it to each other for ever
          */
-        void tell(StreamUpdate word, boolean ownReading);
+        void tell(StreamUpdate update, boolean ownReading);
 
         /** Asks others for all that they know: the platform did not answer the first reading. */
         void want();
@@ -116,22 +116,22 @@
     public CompletionStage<ReadResult> newest(Optional<String> afterKey) {
         CompletableFuture<ReadResult> result = new CompletableFuture<>();
         if (afterKey.isEmpty()) {
-            wholeAsked = Optional.of(result);
-            if (toldWhole.isPresent() && time.monotonicMillis() < toldWholeUntilMillis) {
-                answerWhole(toldWhole.get());
+            pendingSnapshotRead = Optional.of(result);
+            if (receivedSnapshot.isPresent() && time.monotonicMillis() < receivedSnapshotUntilMillis) {
+                completeSnapshotRead(receivedSnapshot.get());
                 return result;
             }
         }
         platform.newest(afterKey).thenAccept(page -> {
             if (!(page instanceof ReadResult.Unavailable)) {
-                contactAtMillis = time.monotonicMillis();
+                lastContactMillis = time.monotonicMillis();
             }
             if (!result.isDone()) {
-                wholeAsked = Optional.empty();
+                pendingSnapshotRead = Optional.empty();
                 if (page instanceof ReadResult.Unavailable) {
                     publisher.want();
                 }
-                consumedPage(afterKey, page);
+                deliveredPage(afterKey, page);
                 result.complete(page);
             }
         });
@@ -140,46 +140,46 @@
 
     @Override
     public CompletionStage<ReadResult> read(long fromOffset, long waitMillis) {
-        Optional<ReadResult> known = fromKept(fromOffset);
+        Optional<ReadResult> known = readBacklog(fromOffset);
         if (known.isPresent()) {
-            return CompletableFuture.completedFuture(consumed(known.get()));
+            return CompletableFuture.completedFuture(delivered(known.get()));
         }
-        Waiting fresh = new Waiting(fromOffset, waitMillis);
-        waiting = Optional.of(fresh);
-        if (!told() || fromOffset < keptEndOffset) {
-            readPlatform(fresh, told() ? 0 : waitMillis);
+        PendingRead newRead = new PendingRead(fromOffset, waitMillis);
+        pendingRead = Optional.of(newRead);
+        if (!isCoveredByOtherReader() || fromOffset < backlogEndOffset) {
+            readPlatform(newRead, isCoveredByOtherReader() ? 0 : waitMillis);
         } else {
-            watch(fresh);
+            scheduleTakeover(newRead);
         }
-        return fresh.result;
+        return newRead.result;
     }
 
     /**
      * Hears another instance of the data centre.
      *
-     * @param word what it says, not null
-     * @param before whether it stands before this instance in the order of succession
+     * @param update what it says, not null
+     * @param fromPredecessor whether it stands before this instance in the order of succession
      */
-    public void heard(StreamUpdate word, boolean before) {
-        if (before) {
-            long until = time.monotonicMillis() - word.contactAgeMillis() + policy.freshMillis();
-            toldFreshUntilMillis = Math.max(toldFreshUntilMillis, until);
+    public void heard(StreamUpdate update, boolean fromPredecessor) {
+        if (fromPredecessor) {
+            long until = time.monotonicMillis() - update.contactAgeMillis() + policy.freshMillis();
+            otherReaderFreshUntilMillis = Math.max(otherReaderFreshUntilMillis, until);
         }
-        take(word);
+        apply(update);
     }
 
     /**
      * Hears a reader of another data centre. Its word is needed where this data centre's own readings fail, and is then
      * passed on; otherwise the data centre's own reading is as good and does not cross a border.
      *
-     * @param word what it says, not null
+     * @param update what it says, not null
      */
-    public void heardAbroad(StreamUpdate word) {
-        long sinceMillis = ageMillis();
-        boolean ownFails = sinceMillis < 0 || sinceMillis > policy.freshMillis();
-        take(word);
-        if (ownFails && !told() && !word.whole()) {
-            publisher.tell(word, false);
+    public void heardAbroad(StreamUpdate update) {
+        long currentAgeMillis = ageMillis();
+        boolean ownReadsFail = currentAgeMillis < 0 || currentAgeMillis > policy.freshMillis();
+        apply(update);
+        if (ownReadsFail && !isCoveredByOtherReader() && !update.whole()) {
+            publisher.tell(update, false);
         }
     }
 
@@ -189,17 +189,17 @@
      * @return the newest record of each key, empty before the first whole reading
      */
     public Optional<StreamUpdate> whole() {
-        if (!consumedWhole) {
+        if (!snapshotDelivered) {
             return Optional.empty();
         }
-        List<KeyedRecord> records = List.copyOf(consumed.values());
+        List<KeyedRecord> records = List.copyOf(delivered.values());
         long ageMillis = ageMillis();
         return Optional.of(new StreamUpdate(
                 name,
                 true,
                 records,
-                consumedEndOffset,
-                consumedEndOffset,
+                deliveredEndOffset,
+                deliveredEndOffset,
                 ageMillis < 0 ? StreamUpdate.UNKNOWN_AGE_MILLIS : ageMillis));
     }
 
@@ -210,194 +210,195 @@
      */
     public long ageMillis() {
         long nowMillis = time.monotonicMillis();
-        long toldContact =
-                toldFreshUntilMillis == Long.MIN_VALUE ? Long.MIN_VALUE : toldFreshUntilMillis - policy.freshMillis();
-        long last = Math.max(contactAtMillis, toldContact);
-        return last == Long.MIN_VALUE ? -1 : Math.max(0, nowMillis - last);
+        long otherReaderContactMillis = otherReaderFreshUntilMillis == Long.MIN_VALUE
+                ? Long.MIN_VALUE
+                : otherReaderFreshUntilMillis - policy.freshMillis();
+        long lastAnyContactMillis = Math.max(lastContactMillis, otherReaderContactMillis);
+        return lastAnyContactMillis == Long.MIN_VALUE ? -1 : Math.max(0, nowMillis - lastAnyContactMillis);
     }
 
-    private void take(StreamUpdate word) {
-        if (word.whole()) {
-            toldWhole = Optional.of(word);
-            toldWholeUntilMillis = time.monotonicMillis() + policy.freshMillis();
-            if (wholeAsked.isPresent()) {
-                answerWhole(word);
+    private void apply(StreamUpdate update) {
+        if (update.whole()) {
+            receivedSnapshot = Optional.of(update);
+            receivedSnapshotUntilMillis = time.monotonicMillis() + policy.freshMillis();
+            if (pendingSnapshotRead.isPresent()) {
+                completeSnapshotRead(update);
             }
             return;
         }
-        keep(word.records(), word.firstOffset(), word.nextOffset());
-        waiting.ifPresent(this::answerFromKept);
+        addToBacklog(update.records(), update.firstOffset(), update.nextOffset());
+        pendingRead.ifPresent(this::completeFromBacklog);
     }
 
     /** A reading of one's own that is under way is left alone while the platform answers: its answer is on the way. */
-    private void answerFromKept(Waiting asked) {
-        if (asked.reading && contactAtMillis > time.monotonicMillis() - policy.freshMillis()) {
+    private void completeFromBacklog(PendingRead read) {
+        if (read.readingPlatform && lastContactMillis > time.monotonicMillis() - policy.freshMillis()) {
             return;
         }
-        Optional<ReadResult> known = fromKept(asked.fromOffset);
+        Optional<ReadResult> known = readBacklog(read.fromOffset);
         if (known.isPresent()) {
-            answer(asked, known.get());
-        } else if (!asked.reading && asked.fromOffset < keptEndOffset) {
-            asked.timer.cancel();
-            readPlatform(asked, 0);
+            complete(read, known.get());
+        } else if (!read.readingPlatform && read.fromOffset < backlogEndOffset) {
+            read.timer.cancel();
+            readPlatform(read, 0);
         }
     }
 
-    private void answerWhole(StreamUpdate word) {
-        CompletableFuture<ReadResult> asked = wholeAsked.orElseThrow();
-        wholeAsked = Optional.empty();
-        toldWhole = Optional.empty();
-        ReadResult.Page page = new ReadResult.Page(word.records(), false, word.nextOffset());
-        consumedPage(Optional.empty(), page);
+    private void completeSnapshotRead(StreamUpdate update) {
+        CompletableFuture<ReadResult> snapshotRead = pendingSnapshotRead.orElseThrow();
+        pendingSnapshotRead = Optional.empty();
+        receivedSnapshot = Optional.empty();
+        ReadResult.Page page = new ReadResult.Page(update.records(), false, update.nextOffset());
+        deliveredPage(Optional.empty(), page);
         LogEvent.of("stream_told_whole")
                 .with("stream", name)
-                .with("records", word.records().size())
-                .with("offset", word.nextOffset())
-                .with("ageMillis", word.contactAgeMillis())
+                .with("records", update.records().size())
+                .with("offset", update.nextOffset())
+                .with("ageMillis", update.contactAgeMillis())
                 .info(log);
-        asked.complete(page);
+        snapshotRead.complete(page);
     }
 
     /** Whether another instance's word stands for a reading of one's own. */
-    private boolean told() {
-        return time.monotonicMillis() < readersTimeMillis();
+    private boolean isCoveredByOtherReader() {
+        return time.monotonicMillis() < takeoverMillis();
     }
 
-    private long readersTimeMillis() {
-        return toldFreshUntilMillis == Long.MIN_VALUE
+    private long takeoverMillis() {
+        return otherReaderFreshUntilMillis == Long.MIN_VALUE
                 ? Long.MIN_VALUE
-                : toldFreshUntilMillis + policy.patienceMillis(ownRank.getAsInt());
+                : otherReaderFreshUntilMillis + policy.takeoverDelayMillis(ownRank.getAsInt());
     }
 
-    private void watch(Waiting asked) {
-        long leftMillis = readersTimeMillis() - time.monotonicMillis();
-        asked.timer = time.schedule(Math.max(1, leftMillis), () -> {
-            if (told()) {
-                watch(asked);
+    private void scheduleTakeover(PendingRead read) {
+        long remainingMillis = takeoverMillis() - time.monotonicMillis();
+        read.timer = time.schedule(Math.max(1, remainingMillis), () -> {
+            if (isCoveredByOtherReader()) {
+                scheduleTakeover(read);
             } else {
-                readPlatform(asked, asked.waitMillis);
+                readPlatform(read, read.waitMillis);
             }
         });
     }
 
-    private void answer(Waiting asked, ReadResult result) {
-        asked.timer.cancel();
-        waiting = waiting.filter(other -> other != asked);
-        if (!asked.result.isDone()) {
-            asked.result.complete(consumed(result));
+    private void complete(PendingRead read, ReadResult result) {
+        read.timer.cancel();
+        pendingRead = pendingRead.filter(other -> other != read);
+        if (!read.result.isDone()) {
+            read.result.complete(delivered(result));
         }
     }
 
-    private void readPlatform(Waiting asked, long waitMillis) {
-        asked.reading = true;
-        platform.read(asked.fromOffset, waitMillis).thenAccept(result -> {
+    private void readPlatform(PendingRead read, long waitMillis) {
+        read.readingPlatform = true;
+        platform.read(read.fromOffset, waitMillis).thenAccept(result -> {
             if (!(result instanceof ReadResult.Unavailable)) {
-                contactAtMillis = time.monotonicMillis();
+                lastContactMillis = time.monotonicMillis();
             }
             if (result instanceof ReadResult.Batch batch) {
-                boolean news = repeated.read(asked.fromOffset, batch.nextOffset(), batch.records());
-                keep(batch.records(), asked.fromOffset, batch.nextOffset());
-                say(asked.fromOffset, batch.nextOffset(), news);
+                boolean changed = redundantRecords.observe(read.fromOffset, batch.nextOffset(), batch.records());
+                addToBacklog(batch.records(), read.fromOffset, batch.nextOffset());
+                publishBatch(read.fromOffset, batch.nextOffset(), changed);
             }
-            answer(asked, result);
+            complete(read, result);
         });
     }
 
     /** News at once; a sign of life, which says up to where there was none, before the last word is too old. */
-    private void say(long fromOffset, long nextOffset, boolean news) {
-        if (told()) {
-            unsaidFromOffset = -1;
+    private void publishBatch(long fromOffset, long nextOffset, boolean changed) {
+        if (isCoveredByOtherReader()) {
+            unpublishedFromOffset = -1;
             return;
         }
-        if (unsaidFromOffset < 0 || unsaidFromOffset > fromOffset) {
-            unsaidFromOffset = fromOffset;
+        if (unpublishedFromOffset < 0 || unpublishedFromOffset > fromOffset) {
+            unpublishedFromOffset = fromOffset;
         }
-        boolean due = saidAtMillis == Long.MIN_VALUE
-                || time.monotonicMillis() - saidAtMillis >= policy.freshMillis() / SIGNS_WHILE_FRESH;
-        if (!news && !due) {
+        boolean isHeartbeatDue = lastPublishMillis == Long.MIN_VALUE
+                || time.monotonicMillis() - lastPublishMillis >= policy.freshMillis() / HEARTBEATS_PER_STALENESS_BOUND;
+        if (!changed && !isHeartbeatDue) {
             return;
         }
-        long firstOffset = Math.max(unsaidFromOffset, keptFirstOffset);
-        List<KeyedRecord> said = kept.stream()
-                .filter(record -> record.offset() >= firstOffset && !repeated.contains(record.offset()))
+        long firstOffset = Math.max(unpublishedFromOffset, backlogFirstOffset);
+        List<KeyedRecord> records = backlog.stream()
+                .filter(record -> record.offset() >= firstOffset && !redundantRecords.isRedundant(record.offset()))
                 .toList();
-        saidAtMillis = time.monotonicMillis();
-        unsaidFromOffset = -1;
-        publisher.tell(new StreamUpdate(name, false, said, firstOffset, nextOffset, 0), true);
+        lastPublishMillis = time.monotonicMillis();
+        unpublishedFromOffset = -1;
+        publisher.tell(new StreamUpdate(name, false, records, firstOffset, nextOffset, 0), true);
     }
 
-    private void keep(List<KeyedRecord> records, long firstOffset, long endOffset) {
-        if (endOffset <= keptEndOffset) {
+    private void addToBacklog(List<KeyedRecord> records, long firstOffset, long endOffset) {
+        if (endOffset <= backlogEndOffset) {
             return;
         }
-        if (firstOffset > keptEndOffset || keptFirstOffset < 0) {
-            kept.clear();
-            keptFirstOffset = firstOffset;
+        if (firstOffset > backlogEndOffset || backlogFirstOffset < 0) {
+            backlog.clear();
+            backlogFirstOffset = firstOffset;
         }
         for (KeyedRecord record : records) {
-            if (record.offset() >= keptEndOffset) {
-                kept.addLast(record);
+            if (record.offset() >= backlogEndOffset) {
+                backlog.addLast(record);
             }
         }
-        while (kept.size() > KEPT_RECORDS) {
-            keptFirstOffset = kept.removeFirst().offset() + 1;
+        while (backlog.size() > MAX_BACKLOG_RECORDS) {
+            backlogFirstOffset = backlog.removeFirst().offset() + 1;
         }
-        keptEndOffset = endOffset;
+        backlogEndOffset = endOffset;
     }
 
     /** Records from an offset on, where all of them that say something are kept. */
-    private Optional<ReadResult> fromKept(long fromOffset) {
-        if (keptFirstOffset < 0 || fromOffset >= keptEndOffset || keptFirstOffset > fromOffset) {
+    private Optional<ReadResult> readBacklog(long fromOffset) {
+        if (backlogFirstOffset < 0 || fromOffset >= backlogEndOffset || backlogFirstOffset > fromOffset) {
             return Optional.empty();
         }
-        List<KeyedRecord> wanted = new ArrayList<>();
-        for (KeyedRecord record : kept) {
+        List<KeyedRecord> records = new ArrayList<>();
+        for (KeyedRecord record : backlog) {
             if (record.offset() >= fromOffset) {
-                wanted.add(record);
+                records.add(record);
             }
         }
-        return Optional.of(new ReadResult.Batch(wanted, keptEndOffset));
+        return Optional.of(new ReadResult.Batch(records, backlogEndOffset));
     }
 
     /** What goes to the follower is what a newcomer is told. */
-    private ReadResult consumed(ReadResult result) {
+    private ReadResult delivered(ReadResult result) {
         if (result instanceof ReadResult.Batch batch) {
-            batch.records().forEach(this::consume);
-            consumedEndOffset = Math.max(consumedEndOffset, batch.nextOffset());
+            batch.records().forEach(this::deliver);
+            deliveredEndOffset = Math.max(deliveredEndOffset, batch.nextOffset());
         } else if (!(result instanceof ReadResult.Unavailable)) {
-            consumedWhole = false;
+            snapshotDelivered = false;
         }
         return result;
     }
 
-    private void consumedPage(Optional<String> afterKey, ReadResult result) {
+    private void deliveredPage(Optional<String> afterKey, ReadResult result) {
         if (!(result instanceof ReadResult.Page page)) {
             return;
         }
         if (afterKey.isEmpty()) {
-            consumed.clear();
-            consumedEndOffset = page.endOffset();
+            delivered.clear();
+            deliveredEndOffset = page.endOffset();
         }
-        page.records().forEach(this::consume);
-        consumedWhole = !page.more();
+        page.records().forEach(this::deliver);
+        snapshotDelivered = !page.more();
     }
 
-    private void consume(KeyedRecord record) {
+    private void deliver(KeyedRecord record) {
         if (record.value().isPresent()) {
-            consumed.put(record.key(), record);
+            delivered.put(record.key(), record);
         } else {
-            consumed.remove(record.key());
+            delivered.remove(record.key());
         }
     }
 
-    private static final class Waiting {
+    private static final class PendingRead {
         private final long fromOffset;
         private final long waitMillis;
         private final CompletableFuture<ReadResult> result = new CompletableFuture<>();
         private Cancellable timer = () -> {};
-        private boolean reading;
+        private boolean readingPlatform;
 
-        Waiting(long fromOffset, long waitMillis) {
+        PendingRead(long fromOffset, long waitMillis) {
             this.fromOffset = fromOffset;
             this.waitMillis = waitMillis;
         }
--- a/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
@@ -21,11 +21,11 @@
     private final FollowListener listener;
     private final TimeSource time;
     private final UniformRandomProvider random;
-    private Set<String> listed = new HashSet<>();
+    private Set<String> snapshotKeys = new HashSet<>();
     private Optional<String> afterKey = Optional.empty();
-    private long firstPageEnd = -1;
+    private long snapshotEndOffset = -1;
     private long nextOffset = -1;
-    private int failuresInARow;
+    private int consecutiveFailures;
     private boolean stopped;
 
     /**
@@ -61,18 +61,18 @@
     }
 
     private void readPage() {
-        stream.newest(afterKey).thenAccept(this::took);
+        stream.newest(afterKey).thenAccept(this::onResult);
     }
 
-    private void readOn() {
+    private void readNext() {
         if (nextOffset < 0) {
             readPage();
             return;
         }
-        stream.read(nextOffset, policy.waitMillis()).thenAccept(this::took);
+        stream.read(nextOffset, policy.waitMillis()).thenAccept(this::onResult);
     }
 
-    private void took(ReadResult result) {
+    private void onResult(ReadResult result) {
         if (stopped) {
             return;
         }
@@ -80,29 +80,29 @@
             backOff(unavailable.reason());
             return;
         }
-        if (failuresInARow > 0) {
-            failuresInARow = 0;
+        if (consecutiveFailures > 0) {
+            consecutiveFailures = 0;
             listener.regained();
         }
         if (result instanceof ReadResult.Page page) {
-            tookPage(page);
+            onPage(page);
         } else if (result instanceof ReadResult.Batch batch) {
             batch.records().forEach(listener::record);
             nextOffset = Math.max(nextOffset, batch.nextOffset());
-            time.schedule(policy.pauseMillis(), this::readOnUnlessStopped);
+            time.schedule(policy.pauseMillis(), this::readNextUnlessStopped);
         } else {
             nextOffset = -1;
             readPage();
         }
     }
 
-    private void tookPage(ReadResult.Page page) {
+    private void onPage(ReadResult.Page page) {
         if (afterKey.isEmpty()) {
-            firstPageEnd = page.endOffset();
-            listed = new HashSet<>();
+            snapshotEndOffset = page.endOffset();
+            snapshotKeys = new HashSet<>();
         }
         for (KeyedRecord record : page.records()) {
-            listed.add(record.key());
+            snapshotKeys.add(record.key());
             afterKey = Optional.of(record.key());
             listener.record(record);
         }
@@ -111,25 +111,25 @@
             return;
         }
         afterKey = Optional.empty();
-        nextOffset = firstPageEnd;
-        listener.readWhole(Set.copyOf(listed), firstPageEnd);
-        readOn();
+        nextOffset = snapshotEndOffset;
+        listener.readWhole(Set.copyOf(snapshotKeys), snapshotEndOffset);
+        readNext();
     }
 
     /** Spread, so that instances which lost the platform together do not all come back in one moment. */
     private void backOff(String reason) {
-        if (failuresInARow == 0) {
+        if (consecutiveFailures == 0) {
             listener.lost(reason);
         }
-        long doubled = policy.firstBackoffMillis() << Math.min(failuresInARow, 10);
-        long longest = Math.min(policy.maxBackoffMillis(), doubled);
-        failuresInARow++;
-        time.schedule(longest / 2 + random.nextLong(longest / 2 + 1), this::readOnUnlessStopped);
+        long exponentialMillis = policy.firstBackoffMillis() << Math.min(consecutiveFailures, 10);
+        long maxPauseMillis = Math.min(policy.maxBackoffMillis(), exponentialMillis);
+        consecutiveFailures++;
+        time.schedule(maxPauseMillis / 2 + random.nextLong(maxPauseMillis / 2 + 1), this::readNextUnlessStopped);
     }
 
-    private void readOnUnlessStopped() {
+    private void readNextUnlessStopped() {
         if (!stopped) {
-            readOn();
+            readNext();
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/LateMessages.java
+++ b/src/main/java/org/dogwoodwinch/peer/LateMessages.java
@@ -14,26 +14,26 @@
     /** Half of what a relay's word may be old before an instance reads for itself. */
     private static final long LATE_MILLIS = 500;
 
-    private static final long IN_TIME_MILLIS = 200;
+    private static final long RECOVERED_MILLIS = 200;
 
     private final Map<String, Long> longestMillisBySender = new HashMap<>();
 
     /** A message came that was on its way for so long. */
-    void came(String sender, long wayMillis) {
+    void onMessage(String sender, long transitMillis) {
         Long longestMillis = longestMillisBySender.get(sender);
-        if (longestMillis != null && wayMillis <= IN_TIME_MILLIS) {
+        if (longestMillis != null && transitMillis <= RECOVERED_MILLIS) {
             longestMillisBySender.remove(sender);
             LogEvent.of("peer_messages_in_time")
                     .with("peer", sender)
                     .with("longestWayMillis", longestMillis)
                     .info(log);
         } else if (longestMillis != null) {
-            longestMillisBySender.put(sender, Math.max(longestMillis, wayMillis));
-        } else if (wayMillis >= LATE_MILLIS) {
-            longestMillisBySender.put(sender, wayMillis);
+            longestMillisBySender.put(sender, Math.max(longestMillis, transitMillis));
+        } else if (transitMillis >= LATE_MILLIS) {
+            longestMillisBySender.put(sender, transitMillis);
             LogEvent.of("peer_messages_late")
                     .with("peer", sender)
-                    .with("wayMillis", wayMillis)
+                    .with("wayMillis", transitMillis)
                     .info(log);
         }
     }
--- a/src/main/java/org/dogwoodwinch/peer/LeavingTargets.java
+++ b/src/main/java/org/dogwoodwinch/peer/LeavingTargets.java
@@ -19,40 +19,40 @@
 
     private static final int MAX_TARGETS = 10_000;
 
-    private final PeerBoard board;
-    private final long keepMillis;
+    private final PeerBoard bus;
+    private final long ttlMillis;
     private final Cache<String, Boolean> leaving;
 
     /**
      * Creates the set and listens to the board.
      *
-     * @param board the notice board, not null
+     * @param bus the notice board, not null
      * @param time the clock, not null
-     * @param keepMillis how long a target counts as leaving after the last word, in milliseconds
+     * @param ttlMillis how long a target counts as leaving after the last word, in milliseconds
      */
-    public LeavingTargets(PeerBoard board, TimeSource time, long keepMillis) {
-        this.board = Objects.requireNonNull(board, "board");
-        this.keepMillis = keepMillis;
+    public LeavingTargets(PeerBoard bus, TimeSource time, long ttlMillis) {
+        this.bus = Objects.requireNonNull(bus, "bus");
+        this.ttlMillis = ttlMillis;
         Ticker ticker = time::monotonicNanos;
         this.leaving = Caffeine.newBuilder()
                 .maximumSize(MAX_TARGETS)
-                .expireAfterWrite(Duration.ofMillis(keepMillis))
+                .expireAfterWrite(Duration.ofMillis(ttlMillis))
                 .ticker(ticker)
                 .executor(Runnable::run)
                 .build();
-        board.subscribe(PeerTopic.LEAVING, item -> leaving.put(item.key(), Boolean.TRUE));
+        bus.subscribe(PeerTopic.LEAVING, update -> leaving.put(update.key(), Boolean.TRUE));
     }
 
     /**
      * A target refused because it is leaving.
      *
-     * @param target its name, not null
+     * @param targetName its name, not null
      */
-    public void onRefused(String target) {
-        if (leaving.getIfPresent(target) == null) {
-            board.publish(PeerTopic.LEAVING, target, Bytes.EMPTY, keepMillis);
+    public void onRefused(String targetName) {
+        if (leaving.getIfPresent(targetName) == null) {
+            bus.publish(PeerTopic.LEAVING, targetName, Bytes.EMPTY, ttlMillis);
         }
-        leaving.put(target, Boolean.TRUE);
+        leaving.put(targetName, Boolean.TRUE);
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/peer/MemberList.java
+++ b/src/main/java/org/dogwoodwinch/peer/MemberList.java
@@ -34,23 +34,23 @@
     private static final int FIELDS = 4;
 
     /** Renewals that may be missed: a store that is away for some seconds loses one or two. */
-    private static final int KEPT_INTERVALS = 3;
+    private static final int MEMBER_TIMEOUT_INTERVALS = 3;
 
     /** This instance doubts that the others count on it before they cease to: its last record may have come late to them. */
-    private static final int SURE_INTERVALS = 2;
+    private static final int ANNOUNCEMENT_VALID_INTERVALS = 2;
 
     private final String ownName;
     private final KeyedWriter writer;
     private final TimeSource time;
     private final long renewMillis;
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Map<String, Announcement> announcements = new HashMap<>();
     private boolean leaving;
-    private boolean readOnce;
-    private boolean announcedOnce;
-    private boolean announced;
-    private boolean following = true;
-    private long announcedAtMillis;
-    private long regularSinceMillis;
+    private boolean snapshotRead;
+    private boolean everAnnounced;
+    private boolean lastAnnouncementStored;
+    private boolean storeReachable = true;
+    private long lastAnnouncementMillis;
+    private long storeHealthySinceMillis;
     private int mostSeenCount = 1;
 
     /**
@@ -77,15 +77,15 @@
         if (leaving) {
             return;
         }
-        long beganMillis = time.monotonicMillis();
+        long startMillis = time.monotonicMillis();
         writer.put(self.name(), Optional.of(encode(self))).thenAccept(written -> {
             if (written) {
-                announcedOnce = true;
-                announcedAtMillis = beganMillis;
+                everAnnounced = true;
+                lastAnnouncementMillis = startMillis;
             } else {
                 LogEvent.of("member_not_announced").with("member", self.name()).info(log);
             }
-            regular(written, following);
+            updateStoreHealth(written, storeReachable);
         });
         time.schedule(renewMillis, () -> start(self));
     }
@@ -106,10 +106,10 @@
      * @return those that announced themselves of late
      */
     public List<PeerMember> others() {
-        long oldestMillis = time.monotonicMillis() - KEPT_INTERVALS * renewMillis;
-        return heard.values().stream()
-                .filter(each -> each.atMillis >= oldestMillis)
-                .map(Heard::member)
+        long oldestMillis = time.monotonicMillis() - MEMBER_TIMEOUT_INTERVALS * renewMillis;
+        return announcements.values().stream()
+                .filter(each -> each.receivedMillis >= oldestMillis)
+                .map(Announcement::member)
                 .toList();
     }
 
@@ -125,25 +125,29 @@
      */
     public Optional<Set<String>> countedOn() {
         long nowMillis = time.monotonicMillis();
-        if (!readOnce || leaving || !announcedOnce || nowMillis - announcedAtMillis >= SURE_INTERVALS * renewMillis) {
+        if (!snapshotRead
+                || leaving
+                || !everAnnounced
+                || nowMillis - lastAnnouncementMillis >= ANNOUNCEMENT_VALID_INTERVALS * renewMillis) {
             return Optional.empty();
         }
-        if (announced && following) {
-            heard.values()
-                    .removeIf(each ->
-                            nowMillis - Math.max(each.atMillis, regularSinceMillis) > KEPT_INTERVALS * renewMillis);
+        if (lastAnnouncementStored && storeReachable) {
+            announcements
+                    .values()
+                    .removeIf(each -> nowMillis - Math.max(each.receivedMillis, storeHealthySinceMillis)
+                            > MEMBER_TIMEOUT_INTERVALS * renewMillis);
         }
-        Set<String> names = new HashSet<>(heard.keySet());
+        Set<String> names = new HashSet<>(announcements.keySet());
         names.add(ownName);
         return Optional.of(names);
     }
 
-    private void regular(boolean nowAnnounced, boolean nowFollowing) {
-        if (nowAnnounced && nowFollowing && !(announced && following)) {
-            regularSinceMillis = time.monotonicMillis();
+    private void updateStoreHealth(boolean announcementStored, boolean streamReachable) {
+        if (announcementStored && streamReachable && !(lastAnnouncementStored && storeReachable)) {
+            storeHealthySinceMillis = time.monotonicMillis();
         }
-        announced = nowAnnounced;
-        following = nowFollowing;
+        lastAnnouncementStored = announcementStored;
+        storeReachable = streamReachable;
     }
 
     /**
@@ -155,7 +159,7 @@
      * @return the most instances that were believed in at once, this one included; empty before the first full reading
      */
     public OptionalInt mostSeenCount() {
-        return readOnce ? OptionalInt.of(mostSeenCount) : OptionalInt.empty();
+        return snapshotRead ? OptionalInt.of(mostSeenCount) : OptionalInt.empty();
     }
 
     @Override
@@ -165,9 +169,9 @@
         }
         Optional<PeerMember> member = record.value().flatMap(value -> decode(record.key(), value));
         if (member.isEmpty()) {
-            heard.remove(record.key());
+            announcements.remove(record.key());
         } else {
-            heard.put(record.key(), new Heard(member.get(), time.monotonicMillis()));
+            announcements.put(record.key(), new Announcement(member.get(), time.monotonicMillis()));
             mostSeenCount = Math.max(mostSeenCount, others().size() + 1);
         }
         LogEvent.of("member_heard")
@@ -181,29 +185,29 @@
 
     @Override
     public void readWhole(Set<String> keys, long _endOffset) {
-        heard.keySet().retainAll(keys);
-        readOnce = true;
+        announcements.keySet().retainAll(keys);
+        snapshotRead = true;
     }
 
     @Override
     public void regained() {
-        regular(announced, true);
+        updateStoreHealth(lastAnnouncementStored, true);
         LogEvent.of("store_regained").with("stream", TOPIC).info(log);
     }
 
     @Override
     public void lost(String reason) {
-        regular(announced, false);
+        updateStoreHealth(lastAnnouncementStored, false);
         LogEvent.of("store_lost").with("stream", TOPIC).with("reason", reason).warn(log);
     }
 
     private static Bytes encode(PeerMember member) {
-        return Packing.pack(member, (packer, said) -> {
+        return Packing.pack(member, (packer, value) -> {
             packer.packArrayHeader(FIELDS);
-            packer.packString(said.host());
-            packer.packInt(said.peerPort());
-            packer.packString(said.dataCentre());
-            packer.packDouble(said.linkMbps());
+            packer.packString(value.host());
+            packer.packInt(value.peerPort());
+            packer.packString(value.dataCentre());
+            packer.packDouble(value.linkMbps());
         });
     }
 
@@ -227,5 +231,5 @@
         }
     }
 
-    private record Heard(PeerMember member, long atMillis) {}
+    private record Announcement(PeerMember member, long receivedMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
+++ b/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
@@ -39,28 +39,28 @@
 
     private static final Logger log = LoggerFactory.getLogger(NettyPeerTransport.class);
 
-    private static final int LENGTH_BYTES = 4;
-    private static final int IDLE_SECONDS = 60;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int IDLE_TIMEOUT_SECONDS = 60;
     /** Many ways between data centres; a member that was down is reached as soon again after it is back. */
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     /**
      * Failure: a member loses power and starts again; until the old connection is found dead it hears nothing, and has
      * nothing to serve by where the platform turns it away. A word is told several times a second, so a second without an
      * acknowledgement is no slow link.
      */
-    private static final int UNACKNOWLEDGED_MILLIS = 1_000;
+    private static final int UNACKNOWLEDGED_TIMEOUT_MILLIS = 1_000;
 
-    private static final int MAX_CONNECTIONS_IN = 1_024;
+    private static final int MAX_INBOUND_CONNECTIONS = 1_024;
 
     private final Transport sockets;
     private final int maxMessageBytes;
     private final Optional<SslContext> serverTls;
     private final Optional<SslContext> clientTls;
-    private final Map<PeerMember, ChannelFuture> connections = new ConcurrentHashMap<>();
-    private final Map<Channel, Boolean> accepted = new ConcurrentHashMap<>();
+    private final Map<PeerMember, ChannelFuture> outboundConnections = new ConcurrentHashMap<>();
+    private final Map<Channel, Boolean> inboundChannels = new ConcurrentHashMap<>();
     private Optional<Channel> listener = Optional.empty();
-    private Consumer<PeerMember> onConnected = _member -> {};
+    private Consumer<PeerMember> connectionListener = _member -> {};
 
     /**
      * Creates a transport.
@@ -83,10 +83,10 @@
      *
      * @param host the IP number to listen on, not null
      * @param port the port, zero for any free one
-     * @param receiver takes each message and says whether it was right; where it was not, the connection is closed
+     * @param messageHandler takes each message and says whether it was right; where it was not, the connection is closed
      * @return the port that it listens on
      */
-    public synchronized int listen(String host, int port, Predicate<Bytes> receiver) {
+    public synchronized int listen(String host, int port, Predicate<Bytes> messageHandler) {
         Channel channel = new ServerBootstrap()
                 .group(sockets.group())
                 .channel(sockets.serverChannel())
@@ -94,7 +94,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accept) {
-                        initAccepted(accept, receiver);
+                        initInboundChannel(accept, messageHandler);
                     }
                 })
                 .bind(host, port)
@@ -108,27 +108,29 @@
      * Starts to listen, and says when a connection to a member was opened.
      *
      * @param address where to listen, not null
-     * @param receiver takes each message and says whether it was right; where it was not, the connection is closed
-     * @param connected hears of each new connection to a member, on the event loop, not null
+     * @param messageHandler takes each message and says whether it was right; where it was not, the connection is closed
+     * @param connectionListener hears of each new connection to a member, on the event loop, not null
      * @return the port that it listens on
      */
-    public int listen(InetSocketAddress address, Predicate<Bytes> receiver, Consumer<PeerMember> connected) {
-        onConnected = Objects.requireNonNull(connected, "connected");
-        return listen(address.getHostString(), address.getPort(), receiver);
+    public int listen(
+            InetSocketAddress address, Predicate<Bytes> messageHandler, Consumer<PeerMember> connectionListener) {
+        this.connectionListener = Objects.requireNonNull(connectionListener, "connectionListener");
+        return listen(address.getHostString(), address.getPort(), messageHandler);
     }
 
-    private void initAccepted(SocketChannel channel, Predicate<Bytes> receiver) {
-        if (accepted.size() >= MAX_CONNECTIONS_IN) {
-            outcomeUnused(channel.close());
+    private void initInboundChannel(SocketChannel channel, Predicate<Bytes> messageHandler) {
+        if (inboundChannels.size() >= MAX_INBOUND_CONNECTIONS) {
+            ignoreOutcome(channel.close());
             return;
         }
-        accepted.put(channel, Boolean.TRUE);
-        outcomeUnused(channel.closeFuture().addListener(_done -> accepted.remove(channel)));
+        inboundChannels.put(channel, Boolean.TRUE);
+        ignoreOutcome(channel.closeFuture().addListener(_done -> inboundChannels.remove(channel)));
         serverTls.ifPresent(tls -> channel.pipeline().addLast(tls.newHandler(channel.alloc())));
         channel.pipeline()
-                .addLast(new IdleStateHandler(2 * IDLE_SECONDS, 0, 0))
-                .addLast(new LengthFieldBasedFrameDecoder(maxMessageBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                .addLast(new Inbound(receiver));
+                .addLast(new IdleStateHandler(2 * IDLE_TIMEOUT_SECONDS, 0, 0))
+                .addLast(
+                        new LengthFieldBasedFrameDecoder(maxMessageBytes, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
+                .addLast(new InboundHandler(messageHandler));
     }
 
     @Override
@@ -136,13 +138,13 @@
         if (message.length() > maxMessageBytes) {
             return;
         }
-        ChannelFuture connection = connections.computeIfAbsent(member, this::connect);
-        outcomeUnused(connection.addListener(_connected -> {
+        ChannelFuture connection = outboundConnections.computeIfAbsent(member, this::connect);
+        ignoreOutcome(connection.addListener(_connected -> {
             if (!connection.isSuccess()) {
-                connections.remove(member, connection);
+                outboundConnections.remove(member, connection);
             } else if (connection.channel().isWritable()) {
                 // A member that reads slowly misses a round; queueing for it would only grow the heap.
-                outcomeUnused(connection.channel().writeAndFlush(Unpooled.wrappedBuffer(message.toByteArray())));
+                ignoreOutcome(connection.channel().writeAndFlush(Unpooled.wrappedBuffer(message.toByteArray())));
             }
         }));
     }
@@ -150,11 +152,11 @@
     private ChannelFuture connect(PeerMember member) {
         Bootstrap bootstrap = new Bootstrap();
         // A connection that went silent would keep a member unheard for as long as bytes are written to it.
-        sockets.setUnacknowledgedTimeout(bootstrap, UNACKNOWLEDGED_MILLIS);
+        sockets.setUnacknowledgedTimeout(bootstrap, UNACKNOWLEDGED_TIMEOUT_MILLIS);
         ChannelFuture connection = bootstrap
                 .group(sockets.group())
                 .channel(sockets.channel())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -162,17 +164,19 @@
                         clientTls.ifPresent(tls -> channel.pipeline()
                                 .addLast(tls.newHandler(channel.alloc(), member.host(), member.peerPort())));
                         channel.pipeline()
-                                .addLast(new IdleStateHandler(0, IDLE_SECONDS, 0))
-                                .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-                                .addLast(new Outbound());
+                                .addLast(new IdleStateHandler(0, IDLE_TIMEOUT_SECONDS, 0))
+                                .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
+                                .addLast(new OutboundHandler());
                     }
                 })
                 .connect(member.host(), member.peerPort());
-        outcomeUnused(
-                connection.channel().closeFuture().addListener(_closed -> connections.remove(member, connection)));
-        outcomeUnused(connection.addListener(_connected -> {
+        ignoreOutcome(connection
+                .channel()
+                .closeFuture()
+                .addListener(_closed -> outboundConnections.remove(member, connection)));
+        ignoreOutcome(connection.addListener(_connected -> {
             if (connection.isSuccess()) {
-                onConnected.accept(member);
+                connectionListener.accept(member);
             }
         }));
         return connection;
@@ -181,29 +185,29 @@
     @Override
     public synchronized void close() {
         listener.ifPresent(channel -> channel.close().syncUninterruptibly());
-        accepted.keySet().forEach(channel -> outcomeUnused(channel.close()));
-        connections
+        inboundChannels.keySet().forEach(channel -> ignoreOutcome(channel.close()));
+        outboundConnections
                 .values()
-                .forEach(connection -> outcomeUnused(connection.channel().close()));
+                .forEach(connection -> ignoreOutcome(connection.channel().close()));
     }
 
     /** A failed write or close shows as a closed channel, which its own listener sees to. */
-    private static void outcomeUnused(Future<?> future) {
+    private static void ignoreOutcome(Future<?> future) {
         Objects.requireNonNull(future, "future");
     }
 
     /** Closes a connection that is idle or broken; the next message opens another one. */
-    private static class Outbound extends SimpleChannelInboundHandler<ByteBuf> {
+    private static class OutboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf _message) {
-            outcomeUnused(context.close());
+            ignoreOutcome(context.close());
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof IdleStateEvent) {
-                outcomeUnused(context.close());
+                ignoreOutcome(context.close());
             }
         }
 
@@ -213,25 +217,25 @@
                     .with("remote", context.channel().remoteAddress())
                     .with("error", cause.toString())
                     .debug(log);
-            outcomeUnused(context.close());
+            ignoreOutcome(context.close());
         }
     }
 
-    private static final class Inbound extends Outbound {
+    private static final class InboundHandler extends OutboundHandler {
 
-        private final Predicate<Bytes> receiver;
+        private final Predicate<Bytes> messageHandler;
 
-        Inbound(Predicate<Bytes> receiver) {
-            this.receiver = receiver;
+        InboundHandler(Predicate<Bytes> messageHandler) {
+            this.messageHandler = messageHandler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf message) {
-            if (!receiver.test(Bytes.of(ByteBufUtil.getBytes(message)))) {
+            if (!messageHandler.test(Bytes.of(ByteBufUtil.getBytes(message)))) {
                 LogEvent.of("peer_message_refused")
                         .with("remote", context.channel().remoteAddress())
                         .warn(log);
-                outcomeUnused(context.close());
+                ignoreOutcome(context.close());
             }
         }
     }
--- a/src/main/java/org/dogwoodwinch/peer/PeerBoard.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerBoard.java
@@ -12,9 +12,9 @@
      * @param topic what it is about, not null
      * @param key which one, not null
      * @param payload the content, in MessagePack, not null
-     * @param keepMillis how long the others keep it unless it is published again, in milliseconds
+     * @param ttlMillis how long the others keep it unless it is published again, in milliseconds
      */
-    void publish(PeerTopic topic, String key, Bytes payload, long keepMillis);
+    void publish(PeerTopic topic, String key, Bytes payload, long ttlMillis);
 
     /**
      * Hears what others publish, each version once.
--- a/src/main/java/org/dogwoodwinch/peer/PeerCodec.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerCodec.java
@@ -24,28 +24,28 @@
 final class PeerCodec {
 
     private static final String ALGORITHM = "HmacSHA256";
-    private static final int CODE_BYTES = 32;
+    private static final int AUTHENTICATION_CODE_BYTES = 32;
     private static final int MESSAGE_FIELDS = 9;
     private static final int ENTRY_FIELDS = 8;
     private static final int MAX_NAME_CHARACTERS = 256;
 
     private final SecretKeySpec key;
-    private final boolean secret;
+    private final boolean hasSecret;
     private final int maxMessageBytes;
 
     PeerCodec(String secret, int maxMessageBytes) {
         // An empty secret leaves it to mutual TLS; the code then only finds damage. A key may not be empty.
         byte[] secretBytes = ("dogwoodwinch-peer:" + secret).getBytes(StandardCharsets.UTF_8);
         this.key = new SecretKeySpec(secretBytes, ALGORITHM);
-        this.secret = !secret.isEmpty();
+        this.hasSecret = !secret.isEmpty();
         this.maxMessageBytes = maxMessageBytes;
     }
 
     Bytes encode(PeerMessage message) {
         byte[] body = Packing.pack(message, PeerCodec::write).toByteArray();
-        byte[] whole = Arrays.copyOf(code(body), CODE_BYTES + body.length);
-        System.arraycopy(body, 0, whole, CODE_BYTES, body.length);
-        return Bytes.of(whole);
+        byte[] frame = Arrays.copyOf(authenticationCode(body), AUTHENTICATION_CODE_BYTES + body.length);
+        System.arraycopy(body, 0, frame, AUTHENTICATION_CODE_BYTES, body.length);
+        return Bytes.of(frame);
     }
 
     private static void write(MessagePacker packer, PeerMessage message) throws IOException {
@@ -122,8 +122,8 @@
                 + entry.payload().length();
     }
 
-    void decode(Bytes received, Consumer<PeerMessage> message, Consumer<PeerRefusal> refusal) {
-        Decoded decoded = decode(received);
+    void decode(Bytes frameBytes, Consumer<PeerMessage> message, Consumer<PeerRefusal> refusal) {
+        DecodeResult decoded = decode(frameBytes);
         if (decoded.refusal() == null) {
             message.accept(decoded.message());
         } else {
@@ -131,42 +131,42 @@
         }
     }
 
-    private Decoded decode(Bytes received) {
-        if (received.length() > maxMessageBytes) {
-            return Decoded.refused(PeerRefusal.TOO_LARGE);
+    private DecodeResult decode(Bytes frameBytes) {
+        if (frameBytes.length() > maxMessageBytes) {
+            return DecodeResult.refused(PeerRefusal.TOO_LARGE);
         }
-        if (received.length() < CODE_BYTES) {
-            return Decoded.refused(PeerRefusal.UNAUTHENTICATED);
+        if (frameBytes.length() < AUTHENTICATION_CODE_BYTES) {
+            return DecodeResult.refused(PeerRefusal.UNAUTHENTICATED);
         }
-        byte[] whole = received.toByteArray();
-        byte[] body = Arrays.copyOfRange(whole, CODE_BYTES, whole.length);
-        if (!MessageDigest.isEqual(code(body), Arrays.copyOf(whole, CODE_BYTES))) {
-            return Decoded.refused(PeerRefusal.UNAUTHENTICATED);
+        byte[] frame = frameBytes.toByteArray();
+        byte[] body = Arrays.copyOfRange(frame, AUTHENTICATION_CODE_BYTES, frame.length);
+        if (!MessageDigest.isEqual(authenticationCode(body), Arrays.copyOf(frame, AUTHENTICATION_CODE_BYTES))) {
+            return DecodeResult.refused(PeerRefusal.UNAUTHENTICATED);
         }
         try {
             PeerMessage message = Packing.unpack(body, PeerCodec::read);
             if (message.version() != PeerMessage.VERSION) {
-                return Decoded.refused(PeerRefusal.WRONG_VERSION);
+                return DecodeResult.refused(PeerRefusal.WRONG_VERSION);
             }
-            return isInRange(message) ? new Decoded(message, null) : Decoded.refused(PeerRefusal.MALFORMED);
+            return isInRange(message) ? new DecodeResult(message, null) : DecodeResult.refused(PeerRefusal.MALFORMED);
         } catch (IOException | RuntimeException _e) {
             // The decoder throws unchecked exceptions too on some malformed input; all of it means the same.
-            return Decoded.refused(PeerRefusal.MALFORMED);
+            return DecodeResult.refused(PeerRefusal.MALFORMED);
         }
     }
 
     private static boolean isInRange(PeerMessage message) {
-        return isName(message.sender())
+        return isValidName(message.sender())
                 && message.items().stream()
-                        .allMatch(entry -> isName(entry.origin())
-                                && isName(entry.key())
+                        .allMatch(entry -> isValidName(entry.origin())
+                                && isValidName(entry.key())
                                 && entry.topic() != null
                                 && entry.payload() != null
                                 && entry.ageMillis() >= 0
                                 && entry.keepMillis() >= 0);
     }
 
-    private static boolean isName(String name) {
+    private static boolean isValidName(String name) {
         return name != null && name.length() <= MAX_NAME_CHARACTERS;
     }
 
@@ -174,11 +174,13 @@
      * Without a secret the code only finds damage, and a checksum does that: the interpreter works a millisecond on each
      * authentication code, which made up most of what a process spent on messages in its first seconds.
      */
-    private byte[] code(byte[] body) {
-        if (!secret) {
+    private byte[] authenticationCode(byte[] body) {
+        if (!hasSecret) {
             CRC32C checksum = new CRC32C();
             checksum.update(body);
-            return ByteBuffer.allocate(CODE_BYTES).putLong(checksum.getValue()).array();
+            return ByteBuffer.allocate(AUTHENTICATION_CODE_BYTES)
+                    .putLong(checksum.getValue())
+                    .array();
         }
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -189,10 +191,10 @@
         }
     }
 
-    private record Decoded(PeerMessage message, PeerRefusal refusal) {
+    private record DecodeResult(PeerMessage message, PeerRefusal refusal) {
 
-        static Decoded refused(PeerRefusal refusal) {
-            return new Decoded(null, refusal);
+        static DecodeResult refused(PeerRefusal refusal) {
+            return new DecodeResult(null, refusal);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/PeerEntry.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerEntry.java
@@ -29,7 +29,7 @@
         Bytes payload) {
 
     /** This entry after it was held, or was on its way, for some time. */
-    PeerEntry older(long millis) {
+    PeerEntry withAddedAge(long millis) {
         return new PeerEntry(
                 origin, startedMillis, topic, key, version, ageMillis + Math.max(0, millis), keepMillis, payload);
     }
--- a/src/main/java/org/dogwoodwinch/peer/PeerItemStore.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerEntryStore.java
@@ -16,10 +16,10 @@
  * starts. Under a budget that is too small, versions replace each other before they are passed on: news gets older
  * instead of traffic growing.
  */
-final class PeerItemStore {
+final class PeerEntryStore {
 
-    private static final int MAX_ITEMS = 20_000;
-    private static final List<String> TOPICS_BY_URGENCY = List.of(
+    private static final int MAX_ENTRIES = 20_000;
+    private static final List<String> TOPICS_BY_PRIORITY = List.of(
             PeerTopic.QUARANTINE.name(),
             PeerTopic.LEAVING.name(),
             PeerTopic.DRAIN.name(),
@@ -28,19 +28,19 @@
             PeerTopic.DEMAND.name(),
             PeerTopic.LOAD.name());
 
-    private final Map<Key, Stored> items = new HashMap<>();
+    private final Map<Key, StoredEntry> entries = new HashMap<>();
 
     /** Takes an item; returns whether it is news. */
-    boolean accept(PeerEntry entry, long nowMillis, int passes) {
+    boolean add(PeerEntry entry, long nowMillis, int transmissions) {
         Key key = new Key(entry.origin(), entry.topic(), entry.key());
-        Stored known = items.get(key);
+        StoredEntry known = entries.get(key);
         if (entry.ageMillis() >= entry.keepMillis() || (known != null && !isNewer(entry, known.entry))) {
             return false;
         }
-        if (known == null && items.size() >= MAX_ITEMS) {
+        if (known == null && entries.size() >= MAX_ENTRIES) {
             return false;
         }
-        items.put(key, new Stored(entry, nowMillis, passes));
+        entries.put(key, new StoredEntry(entry, nowMillis, transmissions));
         return true;
     }
 
@@ -52,59 +52,59 @@
     }
 
     void expire(long nowMillis) {
-        items.values().removeIf(stored -> stored.ageMillis(nowMillis) >= stored.entry.keepMillis());
+        entries.values().removeIf(stored -> stored.ageMillis(nowMillis) >= stored.entry.keepMillis());
     }
 
     /** Takes items to pass on, the most urgent topic and the least passed first, up to a number of bytes. */
-    List<PeerEntry> take(long nowMillis, int budgetBytes, Predicate<PeerEntry> wanted) {
-        List<Stored> hot = items.values().stream()
-                .filter(stored -> stored.passes > 0 && wanted.test(stored.entry))
-                .sorted(Comparator.<Stored>comparingInt(stored -> rank(stored.entry.topic()))
-                        .thenComparing(Comparator.<Stored>comparingInt(stored -> stored.passes)
+    List<PeerEntry> takeForTransmission(long nowMillis, int budgetBytes, Predicate<PeerEntry> filter) {
+        List<StoredEntry> candidates = entries.values().stream()
+                .filter(stored -> stored.transmissionsLeft > 0 && filter.test(stored.entry))
+                .sorted(Comparator.<StoredEntry>comparingInt(stored -> priority(stored.entry.topic()))
+                        .thenComparing(Comparator.<StoredEntry>comparingInt(stored -> stored.transmissionsLeft)
                                 .reversed()))
                 .toList();
         List<PeerEntry> taken = new ArrayList<>();
-        int leftBytes = budgetBytes;
-        for (Stored stored : hot) {
+        int remainingBytes = budgetBytes;
+        for (StoredEntry stored : candidates) {
             int size = PeerCodec.sizeOf(stored.entry);
-            if (size <= leftBytes) {
-                leftBytes -= size;
-                stored.passes--;
-                taken.add(stored.aged(nowMillis));
+            if (size <= remainingBytes) {
+                remainingBytes -= size;
+                stored.transmissionsLeft--;
+                taken.add(stored.withCurrentAge(nowMillis));
             }
         }
         return taken;
     }
 
     /** Returns everything, for a member that has just started. */
-    List<PeerEntry> all(long nowMillis, int budgetBytes) {
-        List<PeerEntry> found = new ArrayList<>();
-        int leftBytes = budgetBytes;
-        List<Stored> ordered = items.values().stream()
-                .sorted(Comparator.comparingInt(stored -> rank(stored.entry.topic())))
+    List<PeerEntry> snapshot(long nowMillis, int budgetBytes) {
+        List<PeerEntry> result = new ArrayList<>();
+        int remainingBytes = budgetBytes;
+        List<StoredEntry> ordered = entries.values().stream()
+                .sorted(Comparator.comparingInt(stored -> priority(stored.entry.topic())))
                 .toList();
-        for (Stored stored : ordered) {
+        for (StoredEntry stored : ordered) {
             int size = PeerCodec.sizeOf(stored.entry);
-            if (size <= leftBytes) {
-                leftBytes -= size;
-                found.add(stored.aged(nowMillis));
+            if (size <= remainingBytes) {
+                remainingBytes -= size;
+                result.add(stored.withCurrentAge(nowMillis));
             }
         }
-        return found;
+        return result;
     }
 
     Optional<PeerEntry> find(String origin, PeerTopic topic, String key) {
-        return Optional.ofNullable(items.get(new Key(origin, topic.name(), key)))
+        return Optional.ofNullable(entries.get(new Key(origin, topic.name(), key)))
                 .map(stored -> stored.entry);
     }
 
     int size() {
-        return items.size();
+        return entries.size();
     }
 
-    private static int rank(String topic) {
-        int rank = TOPICS_BY_URGENCY.indexOf(topic);
-        return rank < 0 ? TOPICS_BY_URGENCY.size() : rank;
+    private static int priority(String topic) {
+        int index = TOPICS_BY_PRIORITY.indexOf(topic);
+        return index < 0 ? TOPICS_BY_PRIORITY.size() : index;
     }
 
     /**
@@ -129,24 +129,24 @@
         }
     }
 
-    private static final class Stored {
+    private static final class StoredEntry {
 
         private final PeerEntry entry;
         private final long receivedMillis;
-        private int passes;
+        private int transmissionsLeft;
 
-        Stored(PeerEntry entry, long receivedMillis, int passes) {
+        StoredEntry(PeerEntry entry, long receivedMillis, int transmissionsLeft) {
             this.entry = entry;
             this.receivedMillis = receivedMillis;
-            this.passes = passes;
+            this.transmissionsLeft = transmissionsLeft;
         }
 
         long ageMillis(long nowMillis) {
             return entry.ageMillis() + nowMillis - receivedMillis;
         }
 
-        PeerEntry aged(long nowMillis) {
-            return entry.older(nowMillis - receivedMillis);
+        PeerEntry withCurrentAge(long nowMillis) {
+            return entry.withAddedAge(nowMillis - receivedMillis);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/PeerExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerExchange.java
@@ -23,12 +23,12 @@
 public final class PeerExchange implements PeerBoard {
 
     /** Beyond so many members load stays within a data centre: the word of each about each would not fit the budget. */
-    private static final int MAX_MEMBERS_FOR_WIDE_LOAD = 24;
+    private static final int MAX_MEMBERS_FOR_FLEET_WIDE_LOAD = 24;
 
-    private static final int EXTRA_PASSES = 2;
-    private static final int NEWCOMER_ROUNDS = 3;
-    private static final long MEMBER_MILLIS_PER_MEMBER = 50;
-    private static final int MEMBER_KEPT_PERIODS = 4;
+    private static final int EXTRA_TRANSMISSIONS = 2;
+    private static final int STATE_REQUEST_ROUNDS = 3;
+    private static final long HEARTBEAT_MILLIS_PER_MEMBER = 50;
+    private static final int HEARTBEAT_TTL_PERIODS = 4;
     private final PeerSettings settings;
     private final TimeSource time;
     private final UniformRandomProvider random;
@@ -36,15 +36,15 @@
     private final Supplier<List<PeerMember>> members;
     private final PeerObserver observer;
     private final PeerCodec codec;
-    private final PeerItemStore store = new PeerItemStore();
+    private final PeerEntryStore store = new PeerEntryStore();
     private final Map<PeerTopic, List<Consumer<PeerItem>>> listeners = new EnumMap<>(PeerTopic.class);
-    private final ReplayGuard replays;
+    private final ReplayGuard replayGuard;
     private final long startedMillis;
     private long nextVersion = 1;
     private long nextNumber = 1;
-    private int newcomerRounds = NEWCOMER_ROUNDS;
-    private long nextMemberMillis;
-    private Cancellable round = () -> {};
+    private int stateRequestRoundsLeft = STATE_REQUEST_ROUNDS;
+    private long nextHeartbeatMillis;
+    private Cancellable roundTimer = () -> {};
     private boolean stopped;
 
     /**
@@ -70,7 +70,7 @@
         this.transport = Objects.requireNonNull(transport, "transport");
         this.members = Objects.requireNonNull(members, "members");
         this.observer = Objects.requireNonNull(observer, "observer");
-        this.replays = new ReplayGuard(time);
+        this.replayGuard = new ReplayGuard(time);
         this.codec = new PeerCodec(settings.secret(), settings.maxMessageBytes());
         this.startedMillis = time.wallMillis();
         for (PeerTopic topic : PeerTopic.values()) {
@@ -80,13 +80,13 @@
 
     /** Starts the rounds. */
     public void start() {
-        round = time.schedule(settings.roundMillis(), this::runRound);
+        roundTimer = time.schedule(settings.roundMillis(), this::runRound);
     }
 
     /** Ends the rounds. */
     public synchronized void stop() {
         stopped = true;
-        round.cancel();
+        roundTimer.cancel();
     }
 
     /**
@@ -95,7 +95,7 @@
      * @return the instance's name and the time of its start
      */
     public String writer() {
-        return writerOf(settings.instance(), startedMillis);
+        return incarnationIdOf(settings.instance(), startedMillis);
     }
 
     /**
@@ -110,21 +110,21 @@
         String instance = writer.substring(0, Math.max(0, separator));
         return writer.equals(writer())
                 || store.find(instance, PeerTopic.MEMBER, instance)
-                        .filter(entry ->
-                                writerOf(entry.origin(), entry.startedMillis()).equals(writer))
+                        .filter(entry -> incarnationIdOf(entry.origin(), entry.startedMillis())
+                                .equals(writer))
                         .isPresent();
     }
 
-    private static String writerOf(String instance, long started) {
+    private static String incarnationIdOf(String instance, long started) {
         return instance + "~" + Long.toString(started, Character.MAX_RADIX);
     }
 
     @Override
-    public synchronized void publish(PeerTopic topic, String key, Bytes payload, long keepMillis) {
+    public synchronized void publish(PeerTopic topic, String key, Bytes payload, long ttlMillis) {
         PeerEntry entry = new PeerEntry(
-                settings.instance(), startedMillis, topic.name(), key, nextVersion++, 0, keepMillis, payload);
-        int passes = topic == PeerTopic.CATALOGUE ? 0 : passes();
-        store.accept(entry, time.monotonicMillis(), passes);
+                settings.instance(), startedMillis, topic.name(), key, nextVersion++, 0, ttlMillis, payload);
+        int transmissions = topic == PeerTopic.CATALOGUE ? 0 : transmissionLimit();
+        store.add(entry, time.monotonicMillis(), transmissions);
     }
 
     @Override
@@ -141,15 +141,15 @@
         return store.size();
     }
 
-    private int passes() {
+    private int transmissionLimit() {
         int count = members.get().size() + 1;
         int doublings = Integer.SIZE - Integer.numberOfLeadingZeros(count);
-        return Math.min(count - 1, doublings + EXTRA_PASSES);
+        return Math.min(count - 1, doublings + EXTRA_TRANSMISSIONS);
     }
 
     /** Where a round goes to every member, each hears the origin itself. */
-    private int passesOfOthersWord() {
-        return members.get().size() <= settings.neighbours() ? 0 : passes();
+    private int forwardLimit() {
+        return members.get().size() <= settings.fanout() ? 0 : transmissionLimit();
     }
 
     private void runRound() {
@@ -159,52 +159,55 @@
                 return;
             }
             store.expire(time.monotonicMillis());
-            publishMember();
-            List<PeerMember> drawn = draw();
-            for (PeerMember member : drawn) {
-                outgoing.add(new Outgoing(member, messageFor(member, drawn.size())));
+            publishHeartbeat();
+            List<PeerMember> selected = selectRandomMembers();
+            for (PeerMember member : selected) {
+                outgoing.add(new Outgoing(member, messageFor(member, selected.size())));
             }
-            newcomerRounds = Math.max(0, newcomerRounds - (drawn.isEmpty() ? 0 : 1));
-            round = time.schedule(settings.roundMillis(), this::runRound);
+            stateRequestRoundsLeft = Math.max(0, stateRequestRoundsLeft - (selected.isEmpty() ? 0 : 1));
+            roundTimer = time.schedule(settings.roundMillis(), this::runRound);
         }
         outgoing.forEach(each -> send(each.member(), each.message()));
     }
 
     /** The word of being alive comes less often the more members there are, so that its traffic stays within bounds. */
-    private void publishMember() {
+    private void publishHeartbeat() {
         long nowMillis = time.monotonicMillis();
-        if (nowMillis < nextMemberMillis) {
+        if (nowMillis < nextHeartbeatMillis) {
             return;
         }
         long periodMillis = Math.max(
-                settings.roundMillis(), MEMBER_MILLIS_PER_MEMBER * members.get().size());
-        nextMemberMillis = nowMillis + periodMillis;
-        publish(PeerTopic.MEMBER, settings.instance(), Bytes.EMPTY, MEMBER_KEPT_PERIODS * periodMillis);
+                settings.roundMillis(),
+                HEARTBEAT_MILLIS_PER_MEMBER * members.get().size());
+        nextHeartbeatMillis = nowMillis + periodMillis;
+        publish(PeerTopic.MEMBER, settings.instance(), Bytes.EMPTY, HEARTBEAT_TTL_PERIODS * periodMillis);
     }
 
-    private List<PeerMember> draw() {
+    private List<PeerMember> selectRandomMembers() {
         List<PeerMember> others = new ArrayList<>(members.get());
         others.removeIf(member -> member.name().equals(settings.instance()));
-        List<PeerMember> drawn = new ArrayList<>();
-        while (drawn.size() < settings.neighbours() && !others.isEmpty()) {
-            drawn.add(others.remove(random.nextInt(others.size())));
+        List<PeerMember> selected = new ArrayList<>();
+        while (selected.size() < settings.fanout() && !others.isEmpty()) {
+            selected.add(others.remove(random.nextInt(others.size())));
         }
-        return drawn;
+        return selected;
     }
 
-    private PeerMessage messageFor(PeerMember member, int drawn) {
-        int budgetBytes = (int) (settings.bytesPerSecond() * settings.roundMillis() / 1_000 / drawn);
-        boolean wideLoad = members.get().size() <= MAX_MEMBERS_FOR_WIDE_LOAD;
-        boolean near = member.dataCentre().equals(settings.dataCentre());
-        List<PeerEntry> items = store.take(
+    private PeerMessage messageFor(PeerMember member, int recipientCount) {
+        int budgetBytes = (int) (settings.bytesPerSecond() * settings.roundMillis() / 1_000 / recipientCount);
+        boolean sharesLoadFleetWide = members.get().size() <= MAX_MEMBERS_FOR_FLEET_WIDE_LOAD;
+        boolean sameDataCentre = member.dataCentre().equals(settings.dataCentre());
+        List<PeerEntry> items = store.takeForTransmission(
                 time.monotonicMillis(),
                 budgetBytes,
                 entry -> !entry.origin().equals(member.name())
-                        && (near || wideLoad || !entry.topic().equals(PeerTopic.LOAD.name())));
-        return message(items, newcomerRounds > 0);
+                        && (sameDataCentre
+                                || sharesLoadFleetWide
+                                || !entry.topic().equals(PeerTopic.LOAD.name())));
+        return message(items, stateRequestRoundsLeft > 0);
     }
 
-    private PeerMessage message(List<PeerEntry> items, boolean newcomer) {
+    private PeerMessage message(List<PeerEntry> items, boolean requestsState) {
         return new PeerMessage(
                 PeerMessage.VERSION,
                 settings.instance(),
@@ -213,7 +216,7 @@
                 time.wallMillis(),
                 time.monotonicMillis(),
                 Optional.empty(),
-                newcomer,
+                requestsState,
                 items);
     }
 
@@ -230,43 +233,43 @@
      * @return whether it was taken; a connection that brings one that is refused is closed
      */
     public boolean receive(Bytes received) {
-        boolean[] taken = new boolean[1];
+        boolean[] accepted = new boolean[1];
         codec.decode(
                 received,
                 message -> {
                     observer.onReceived(received.length());
-                    taken[0] = take(message);
+                    accepted[0] = process(message);
                 },
                 observer::onRefused);
-        return taken[0];
+        return accepted[0];
     }
 
-    private boolean take(PeerMessage message) {
-        List<PeerItem> news = new ArrayList<>();
-        Optional<Outgoing> answer = Optional.empty();
+    private boolean process(PeerMessage message) {
+        List<PeerItem> updates = new ArrayList<>();
+        Optional<Outgoing> reply = Optional.empty();
         synchronized (this) {
-            if (replays.isReplayed(message)) {
+            if (replayGuard.isReplayed(message)) {
                 observer.onRefused(PeerRefusal.REPLAYED);
                 return false;
             }
-            message.items().forEach(entry -> accept(entry).ifPresent(news::add));
+            message.items().forEach(entry -> accept(entry).ifPresent(updates::add));
             if (message.newcomer() && !message.sender().equals(settings.instance())) {
-                answer = answerNewcomer(message.sender());
+                reply = stateReply(message.sender());
             }
         }
-        answer.ifPresent(each -> send(each.member(), each.message()));
-        news.forEach(item -> listeners.get(item.topic()).forEach(listener -> listener.accept(item)));
+        reply.ifPresent(each -> send(each.member(), each.message()));
+        updates.forEach(update -> listeners.get(update.topic()).forEach(listener -> listener.accept(update)));
         return true;
     }
 
     private Optional<PeerItem> accept(PeerEntry entry) {
-        Optional<PeerTopic> topic = PeerTopic.named(entry.topic());
+        Optional<PeerTopic> topic = PeerTopic.find(entry.topic());
         if (topic.isEmpty() || entry.origin().equals(settings.instance())) {
             return Optional.empty();
         }
         // A catalogue is as large as all other news together, and each member publishes its own: it is not passed on.
-        boolean bulk = topic.get() == PeerTopic.CATALOGUE;
-        if (!bulk && !store.accept(entry, time.monotonicMillis(), passesOfOthersWord())) {
+        boolean isCatalogue = topic.get() == PeerTopic.CATALOGUE;
+        if (!isCatalogue && !store.add(entry, time.monotonicMillis(), forwardLimit())) {
             return Optional.empty();
         }
         return Optional.of(new PeerItem(
@@ -274,12 +277,12 @@
     }
 
     /** The answer never asks for an answer: two newcomers would send each other everything without end. */
-    private Optional<Outgoing> answerNewcomer(String sender) {
-        List<PeerEntry> all = store.all(time.monotonicMillis(), settings.maxMessageBytes() / 2);
+    private Optional<Outgoing> stateReply(String sender) {
+        List<PeerEntry> entries = store.snapshot(time.monotonicMillis(), settings.maxMessageBytes() / 2);
         return members.get().stream()
                 .filter(member -> member.name().equals(sender))
                 .findFirst()
-                .map(member -> new Outgoing(member, message(all, false)));
+                .map(member -> new Outgoing(member, message(entries, false)));
     }
 
     private record Outgoing(PeerMember member, PeerMessage message) {}
--- a/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
@@ -17,10 +17,10 @@
      * A word was put into a message.
      *
      * @param topic what it is about, not null
-     * @param wordBytes its size with what goes before it, in bytes
-     * @param receiversCount the instances that the message goes to
+     * @param entryBytes its size with what goes before it, in bytes
+     * @param recipientCount the instances that the message goes to
      */
-    default void onTold(PeerTopic topic, int wordBytes, int receiversCount) {}
+    default void onTold(PeerTopic topic, int entryBytes, int recipientCount) {}
 
     /**
      * A word was dropped before it was sent: others took the share of the link that there is for words.
@@ -32,9 +32,9 @@
     /**
      * A message came that was on its way for so long.
      *
-     * @param wayMillis its time from being written to being read, in milliseconds, or more
+     * @param transitMillis its time from being written to being read, in milliseconds, or more
      */
-    default void onWay(long wayMillis) {}
+    default void onWay(long transitMillis) {}
 
     /**
      * A message was taken.
--- a/src/main/java/org/dogwoodwinch/peer/PeerOutbox.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerOutbox.java
@@ -27,16 +27,16 @@
     /** Whom an entry is for. */
     enum Audience {
         OWN_RELAY,
-        OWN_CENTRE,
+        OWN_DATA_CENTRE,
         OTHER_RELAYS,
         ALL
     }
 
     /** A share that was not used for longer is lost: what goes out in any second stays near the share. */
-    private static final double MOST_UNUSED_MILLIS = 250;
+    private static final double BURST_MILLIS = 250;
 
     /** Of an unused share this part is left to what is more urgent than prompts' parts. */
-    private static final double URGENT_PART = 0.3;
+    private static final double URGENT_RESERVE_FRACTION = 0.3;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -45,23 +45,24 @@
      *
      * <p>Failure: small words used up what a large and more urgent one waited for, round after round.
      */
-    private static final long PATIENCE_MILLIS = 450;
+    private static final long STARVATION_MILLIS = 450;
 
-    private static final long NOT_WAITING = -1;
+    private static final long NOT_BLOCKED = -1;
 
     /** Some seconds of a large data centre's changes; older ones are soon told again, as whole lists. */
-    private static final int MOST_WAITING = 2_000;
+    private static final int MAX_QUEUED_ENTRIES = 2_000;
 
-    private static final Set<PeerTopic> LOADS = Set.of(PeerTopic.LOAD, PeerTopic.CENTRE_LOAD, PeerTopic.FLEET_LOAD);
-    private static final Set<PeerTopic> READING_SAVERS = Set.of(PeerTopic.KEPT_PARTS, PeerTopic.SHARED_PARTS);
+    private static final Set<PeerTopic> LOAD_TOPICS =
+            Set.of(PeerTopic.LOAD, PeerTopic.CENTRE_LOAD, PeerTopic.FLEET_LOAD);
+    private static final Set<PeerTopic> CACHE_HINT_TOPICS = Set.of(PeerTopic.KEPT_PARTS, PeerTopic.SHARED_PARTS);
 
     private final TimeSource time;
-    private final TokenBucket share;
-    private final long urgentBytes;
+    private final TokenBucket budget;
+    private final long urgentReserveBytes;
     private final Consumer<PeerTopic> onDropped;
-    private long loadsWaitSinceMillis = NOT_WAITING;
-    private long newcomersWaitSinceMillis = NOT_WAITING;
-    private final Map<Audience, Deque<Waiting>> waiting = new EnumMap<>(Audience.class);
+    private long loadsBlockedSinceMillis = NOT_BLOCKED;
+    private long transfersBlockedSinceMillis = NOT_BLOCKED;
+    private final Map<Audience, Deque<QueuedEntry>> queues = new EnumMap<>(Audience.class);
 
     /**
      * Creates an empty one.
@@ -72,167 +73,167 @@
      */
     PeerOutbox(TimeSource time, int bytesPerSecond, Consumer<PeerTopic> onDropped) {
         this.time = Objects.requireNonNull(time, "time");
-        this.share = TokenBucket.full(bytesPerSecond, MOST_UNUSED_MILLIS, time.monotonicMillis());
-        this.urgentBytes = (long) (URGENT_PART * bytesPerSecond * MOST_UNUSED_MILLIS / MILLIS_PER_SECOND);
+        this.budget = TokenBucket.full(bytesPerSecond, BURST_MILLIS, time.monotonicMillis());
+        this.urgentReserveBytes = (long) (URGENT_RESERVE_FRACTION * bytesPerSecond * BURST_MILLIS / MILLIS_PER_SECOND);
         this.onDropped = Objects.requireNonNull(onDropped, "onDropped");
         for (Audience audience : Audience.values()) {
-            waiting.put(audience, new ArrayDeque<>());
+            queues.put(audience, new ArrayDeque<>());
         }
     }
 
     /** Adds an entry; of loads a newer one replaces the older. */
     void add(Audience audience, PeerEntry entry) {
-        Deque<Waiting> queue = waiting.get(audience);
-        Waiting added = new Waiting(entry, time.monotonicMillis());
-        if (is(LOADS, entry)) {
-            queue.removeIf(other -> other.sameThing(entry));
+        Deque<QueuedEntry> queue = queues.get(audience);
+        QueuedEntry added = new QueuedEntry(entry, time.monotonicMillis());
+        if (hasTopicIn(LOAD_TOPICS, entry)) {
+            queue.removeIf(other -> other.hasSameKey(entry));
         }
         queue.addLast(added);
-        if (queue.size() > MOST_WAITING) {
-            dropOldestReadingSaver(queue);
+        if (queue.size() > MAX_QUEUED_ENTRIES) {
+            dropOldestCacheHint(queue);
         }
     }
 
     /** Hands what waits for one audience to another one: who was to be told has changed. */
     void move(Audience from, Audience to) {
-        waiting.get(to).addAll(waiting.get(from));
-        waiting.get(from).clear();
+        queues.get(to).addAll(queues.get(from));
+        queues.get(from).clear();
     }
 
     /** Drops what waits for an audience that there is not any more. */
     void clear(Audience audience) {
-        waiting.get(audience).clear();
+        queues.get(audience).clear();
     }
 
     /** Messages were sent, of these or of others: they used up a part of the share. */
-    void spent(long bytes) {
-        share.take(bytes);
+    void onSent(long bytes) {
+        budget.take(bytes);
     }
 
     /** Whether so many bytes, which can wait, may be sent now. */
-    boolean hasRoomFor(long bytes) {
+    boolean hasBudgetFor(long bytes) {
         long nowMillis = time.monotonicMillis();
-        boolean room = share.canTake(bytes + urgentBytes, nowMillis);
-        newcomersWaitSinceMillis = waitsSince(room, newcomersWaitSinceMillis, nowMillis);
-        return room;
+        boolean isSendable = budget.canTake(bytes + urgentReserveBytes, nowMillis);
+        transfersBlockedSinceMillis = blockedSince(isSendable, transfersBlockedSinceMillis, nowMillis);
+        return isSendable;
     }
 
-    private static long waitsSince(boolean gone, long sinceMillis, long nowMillis) {
-        if (gone) {
-            return NOT_WAITING;
+    private static long blockedSince(boolean isSendable, long sinceMillis, long nowMillis) {
+        if (isSendable) {
+            return NOT_BLOCKED;
         }
-        return sinceMillis == NOT_WAITING ? nowMillis : sinceMillis;
+        return sinceMillis == NOT_BLOCKED ? nowMillis : sinceMillis;
     }
 
-    private static boolean waitedLong(long sinceMillis, long nowMillis) {
-        return sinceMillis != NOT_WAITING && nowMillis - sinceMillis >= PATIENCE_MILLIS;
+    private static boolean isStarved(long sinceMillis, long nowMillis) {
+        return sinceMillis != NOT_BLOCKED && nowMillis - sinceMillis >= STARVATION_MILLIS;
     }
 
     /**
      * Takes what may go out now, the most urgent first and each as old as it has become here.
      *
      * @param audience whom it is for, not null
-     * @param receiversCount how many these are; each gets it
+     * @param recipientCount how many these are; each gets it
      * @return the entries, to be sent at once
      */
-    List<PeerEntry> take(Audience audience, int receiversCount) {
-        Deque<Waiting> queue = waiting.get(audience);
+    List<PeerEntry> take(Audience audience, int recipientCount) {
+        Deque<QueuedEntry> queue = queues.get(audience);
         List<PeerEntry> taken = new ArrayList<>();
         for (Urgency urgency : Urgency.values()) {
-            takeWhile(queue, receiversCount, urgency, taken);
+            takeOfUrgency(queue, recipientCount, urgency, taken);
         }
         // Counted as it was taken, each before the next; what is sent is charged whole by the sender.
-        taken.forEach(entry -> share.correct(-costBytes(entry, receiversCount)));
+        taken.forEach(entry -> budget.correct(-costBytes(entry, recipientCount)));
         return taken;
     }
 
-    private static long costBytes(PeerEntry entry, int receiversCount) {
-        return (long) PeerCodec.sizeOf(entry) * receiversCount;
+    private static long costBytes(PeerEntry entry, int recipientCount) {
+        return (long) PeerCodec.sizeOf(entry) * recipientCount;
     }
 
-    private void takeWhile(Deque<Waiting> queue, int receiversCount, Urgency urgency, List<PeerEntry> taken) {
+    private void takeOfUrgency(Deque<QueuedEntry> queue, int recipientCount, Urgency urgency, List<PeerEntry> taken) {
         long nowMillis = time.monotonicMillis();
-        Iterator<Waiting> each = queue.iterator();
-        while (each.hasNext()) {
-            Waiting next = each.next();
+        Iterator<QueuedEntry> entries = queue.iterator();
+        while (entries.hasNext()) {
+            QueuedEntry next = entries.next();
             if (Urgency.of(next.entry) != urgency) {
                 continue;
             }
-            PeerEntry aged = next.aged(nowMillis);
+            PeerEntry aged = next.withCurrentAge(nowMillis);
             if (aged.ageMillis() >= aged.keepMillis()) {
-                each.remove();
-                dropped(aged);
+                entries.remove();
+                reportDropped(aged);
                 continue;
             }
-            long bytes = costBytes(aged, receiversCount);
-            boolean goes = mayGo(urgency, bytes, nowMillis);
-            if (urgency == Urgency.LOADS) {
-                loadsWaitSinceMillis = waitsSince(goes, loadsWaitSinceMillis, nowMillis);
+            long bytes = costBytes(aged, recipientCount);
+            boolean isSendable = canSend(urgency, bytes, nowMillis);
+            if (urgency == Urgency.LOAD) {
+                loadsBlockedSinceMillis = blockedSince(isSendable, loadsBlockedSinceMillis, nowMillis);
             }
-            if (!goes) {
+            if (!isSendable) {
                 break;
             }
-            share.take(bytes);
-            each.remove();
+            budget.take(bytes);
+            entries.remove();
             taken.add(aged);
         }
     }
 
-    private boolean mayGo(Urgency urgency, long bytes, long nowMillis) {
+    private boolean canSend(Urgency urgency, long bytes, long nowMillis) {
         return switch (urgency) {
-            case AT_ONCE -> true;
-            case LOADS -> share.canTake(bytes, nowMillis);
-            case READING_SAVERS ->
-                !waitedLong(loadsWaitSinceMillis, nowMillis)
-                        && !waitedLong(newcomersWaitSinceMillis, nowMillis)
-                        && share.canTake(bytes + urgentBytes, nowMillis);
+            case IMMEDIATE -> true;
+            case LOAD -> budget.canTake(bytes, nowMillis);
+            case CACHE_HINT ->
+                !isStarved(loadsBlockedSinceMillis, nowMillis)
+                        && !isStarved(transfersBlockedSinceMillis, nowMillis)
+                        && budget.canTake(bytes + urgentReserveBytes, nowMillis);
         };
     }
 
-    private void dropOldestReadingSaver(Deque<Waiting> queue) {
-        Iterator<Waiting> each = queue.iterator();
-        while (each.hasNext()) {
-            PeerEntry entry = each.next().entry;
-            if (is(READING_SAVERS, entry)) {
-                each.remove();
-                dropped(entry);
+    private void dropOldestCacheHint(Deque<QueuedEntry> queue) {
+        Iterator<QueuedEntry> entries = queue.iterator();
+        while (entries.hasNext()) {
+            PeerEntry entry = entries.next().entry;
+            if (hasTopicIn(CACHE_HINT_TOPICS, entry)) {
+                entries.remove();
+                reportDropped(entry);
                 return;
             }
         }
     }
 
-    private void dropped(PeerEntry entry) {
-        PeerTopic.named(entry.topic()).ifPresent(onDropped);
+    private void reportDropped(PeerEntry entry) {
+        PeerTopic.find(entry.topic()).ifPresent(onDropped);
     }
 
-    private static boolean is(Set<PeerTopic> topics, PeerEntry entry) {
-        Optional<PeerTopic> topic = PeerTopic.named(entry.topic());
+    private static boolean hasTopicIn(Set<PeerTopic> topics, PeerEntry entry) {
+        Optional<PeerTopic> topic = PeerTopic.find(entry.topic());
         return topic.isPresent() && topics.contains(topic.get());
     }
 
     private enum Urgency {
-        AT_ONCE,
-        LOADS,
-        READING_SAVERS;
+        IMMEDIATE,
+        LOAD,
+        CACHE_HINT;
 
         static Urgency of(PeerEntry entry) {
-            if (is(PeerOutbox.LOADS, entry)) {
-                return LOADS;
+            if (hasTopicIn(PeerOutbox.LOAD_TOPICS, entry)) {
+                return LOAD;
             }
-            return is(PeerOutbox.READING_SAVERS, entry) ? READING_SAVERS : AT_ONCE;
+            return hasTopicIn(PeerOutbox.CACHE_HINT_TOPICS, entry) ? CACHE_HINT : IMMEDIATE;
         }
     }
 
-    private record Waiting(PeerEntry entry, long sinceMillis) {
+    private record QueuedEntry(PeerEntry entry, long queuedMillis) {
 
-        boolean sameThing(PeerEntry other) {
+        boolean hasSameKey(PeerEntry other) {
             return entry.origin().equals(other.origin())
                     && entry.topic().equals(other.topic())
                     && entry.key().equals(other.key());
         }
 
-        PeerEntry aged(long nowMillis) {
-            return entry.older(nowMillis - sinceMillis);
+        PeerEntry withCurrentAge(long nowMillis) {
+            return entry.withAddedAge(nowMillis - queuedMillis);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/PeerSettings.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerSettings.java
@@ -10,7 +10,7 @@
  * @param secret the secret that all instances share, which authenticates each message; empty where mutual TLS alone
  *     does, not null
  * @param roundMillis how often a round is sent, in milliseconds
- * @param neighbours how many members a round goes to
+ * @param fanout how many members a round goes to
  * @param bytesPerSecond how many bytes this instance sends a second, on average
  * @param maxMessageBytes the largest message that is sent or taken, in bytes
  * @param linkMbps what this instance's link carries, in megabits a second; zero where that is not known
@@ -20,7 +20,7 @@
         String dataCentre,
         String secret,
         long roundMillis,
-        int neighbours,
+        int fanout,
         int bytesPerSecond,
         int maxMessageBytes,
         double linkMbps) {
@@ -36,7 +36,7 @@
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(dataCentre, "dataCentre");
         Objects.requireNonNull(secret, "secret");
-        if (roundMillis <= 0 || neighbours <= 0 || bytesPerSecond <= 0 || maxMessageBytes < MIN_MESSAGE_BYTES) {
+        if (roundMillis <= 0 || fanout <= 0 || bytesPerSecond <= 0 || maxMessageBytes < MIN_MESSAGE_BYTES) {
             throw new IllegalArgumentException("rounds, neighbours and bytes must be more than zero");
         }
     }
@@ -48,7 +48,7 @@
      * @param dataCentre the data centre it stands in, not null
      * @param secret the shared secret, not null
      * @param roundMillis how often a round is sent, in milliseconds
-     * @param neighbours how many members a round goes to
+     * @param fanout how many members a round goes to
      * @param bytesPerSecond how many bytes this instance sends a second, on average
      * @param maxMessageBytes the largest message that is sent or taken, in bytes
      */
@@ -57,10 +57,10 @@
             String dataCentre,
             String secret,
             long roundMillis,
-            int neighbours,
+            int fanout,
             int bytesPerSecond,
             int maxMessageBytes) {
-        this(instance, dataCentre, secret, roundMillis, neighbours, bytesPerSecond, maxMessageBytes, 0);
+        this(instance, dataCentre, secret, roundMillis, fanout, bytesPerSecond, maxMessageBytes, 0);
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/peer/PeerTopic.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerTopic.java
@@ -50,7 +50,7 @@
      * @param name its name on the wire, not null
      * @return the topic; empty for one that a newer version of this program added, which is passed over
      */
-    static Optional<PeerTopic> named(String name) {
+    static Optional<PeerTopic> find(String name) {
         for (PeerTopic topic : values()) {
             if (topic.name().equals(name)) {
                 return Optional.of(topic);
--- a/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
@@ -39,17 +39,17 @@
     private static final Logger log = LoggerFactory.getLogger(RelayExchange.class);
 
     /** A relay's word without news, and an instance's to its relay: two of them may be lost before it is missed. */
-    private static final int RELAY_MESSAGE_ROUNDS = 2;
+    private static final int RELAY_HEARTBEAT_ROUNDS = 2;
 
-    private static final int OWN_MESSAGE_ROUNDS = 3;
+    private static final int MEMBER_HEARTBEAT_ROUNDS = 3;
 
-    private static final int NEWCOMER_ROUNDS = 3;
+    private static final int STATE_REQUEST_ROUNDS = 3;
 
     /** Who wants something asks again with its next reading. */
-    private static final long WANT_KEEP_MILLIS = 1_000;
+    private static final long STATE_REQUEST_TTL_MILLIS = 1_000;
 
     /** What relays pass on to their own data centre and, where it comes from there, to the other relays. */
-    private static final Set<PeerTopic> TOLD_TO_ALL =
+    private static final Set<PeerTopic> FLEET_WIDE_TOPICS =
             Set.of(PeerTopic.QUARANTINE, PeerTopic.LEAVING, PeerTopic.BROKEN_TARGET, PeerTopic.TARGET_LIMIT);
 
     private final PeerSettings settings;
@@ -57,24 +57,24 @@
     private final PeerTransport transport;
     private final Supplier<List<PeerMember>> members;
     private final PeerObserver observer;
-    private final CentreRelays relays;
-    private final ReplayGuard replays;
-    private final PeerClocks clocks;
-    private final LateMessages lateWords = new LateMessages();
-    private final Newcomers newcomers = new Newcomers();
+    private final RelayTracker relayTracker;
+    private final ReplayGuard replayGuard;
+    private final ClockOffsets clockOffsets;
+    private final LateMessages lateMessages = new LateMessages();
+    private final StateTransfers stateTransfers = new StateTransfers();
     private final PeerCodec codec;
-    private final PeerItemStore store = new PeerItemStore();
+    private final PeerEntryStore store = new PeerEntryStore();
     private final Map<PeerTopic, List<Consumer<PeerItem>>> listeners = new EnumMap<>(PeerTopic.class);
     private final PeerOutbox outbox;
-    private final Set<PeerMember> storeOwed = new LinkedHashSet<>();
-    private final List<Runnable> onRound = new ArrayList<>();
+    private final Set<PeerMember> pendingSnapshots = new LinkedHashSet<>();
+    private final List<Runnable> roundTasks = new ArrayList<>();
     private final long startedMillis;
     private long nextVersion = 1;
     private long nextNumber = 1;
     private long roundsCount;
-    private int wantsCount;
-    private long messageToRelayRound;
-    private boolean wasActing;
+    private int stateRequestCount;
+    private long lastRelayMessageRound;
+    private boolean wasRelay;
 
     /**
      * Creates an exchange; {@link #start()} makes it send.
@@ -96,9 +96,9 @@
         this.transport = Objects.requireNonNull(transport, "transport");
         this.members = Objects.requireNonNull(members, "members");
         this.observer = Objects.requireNonNull(observer, "observer");
-        this.relays = new CentreRelays(settings, time);
-        this.replays = new ReplayGuard(time);
-        this.clocks = new PeerClocks(time);
+        this.relayTracker = new RelayTracker(settings, time);
+        this.replayGuard = new ReplayGuard(time);
+        this.clockOffsets = new ClockOffsets(time);
         this.outbox = new PeerOutbox(time, settings.bytesPerSecond(), observer::onDropped);
         this.codec = new PeerCodec(settings.secret(), settings.maxMessageBytes());
         this.startedMillis = time.wallMillis();
@@ -118,7 +118,7 @@
      * @param task what to do, not null
      */
     public void eachRound(Runnable task) {
-        onRound.add(Objects.requireNonNull(task, "task"));
+        roundTasks.add(Objects.requireNonNull(task, "task"));
     }
 
     /**
@@ -127,7 +127,7 @@
      * @return false while each tells each
      */
     public boolean byRelays() {
-        return relays.needed();
+        return relayTracker.usesRelays();
     }
 
     /**
@@ -136,7 +136,7 @@
      * @return whether no instance before it was heard to be one of late
      */
     public boolean acting() {
-        return relays.acting();
+        return relayTracker.isRelay();
     }
 
     /**
@@ -145,7 +145,7 @@
      * @return whether this is such a round
      */
     public boolean relaysRound() {
-        return roundsCount % RELAY_MESSAGE_ROUNDS == 0;
+        return roundsCount % RELAY_HEARTBEAT_ROUNDS == 0;
     }
 
     /**
@@ -154,7 +154,7 @@
      * @return zero for the first
      */
     public int ownRank() {
-        return relays.ownRank();
+        return relayTracker.ownRank();
     }
 
     /**
@@ -164,7 +164,7 @@
      * @return whether it does
      */
     public boolean before(String name) {
-        return relays.before(name);
+        return relayTracker.isPredecessor(name);
     }
 
     /**
@@ -174,7 +174,7 @@
      * @return whether no other instance that is believed alive ranks higher for it
      */
     public boolean fallsToOwn(String key) {
-        return relays.fallsToOwn(key);
+        return relayTracker.isAssignedToSelf(key);
     }
 
     /**
@@ -185,7 +185,7 @@
      * @return whether this instance acts as a relay, and no other relay that was heard of late ranks higher
      */
     public boolean fleetsDutyFallsToOwn(String key) {
-        return relays.fleetsDutyFallsToOwn(key);
+        return relayTracker.isFleetTaskAssignedToSelf(key);
     }
 
     /**
@@ -195,7 +195,7 @@
      * @return whether it is this one, or is listed in this data centre
      */
     public boolean ofOwnCentre(String name) {
-        return relays.ofOwnCentre(name);
+        return relayTracker.inOwnDataCentre(name);
     }
 
     /**
@@ -203,11 +203,11 @@
      * know nobody that it could ask.
      *
      * @param topic the topic, not null
-     * @param all what is to be told by key, asked for each time, not null
-     * @param keepMillis how long it may be of use
+     * @param entries what is to be told by key, asked for each time, not null
+     * @param ttlMillis how long it may be of use
      */
-    public void tellNewcomers(PeerTopic topic, Supplier<Map<String, Bytes>> all, long keepMillis) {
-        newcomers.tell(topic, all, keepMillis);
+    public void tellNewcomers(PeerTopic topic, Supplier<Map<String, Bytes>> entries, long ttlMillis) {
+        stateTransfers.addSource(topic, entries, ttlMillis);
     }
 
     /**
@@ -217,8 +217,8 @@
      */
     public void connected(PeerMember member) {
         if (acting() || !byRelays()) {
-            newcomers.connected(member, roundsCount);
-            tellEverything(member);
+            stateTransfers.onConnected(member, roundsCount);
+            sendState(member);
         }
     }
 
@@ -227,24 +227,26 @@
      * that tells it, and of its data centre each time another one, since the relay may be turned away as well.
      */
     public void wantEverything() {
-        List<PeerEntry> want = List.of(own(PeerTopic.WANT, settings.instance(), Bytes.EMPTY, WANT_KEEP_MILLIS));
+        List<PeerEntry> request =
+                List.of(ownEntry(PeerTopic.WANT, settings.instance(), Bytes.EMPTY, STATE_REQUEST_TTL_MILLIS));
         send(
-                want,
+                request,
                 acting()
-                        ? relays.ofOtherCentres()
-                        : relays.ofOwnCentre().flatMap(relays::member).stream().toList());
-        List<PeerMember> centre = relays.centre();
-        if (!centre.isEmpty()) {
-            send(want, List.of(centre.get(wantsCount++ % centre.size())));
+                        ? relayTracker.inOtherDataCentres()
+                        : relayTracker.inOwnDataCentre().flatMap(relayTracker::findMember).stream()
+                                .toList());
+        List<PeerMember> localPeers = relayTracker.localPeers();
+        if (!localPeers.isEmpty()) {
+            send(request, List.of(localPeers.get(stateRequestCount++ % localPeers.size())));
         }
     }
 
     /** Returns whether there was anything to tell newcomers. */
-    private boolean tellEverything(PeerMember member) {
-        storeOwed.add(member);
-        payOwedStores();
-        return newcomers.forEach((topic, key, payload, keepMillis) ->
-                send(List.of(own(topic, key, payload, keepMillis)), List.of(member)));
+    private boolean sendState(PeerMember member) {
+        pendingSnapshots.add(member);
+        sendPendingSnapshots();
+        return stateTransfers.forEachEntry((topic, key, payload, ttlMillis) ->
+                send(List.of(ownEntry(topic, key, payload, ttlMillis)), List.of(member)));
     }
 
     /**
@@ -253,14 +255,14 @@
      * @param topic the topic, not null
      * @param key what it is about, not null
      * @param payload what is told, not null
-     * @param keepMillis how long it may be of use
-     * @param abroad whether the relays of the other data centres are told too
+     * @param ttlMillis how long it may be of use
+     * @param toOtherDataCentres whether the relays of the other data centres are told too
      */
-    public void publishAtOnce(PeerTopic topic, String key, Bytes payload, long keepMillis, boolean abroad) {
-        List<PeerEntry> entries = List.of(own(topic, key, payload, keepMillis));
-        send(entries, relays.centre());
-        if (abroad && acting()) {
-            send(entries, relays.ofOtherCentres());
+    public void publishAtOnce(PeerTopic topic, String key, Bytes payload, long ttlMillis, boolean toOtherDataCentres) {
+        List<PeerEntry> entries = List.of(ownEntry(topic, key, payload, ttlMillis));
+        send(entries, relayTracker.localPeers());
+        if (toOtherDataCentres && acting()) {
+            send(entries, relayTracker.inOtherDataCentres());
         }
     }
 
@@ -269,43 +271,44 @@
      *
      * <p>Load: a whole data centre starts at once. Everything for everybody would fill a narrow link for seconds.
      */
-    private void payOwedStores() {
-        Iterator<PeerMember> owed = storeOwed.iterator();
-        while (owed.hasNext()) {
-            List<PeerEntry> all = store.all(time.monotonicMillis(), settings.maxMessageBytes() / 2);
-            if (!outbox.hasRoomFor(all.stream().mapToLong(PeerCodec::sizeOf).sum())) {
+    private void sendPendingSnapshots() {
+        Iterator<PeerMember> recipients = pendingSnapshots.iterator();
+        while (recipients.hasNext()) {
+            List<PeerEntry> entries = store.snapshot(time.monotonicMillis(), settings.maxMessageBytes() / 2);
+            if (!outbox.hasBudgetFor(
+                    entries.stream().mapToLong(PeerCodec::sizeOf).sum())) {
                 return;
             }
-            PeerMember member = owed.next();
-            owed.remove();
-            send(all, List.of(member));
+            PeerMember member = recipients.next();
+            recipients.remove();
+            send(entries, List.of(member));
         }
     }
 
-    private PeerEntry own(PeerTopic topic, String key, Bytes payload, long keepMillis) {
+    private PeerEntry ownEntry(PeerTopic topic, String key, Bytes payload, long ttlMillis) {
         return new PeerEntry(
-                settings.instance(), startedMillis, topic.name(), key, nextVersion++, 0, keepMillis, payload);
+                settings.instance(), startedMillis, topic.name(), key, nextVersion++, 0, ttlMillis, payload);
     }
 
     @Override
-    public void publish(PeerTopic topic, String key, Bytes payload, long keepMillis) {
-        PeerEntry entry = own(topic, key, payload, keepMillis);
-        store.accept(entry, time.monotonicMillis(), 0);
+    public void publish(PeerTopic topic, String key, Bytes payload, long ttlMillis) {
+        PeerEntry entry = ownEntry(topic, key, payload, ttlMillis);
+        store.add(entry, time.monotonicMillis(), 0);
         if (topic == PeerTopic.KEPT_PARTS) {
-            outbox.add(acting() || !byRelays() ? Audience.OWN_CENTRE : Audience.OWN_RELAY, entry);
+            outbox.add(acting() || !byRelays() ? Audience.OWN_DATA_CENTRE : Audience.OWN_RELAY, entry);
         } else if (topic == PeerTopic.ALIVE) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
             outbox.add(Audience.OTHER_RELAYS, entry);
         } else if (topic == PeerTopic.CENTRE_LOAD) {
             outbox.add(Audience.OTHER_RELAYS, entry);
         } else if (topic == PeerTopic.FLEET_LOAD) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
         } else if (!byRelays()) {
             outbox.add(Audience.ALL, entry);
         } else if (!acting()) {
             outbox.add(Audience.OWN_RELAY, entry);
         } else if (topic != PeerTopic.LOAD) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
             outbox.add(Audience.OTHER_RELAYS, entry);
         }
     }
@@ -317,78 +320,83 @@
 
     private void runRound() {
         roundsCount++;
-        relays.look(members.get());
+        relayTracker.updateMembers(members.get());
         store.expire(time.monotonicMillis());
-        relays.forgetSilent();
-        onRound.forEach(Runnable::run);
-        newcomers.payOwed(relays::wasHeard, roundsCount, this::tellEverything);
-        boolean acts = acting();
-        if (acts != wasActing) {
-            wasActing = acts;
+        relayTracker.expireSilentMembers();
+        roundTasks.forEach(Runnable::run);
+        stateTransfers.retryPending(relayTracker::hasMessageFrom, roundsCount, this::sendState);
+        boolean isRelay = acting();
+        if (isRelay != wasRelay) {
+            wasRelay = isRelay;
             LogEvent.of("relay_changed")
-                    .with("acting", acts)
-                    .with("relay", relays.ofOwnCentre().orElseGet(settings::instance))
-                    .with("rank", relays.ownRank())
+                    .with("acting", isRelay)
+                    .with("relay", relayTracker.inOwnDataCentre().orElseGet(settings::instance))
+                    .with("rank", relayTracker.ownRank())
                     .info(log);
         }
-        if (acts && relaysRound()) {
-            sayWhoIsAlive();
+        if (isRelay && relaysRound()) {
+            publishHeartbeat();
         }
-        flush(acts);
+        flush(isRelay);
         time.schedule(settings.roundMillis(), this::runRound);
     }
 
-    private void flush(boolean acts) {
-        flush(Audience.ALL, relays.others());
-        flush(Audience.OTHER_RELAYS, relays.ofOtherCentres());
-        if (acts) {
+    private void flush(boolean isRelay) {
+        flush(Audience.ALL, relayTracker.others());
+        flush(Audience.OTHER_RELAYS, relayTracker.inOtherDataCentres());
+        if (isRelay) {
             // It was for a relay that has gone silent since.
-            outbox.move(Audience.OWN_RELAY, Audience.OWN_CENTRE);
+            outbox.move(Audience.OWN_RELAY, Audience.OWN_DATA_CENTRE);
         }
-        flush(Audience.OWN_CENTRE, relays.centre());
-        if (!acts) {
-            tellOwnRelay(relays.ofOwnCentre().flatMap(relays::member).stream().toList());
+        flush(Audience.OWN_DATA_CENTRE, relayTracker.localPeers());
+        if (!isRelay) {
+            sendToOwnRelay(relayTracker.inOwnDataCentre().flatMap(relayTracker::findMember).stream()
+                    .toList());
         }
-        payOwedStores();
+        sendPendingSnapshots();
     }
 
-    private void flush(Audience audience, List<PeerMember> to) {
-        if (to.isEmpty()) {
+    private void flush(Audience audience, List<PeerMember> recipients) {
+        if (recipients.isEmpty()) {
             outbox.clear(audience);
             return;
         }
-        List<PeerEntry> entries = outbox.take(audience, to.size());
+        List<PeerEntry> entries = outbox.take(audience, recipients.size());
         if (!entries.isEmpty()) {
-            send(entries, to);
+            send(entries, recipients);
         }
     }
 
-    private void tellOwnRelay(List<PeerMember> relay) {
+    private void sendToOwnRelay(List<PeerMember> relay) {
         List<PeerEntry> entries = outbox.take(Audience.OWN_RELAY, relay.size());
-        if (!entries.isEmpty() || roundsCount - messageToRelayRound >= OWN_MESSAGE_ROUNDS) {
-            messageToRelayRound = roundsCount;
+        if (!entries.isEmpty() || roundsCount - lastRelayMessageRound >= MEMBER_HEARTBEAT_ROUNDS) {
+            lastRelayMessageRound = roundsCount;
             send(entries, relay);
         }
     }
 
-    private void sayWhoIsAlive() {
-        if (relays.centre().isEmpty()) {
+    private void publishHeartbeat() {
+        if (relayTracker.localPeers().isEmpty()) {
             return;
         }
-        Set<String> alive = relays.aliveByHearing();
-        Map<String, Long> leads = new TreeMap<>(clocks.leadsMillis());
-        leads.keySet().removeIf(name -> relays.ofOwnCentre(name) && !alive.contains(name));
-        leads.put(settings.instance(), 0L);
-        publish(PeerTopic.ALIVE, settings.dataCentre(), new RelayHeartbeat(leads).encode(), relays.aliveMillis());
+        Set<String> alive = relayTracker.recentSenders();
+        Map<String, Long> offsets = new TreeMap<>(clockOffsets.offsetsMillis());
+        offsets.keySet().removeIf(name -> relayTracker.inOwnDataCentre(name) && !alive.contains(name));
+        offsets.put(settings.instance(), 0L);
+        publish(
+                PeerTopic.ALIVE,
+                settings.dataCentre(),
+                new RelayHeartbeat(offsets).encode(),
+                relayTracker.heartbeatTtlMillis());
     }
 
     /** This process was suspended: what is known of the ways of messages is wrong by that time. */
     public void suspended() {
-        clocks.forget();
+        clockOffsets.reset();
     }
 
-    private void send(List<PeerEntry> entries, List<PeerMember> to) {
-        if (to.isEmpty()) {
+    private void send(List<PeerEntry> entries, List<PeerMember> recipients) {
+        if (recipients.isEmpty()) {
             return;
         }
         Bytes encoded = codec.encode(new PeerMessage(
@@ -398,15 +406,17 @@
                 nextNumber++,
                 time.wallMillis(),
                 time.monotonicMillis(),
-                to.size() == 1 ? clocks.leadMillis(to.get(0).name()) : Optional.empty(),
-                roundsCount <= NEWCOMER_ROUNDS,
+                recipients.size() == 1
+                        ? clockOffsets.offsetMillis(recipients.get(0).name())
+                        : Optional.empty(),
+                roundsCount <= STATE_REQUEST_ROUNDS,
                 entries));
         for (PeerEntry entry : entries) {
-            PeerTopic.named(entry.topic())
-                    .ifPresent(topic -> observer.onTold(topic, PeerCodec.sizeOf(entry), to.size()));
+            PeerTopic.find(entry.topic())
+                    .ifPresent(topic -> observer.onTold(topic, PeerCodec.sizeOf(entry), recipients.size()));
         }
-        outbox.spent((long) encoded.length() * to.size());
-        for (PeerMember member : to) {
+        outbox.onSent((long) encoded.length() * recipients.size());
+        for (PeerMember member : recipients) {
             observer.onSent(encoded.length());
             transport.send(member, encoded);
         }
@@ -419,49 +429,49 @@
      * @return whether it was taken; a connection that brings one that is refused is closed
      */
     public boolean receive(Bytes received) {
-        boolean[] taken = new boolean[1];
+        boolean[] accepted = new boolean[1];
         codec.decode(
                 received,
                 message -> {
                     observer.onReceived(received.length());
-                    taken[0] = take(message);
+                    accepted[0] = process(message);
                 },
                 observer::onRefused);
-        return taken[0];
+        return accepted[0];
     }
 
-    private boolean take(PeerMessage message) {
-        if (replays.isReplayed(message)) {
+    private boolean process(PeerMessage message) {
+        if (replayGuard.isReplayed(message)) {
             observer.onRefused(PeerRefusal.REPLAYED);
             return false;
         }
-        relays.heard(message.sender());
-        clocks.heard(message);
-        Optional<RelayHeartbeat> aliveWord = aliveWord(message);
+        relayTracker.onMessageFrom(message.sender());
+        clockOffsets.onMessage(message);
+        Optional<RelayHeartbeat> heartbeat = heartbeatIn(message);
         if (message.leadMillis().isPresent()) {
-            clocks.told(message.sender(), message.startedMillis(), message.leadMillis());
+            clockOffsets.onReportedOffset(message.sender(), message.startedMillis(), message.leadMillis());
         } else {
-            aliveWord.ifPresent(word ->
-                    clocks.told(message.sender(), message.startedMillis(), word.leadMillis(settings.instance())));
+            heartbeat.ifPresent(relayHeartbeat -> clockOffsets.onReportedOffset(
+                    message.sender(), message.startedMillis(), relayHeartbeat.clockOffsetMillis(settings.instance())));
         }
-        OptionalLong wayMillis = clocks.wayMillis(message);
-        wayMillis.ifPresent(millis -> {
+        OptionalLong transitMillis = clockOffsets.transitMillis(message);
+        transitMillis.ifPresent(millis -> {
             observer.onWay(millis);
-            lateWords.came(message.sender(), millis);
+            lateMessages.onMessage(message.sender(), millis);
         });
         for (PeerEntry entry : message.items()) {
-            accept(entry, wayMillis, message.sender(), aliveWord);
+            accept(entry, transitMillis, message.sender(), heartbeat);
         }
-        if (newcomers.isFirstWord(message) && (acting() || !byRelays())) {
+        if (stateTransfers.isFirstStateRequest(message) && (acting() || !byRelays())) {
             // Without the wish to be answered: two newcomers would send each other everything without end.
-            relays.member(message.sender()).ifPresent(storeOwed::add);
-            payOwedStores();
+            relayTracker.findMember(message.sender()).ifPresent(pendingSnapshots::add);
+            sendPendingSnapshots();
         }
         return true;
     }
 
     /** What a relay says of itself and of the clocks of those that it hears, where the message has that. */
-    private Optional<RelayHeartbeat> aliveWord(PeerMessage message) {
+    private Optional<RelayHeartbeat> heartbeatIn(PeerMessage message) {
         for (PeerEntry entry : message.items()) {
             if (entry.topic().equals(PeerTopic.ALIVE.name()) && entry.origin().equals(message.sender())) {
                 try {
@@ -477,48 +487,50 @@
         return Optional.empty();
     }
 
-    private void accept(PeerEntry came, OptionalLong wayMillis, String sender, Optional<RelayHeartbeat> aliveWord) {
-        PeerEntry entry = came.older(wayMillis.orElse(0));
-        Optional<PeerTopic> topic = PeerTopic.named(entry.topic());
+    private void accept(
+            PeerEntry received, OptionalLong transitMillis, String sender, Optional<RelayHeartbeat> heartbeat) {
+        PeerEntry entry = received.withAddedAge(transitMillis.orElse(0));
+        Optional<PeerTopic> topic = PeerTopic.find(entry.topic());
         if (topic.isEmpty()
                 || entry.origin().equals(settings.instance())
                 // What came late is old and still news; its age may be this instance's own way.
-                || !store.accept(came, time.monotonicMillis(), 0)) {
+                || !store.add(received, time.monotonicMillis(), 0)) {
             return;
         }
         if (topic.get() == PeerTopic.ALIVE) {
-            aliveWord.ifPresent(word -> relays.heardAlive(entry, word, sender));
+            heartbeat.ifPresent(relayHeartbeat -> relayTracker.onHeartbeat(entry, relayHeartbeat, sender));
         }
         if (topic.get() == PeerTopic.WANT) {
-            relays.member(sender).ifPresent(this::tellEverything);
+            relayTracker.findMember(sender).ifPresent(this::sendState);
             return;
         }
         if (acting() && byRelays()) {
-            passOn(entry, topic.get(), sender);
+            forward(entry, topic.get(), sender);
         }
-        boolean ageProved = wayMillis.isPresent() && entry.origin().equals(sender);
-        PeerItem item = new PeerItem(
+        boolean ageBounded = transitMillis.isPresent() && entry.origin().equals(sender);
+        PeerItem update = new PeerItem(
                 entry.origin(),
                 topic.get(),
                 entry.key(),
                 entry.version(),
                 entry.payload(),
                 entry.ageMillis(),
-                ageProved);
-        listeners.get(topic.get()).forEach(listener -> listener.accept(item));
+                ageBounded);
+        listeners.get(topic.get()).forEach(listener -> listener.accept(update));
     }
 
-    private void passOn(PeerEntry entry, PeerTopic topic, String sender) {
-        boolean ours = relays.member(sender)
+    private void forward(PeerEntry entry, PeerTopic topic, String sender) {
+        boolean fromOwnDataCentre = relayTracker
+                .findMember(sender)
                 .filter(member -> member.dataCentre().equals(settings.dataCentre()))
                 .isPresent();
-        if (TOLD_TO_ALL.contains(topic)) {
-            outbox.add(Audience.OWN_CENTRE, entry);
-            if (ours) {
+        if (FLEET_WIDE_TOPICS.contains(topic)) {
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
+            if (fromOwnDataCentre) {
                 outbox.add(Audience.OTHER_RELAYS, entry);
             }
-        } else if (topic == PeerTopic.KEPT_PARTS && ours) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+        } else if (topic == PeerTopic.KEPT_PARTS && fromOwnDataCentre) {
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/RelayHeartbeat.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayHeartbeat.java
@@ -10,24 +10,24 @@
 /**
  * Who a relay hears, and what their clocks are ahead of its own at least.
  *
- * @param leadsMillis milliseconds by the names of those that it hears, not null
+ * @param clockOffsetsMillis milliseconds by the names of those that it hears, not null
  */
-record RelayHeartbeat(Map<String, Long> leadsMillis) {
+record RelayHeartbeat(Map<String, Long> clockOffsetsMillis) {
 
     RelayHeartbeat {
-        leadsMillis = Map.copyOf(leadsMillis);
+        clockOffsetsMillis = Map.copyOf(clockOffsetsMillis);
     }
 
     Set<String> names() {
-        return leadsMillis.keySet();
+        return clockOffsetsMillis.keySet();
     }
 
-    Optional<Long> leadMillis(String name) {
-        return Optional.ofNullable(leadsMillis.get(name));
+    Optional<Long> clockOffsetMillis(String name) {
+        return Optional.ofNullable(clockOffsetsMillis.get(name));
     }
 
     Bytes encode() {
-        return Packing.pack(leadsMillis, Packing::writeNumbers);
+        return Packing.pack(clockOffsetsMillis, Packing::writeNumbers);
     }
 
     static RelayHeartbeat decode(Bytes payload) throws IOException {
--- a/src/main/java/org/dogwoodwinch/peer/ReplayGuard.java
+++ b/src/main/java/org/dogwoodwinch/peer/ReplayGuard.java
@@ -9,10 +9,10 @@
 final class ReplayGuard {
 
     /** Well over what the times of day of two instances differ by. */
-    private static final long WINDOW_MILLIS = 300_000;
+    private static final long MAX_CLOCK_SKEW_MILLIS = 300_000;
 
     private final TimeSource time;
-    private final Map<String, Last> lastBySender = new HashMap<>();
+    private final Map<String, LastMessage> lastBySender = new HashMap<>();
 
     ReplayGuard(TimeSource time) {
         this.time = Objects.requireNonNull(time, "time");
@@ -20,16 +20,16 @@
 
     /** Whether a message is too old, or not newer than the last one of the same start of its sender; remembers it if not. */
     boolean isReplayed(PeerMessage message) {
-        if (Math.abs(time.wallMillis() - message.sentMillis()) > WINDOW_MILLIS) {
+        if (Math.abs(time.wallMillis() - message.sentMillis()) > MAX_CLOCK_SKEW_MILLIS) {
             return true;
         }
-        Last last = lastBySender.get(message.sender());
+        LastMessage last = lastBySender.get(message.sender());
         if (last != null && last.startedMillis == message.startedMillis() && message.number() <= last.number) {
             return true;
         }
-        lastBySender.put(message.sender(), new Last(message.startedMillis(), message.number()));
+        lastBySender.put(message.sender(), new LastMessage(message.startedMillis(), message.number()));
         return false;
     }
 
-    private record Last(long startedMillis, long number) {}
+    private record LastMessage(long startedMillis, long number) {}
 }
--- a/src/main/java/org/dogwoodwinch/peer/Succession.java
+++ b/src/main/java/org/dogwoodwinch/peer/SuccessionOrder.java
@@ -16,7 +16,7 @@
  * <p>Failure: what one sends for all of a data centre takes most of a narrow link, and its calls wait behind it. Those
  * with the widest links stand first.
  */
-public final class Succession {
+public final class SuccessionOrder {
 
     private final String dataCentre;
     private final String ownName;
@@ -29,7 +29,7 @@
      * @param ownName this instance's name, not null
      * @param ownLinkMbps what its link carries, in megabits a second; zero where that is not known
      */
-    public Succession(String dataCentre, String ownName, double ownLinkMbps) {
+    public SuccessionOrder(String dataCentre, String ownName, double ownLinkMbps) {
         this.dataCentre = Objects.requireNonNull(dataCentre, "dataCentre");
         this.ownName = Objects.requireNonNull(ownName, "ownName");
         linksMbps.put(ownName, ownLinkMbps);
@@ -40,7 +40,7 @@
      *
      * @param others the others, of all data centres, not null
      */
-    public void look(Collection<PeerMember> others) {
+    public void updateLinks(Collection<PeerMember> others) {
         others.forEach(other -> linksMbps.put(other.name(), other.linkMbps()));
     }
 
@@ -50,20 +50,20 @@
      * @param name the other one's name, not null
      * @return whether it does
      */
-    public boolean before(String name) {
-        return before(dataCentre, name, ownName);
+    public boolean isPredecessor(String name) {
+        return isPredecessor(dataCentre, name, ownName);
     }
 
     /**
      * Says which of two instances of a data centre stands first.
      *
-     * @param where the data centre, not null
-     * @param one an instance's name, not null
+     * @param dataCentre the data centre, not null
+     * @param candidate an instance's name, not null
      * @param other another's, not null
      * @return whether the one stands before the other
      */
-    boolean before(String where, String one, String other) {
-        return order(where).compare(one, other) > 0;
+    boolean isPredecessor(String dataCentre, String candidate, String other) {
+        return byPriority(dataCentre).compare(candidate, other) > 0;
     }
 
     /**
@@ -74,38 +74,38 @@
      */
     public int ownRank(List<PeerMember> others) {
         return (int) others.stream()
-                .filter(other -> other.dataCentre().equals(dataCentre) && before(other.name()))
+                .filter(other -> other.dataCentre().equals(dataCentre) && isPredecessor(other.name()))
                 .count();
     }
 
     /**
      * Returns the first of a data centre.
      *
-     * @param where the data centre, not null
+     * @param dataCentre the data centre, not null
      * @param members instances, not null
      * @return the first one of that data centre, empty where there is none
      */
-    public Optional<PeerMember> first(String where, List<PeerMember> members) {
+    public Optional<PeerMember> first(String dataCentre, List<PeerMember> members) {
         return members.stream()
-                .filter(member -> member.dataCentre().equals(where))
-                .max(Comparator.comparing(PeerMember::name, order(where)));
+                .filter(member -> member.dataCentre().equals(dataCentre))
+                .max(Comparator.comparing(PeerMember::name, byPriority(dataCentre)));
     }
 
     /**
      * Says whether this instance is the one of several that a thing falls to.
      *
      * @param key the thing, not null
-     * @param names the instances, this one may be among them or not, not null
+     * @param candidates the instances, this one may be among them or not, not null
      * @return whether no other one ranks higher for the thing
      */
-    public boolean fallsToOwn(String key, Collection<String> names) {
-        double own = Rendezvous.score(key, ownName);
-        return names.stream().noneMatch(name -> !name.equals(ownName) && Rendezvous.score(key, name) > own);
+    public boolean isAssignedToSelf(String key, Collection<String> candidates) {
+        double ownScore = Rendezvous.score(key, ownName);
+        return candidates.stream().noneMatch(name -> !name.equals(ownName) && Rendezvous.score(key, name) > ownScore);
     }
 
     /** The greatest stands first. */
-    private Comparator<String> order(String where) {
+    private Comparator<String> byPriority(String dataCentre) {
         return Comparator.<String>comparingDouble(name -> linksMbps.getOrDefault(name, 0.0))
-                .thenComparingDouble(name -> Rendezvous.score(where, name));
+                .thenComparingDouble(name -> Rendezvous.score(dataCentre, name));
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
@@ -18,46 +18,47 @@
     private static final Logger log = LoggerFactory.getLogger(SuspicionExchange.class);
     private static final int FIELDS = 4;
     private static final String TRIAL_PREFIX = "trial-";
-    private static final long LEAST_KEPT_MILLIS = 60_000;
+    private static final long MIN_TTL_MILLIS = 60_000;
 
-    private final PeerBoard board;
+    private final PeerBoard bus;
 
     /**
      * Creates the publishing side.
      *
-     * @param board the notice board, not null
+     * @param bus the notice board, not null
      */
-    public SuspicionExchange(PeerBoard board) {
-        this.board = Objects.requireNonNull(board, "board");
+    public SuspicionExchange(PeerBoard bus) {
+        this.bus = Objects.requireNonNull(bus, "bus");
     }
 
     /**
      * Makes a book hear what the others tell.
      *
-     * @param book the book, not null
+     * @param suspects the book, not null
      */
-    public void connect(SuspectBook book) {
-        board.subscribe(
+    public void connect(SuspectBook suspects) {
+        bus.subscribe(
                 PeerTopic.QUARANTINE,
-                item -> decode(item.payload()).ifPresent(notice -> book.onPeerNotice(notice, item.ageMillis())));
+                update -> decode(update.payload())
+                        .ifPresent(notice -> suspects.onPeerNotice(notice, update.ageMillis())));
     }
 
     /** A trial has a key of its own: its end must not replace the word of the quarantine that followed from it. */
     @Override
     public void accept(SuspicionNotice notice) {
-        boolean trial =
+        boolean isTrial =
                 notice.kind() == SuspicionNotice.Kind.TRIAL || notice.kind() == SuspicionNotice.Kind.TRIAL_ENDED;
-        String key = (trial ? TRIAL_PREFIX : "") + SuspectBook.toHex(notice.fingerprint());
-        board.publish(PeerTopic.QUARANTINE, key, encode(notice), Math.max(LEAST_KEPT_MILLIS, notice.remainingMillis()));
+        String key = (isTrial ? TRIAL_PREFIX : "") + SuspectBook.toHex(notice.fingerprint());
+        bus.publish(PeerTopic.QUARANTINE, key, encode(notice), Math.max(MIN_TTL_MILLIS, notice.remainingMillis()));
     }
 
     private static Bytes encode(SuspicionNotice notice) {
-        return Packing.pack(notice, (packer, said) -> {
+        return Packing.pack(notice, (packer, value) -> {
             packer.packArrayHeader(FIELDS);
-            packer.packString(said.kind().name());
-            packer.packLong(said.fingerprint());
-            packer.packString(said.target());
-            packer.packLong(said.remainingMillis());
+            packer.packString(value.kind().name());
+            packer.packLong(value.fingerprint());
+            packer.packString(value.target());
+            packer.packLong(value.remainingMillis());
         });
     }
 
--- a/src/main/java/org/dogwoodwinch/peer/OwnDuties.java
+++ b/src/main/java/org/dogwoodwinch/peer/TaskAssignment.java
@@ -12,32 +12,32 @@
  * Targets times instances were ranked anew each time, which was a good part of what an idle instance of a large fleet did.
  * Here a duty is ranked once, and again only when somebody came or went.
  */
-final class OwnDuties {
+final class TaskAssignment {
 
     /** More than the targets of any fleet; what is beyond has gone long ago, and is ranked again where it is asked for. */
-    private static final int MOST_KNOWN = 20_000;
+    private static final int MAX_CACHED_TASKS = 20_000;
 
-    private final Succession succession;
-    private final Map<String, Boolean> known = new HashMap<>();
-    private Set<String> alive = Set.of();
+    private final SuccessionOrder succession;
+    private final Map<String, Boolean> assignments = new HashMap<>();
+    private Set<String> aliveMembers = Set.of();
 
-    OwnDuties(Succession succession) {
+    TaskAssignment(SuccessionOrder succession) {
         this.succession = Objects.requireNonNull(succession, "succession");
     }
 
     /** Takes the names of those that are alive; what was ranked among others is forgotten. */
-    void among(Set<String> names) {
-        if (!alive.equals(names)) {
-            alive = Set.copyOf(names);
-            known.clear();
+    void updateMembers(Set<String> names) {
+        if (!aliveMembers.equals(names)) {
+            aliveMembers = Set.copyOf(names);
+            assignments.clear();
         }
     }
 
     /** Whether nobody that is alive ranks higher for the thing. */
-    boolean fallsToOwn(String key) {
-        if (known.size() >= MOST_KNOWN) {
-            known.clear();
+    boolean isAssignedToSelf(String key) {
+        if (assignments.size() >= MAX_CACHED_TASKS) {
+            assignments.clear();
         }
-        return known.computeIfAbsent(key, thing -> succession.fallsToOwn(thing, alive));
+        return assignments.computeIfAbsent(key, task -> succession.isAssignedToSelf(task, aliveMembers));
     }
 }
--- a/src/test/java/org/dogwoodwinch/follow/RepeatedMeaningTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/RedundantRecordTrackerTest.java
@@ -9,9 +9,9 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.junit.jupiter.api.Test;
 
-class RepeatedMeaningTest {
+class RedundantRecordTrackerTest {
 
-    private final RepeatedMeaning repeated = new RepeatedMeaning(RepeatedMeaningTest::state, 4);
+    private final RedundantRecordTracker repeated = new RedundantRecordTracker(RedundantRecordTrackerTest::state, 4);
 
     /** Entries here are a state and a count that grows with each renewal. */
     private static Object state(KeyedRecord record) {
@@ -27,12 +27,12 @@
 
     @Test
     void aRenewedEntrySaysNothingNewAndAChangedOneDoes() {
-        assertTrue(repeated.read(0, 1, List.of(entry(0, "ready 1"))));
-        assertFalse(repeated.read(1, 2, List.of(entry(1, "ready 2"))));
-        assertTrue(repeated.contains(1));
-        assertTrue(repeated.read(2, 4, List.of(entry(2, "leaving 3"), entry(3, ""))));
-        assertFalse(repeated.contains(2));
-        assertFalse(repeated.contains(3));
+        assertTrue(repeated.observe(0, 1, List.of(entry(0, "ready 1"))));
+        assertFalse(repeated.observe(1, 2, List.of(entry(1, "ready 2"))));
+        assertTrue(repeated.isRedundant(1));
+        assertTrue(repeated.observe(2, 4, List.of(entry(2, "leaving 3"), entry(3, ""))));
+        assertFalse(repeated.isRedundant(2));
+        assertFalse(repeated.isRedundant(3));
     }
 
     /**
@@ -42,21 +42,21 @@
      */
     @Test
     void behindAGapEverythingIsNew() {
-        repeated.read(0, 1, List.of(entry(0, "ready 1")));
-        assertTrue(repeated.read(2, 3, List.of(entry(2, "ready 3"))));
-        assertFalse(repeated.contains(2));
+        repeated.observe(0, 1, List.of(entry(0, "ready 1")));
+        assertTrue(repeated.observe(2, 3, List.of(entry(2, "ready 3"))));
+        assertFalse(repeated.isRedundant(2));
     }
 
     @Test
     void onlyTheLatestOffsetsAreRemembered() {
-        repeated.read(0, 1, List.of(entry(0, "ready 0")));
+        repeated.observe(0, 1, List.of(entry(0, "ready 0")));
         for (long offset = 1; offset <= 6; offset++) {
-            repeated.read(offset, offset + 1, List.of(entry(offset, "ready " + offset)));
+            repeated.observe(offset, offset + 1, List.of(entry(offset, "ready " + offset)));
         }
         assertEquals(
                 List.of(3L, 4L, 5L, 6L),
                 List.of(1L, 2L, 3L, 4L, 5L, 6L).stream()
-                        .filter(repeated::contains)
+                        .filter(repeated::isRedundant)
                         .toList());
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/PeerClocksTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
@@ -9,14 +9,14 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class PeerClocksTest {
+class ClockOffsetsTest {
 
     /** What the relay's steady clock shows beyond the own one. */
     private static final long APART_MILLIS = 7_777_777;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final PeerClocks own = new PeerClocks(time);
-    private final PeerClocks relays = new PeerClocks(time);
+    private final ClockOffsets own = new ClockOffsets(time);
+    private final ClockOffsets relays = new ClockOffsets(time);
     private long suspendedMillis;
 
     private static PeerMessage message(String sender, long startedMillis, long clockMillis) {
@@ -32,21 +32,23 @@
     private void relayHears(long wayMillis) {
         long writtenMillis = time.monotonicMillis();
         time.advanceMillis(wayMillis);
-        relays.heard(message("own", 1, writtenMillis - APART_MILLIS));
+        relays.onMessage(message("own", 1, writtenMillis - APART_MILLIS));
     }
 
     private void relayTells(long startedMillis) {
-        own.told(
-                "relay", startedMillis, Optional.ofNullable(relays.leadsMillis().get("own")));
+        own.onReportedOffset(
+                "relay",
+                startedMillis,
+                Optional.ofNullable(relays.offsetsMillis().get("own")));
     }
 
     private long wayMillis(PeerMessage message) {
-        return own.wayMillis(message).orElseThrow();
+        return own.transitMillis(message).orElseThrow();
     }
 
     @Test
     void ofOneThatToldNothingNoWayIsKnown() {
-        assertEquals(OptionalLong.empty(), own.wayMillis(ofRelay(1)));
+        assertEquals(OptionalLong.empty(), own.transitMillis(ofRelay(1)));
     }
 
     @Test
@@ -87,7 +89,7 @@
         relayHears(1);
         relayTells(1);
 
-        assertEquals(OptionalLong.empty(), own.wayMillis(ofRelay(2)));
+        assertEquals(OptionalLong.empty(), own.transitMillis(ofRelay(2)));
     }
 
     @Test
@@ -98,14 +100,14 @@
         time.advanceMillis(1_600);
         relayHears(400);
 
-        assertEquals(-APART_MILLIS - 400, relays.leadsMillis().get("own"));
+        assertEquals(-APART_MILLIS - 400, relays.offsetsMillis().get("own"));
     }
 
     /** An instance started anew, and what was known of its earlier clock made old words look fresh. */
     @Test
     void aWordFromTheFutureProvesNothing() {
-        own.told("relay", 1, Optional.of(3_600_000L - APART_MILLIS));
+        own.onReportedOffset("relay", 1, Optional.of(3_600_000L - APART_MILLIS));
 
-        assertEquals(OptionalLong.empty(), own.wayMillis(ofRelay(1)));
+        assertEquals(OptionalLong.empty(), own.transitMillis(ofRelay(1)));
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/PeerOutboxStarvationTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/PeerOutboxStarvationTest.java
@@ -32,12 +32,12 @@
         List<String> sent = new ArrayList<>();
         for (int round = 0; round < ROUNDS; round++) {
             for (int i = 0; i < 10; i++) {
-                outbox.add(PeerOutbox.Audience.OWN_CENTRE, entry(PeerTopic.KEPT_PARTS, PARTS_BYTES));
+                outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.KEPT_PARTS, PARTS_BYTES));
             }
-            outbox.add(PeerOutbox.Audience.OWN_CENTRE, entry(PeerTopic.FLEET_LOAD, LOADS_BYTES));
-            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_CENTRE, RECEIVERS);
+            outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.FLEET_LOAD, LOADS_BYTES));
+            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_DATA_CENTRE, RECEIVERS);
             taken.forEach(entry -> sent.add(entry.topic()));
-            outbox.spent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECEIVERS);
+            outbox.onSent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECEIVERS);
             time.advanceMillis(150);
         }
 
@@ -52,11 +52,11 @@
         boolean paid = false;
         for (int round = 0; round < ROUNDS; round++) {
             for (int i = 0; i < 10; i++) {
-                outbox.add(PeerOutbox.Audience.OWN_CENTRE, entry(PeerTopic.KEPT_PARTS, PARTS_BYTES));
+                outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.KEPT_PARTS, PARTS_BYTES));
             }
-            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_CENTRE, RECEIVERS);
-            outbox.spent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECEIVERS);
-            paid |= outbox.hasRoomFor(40_000);
+            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_DATA_CENTRE, RECEIVERS);
+            outbox.onSent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECEIVERS);
+            paid |= outbox.hasBudgetFor(40_000);
             time.advanceMillis(150);
         }
 
--- a/src/test/java/org/dogwoodwinch/peer/SuccessionTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SuccessionTest {
+class SuccessionOrderTest {
 
     private static final String CENTRE = "dc";
 
@@ -22,9 +22,9 @@
         return members;
     }
 
-    private static Succession of(PeerMember own, List<PeerMember> all) {
-        Succession succession = new Succession(CENTRE, own.name(), own.linkMbps());
-        succession.look(all.stream().filter(other -> !other.equals(own)).toList());
+    private static SuccessionOrder of(PeerMember own, List<PeerMember> all) {
+        SuccessionOrder succession = new SuccessionOrder(CENTRE, own.name(), own.linkMbps());
+        succession.updateLinks(all.stream().filter(other -> !other.equals(own)).toList());
         return succession;
     }
 
@@ -39,7 +39,7 @@
             assertEquals(0, of(first, all).ownRank(all));
             for (PeerMember each : all) {
                 assertEquals(first, of(each, all).first(CENTRE, all).orElseThrow(), "seen by " + each.name());
-                assertTrue(each.equals(first) || of(each, all).before(first.name()), "seen by " + each.name());
+                assertTrue(each.equals(first) || of(each, all).isPredecessor(first.name()), "seen by " + each.name());
             }
         }
     }
@@ -63,6 +63,6 @@
     void oneThatAnnouncedNothingStandsLast() {
         List<PeerMember> all = centre(3, 0);
 
-        assertTrue(all.stream().noneMatch(each -> of(each, all).before("stranger")));
+        assertTrue(all.stream().noneMatch(each -> of(each, all).isPredecessor("stranger")));
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/OwnDutiesTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/TaskAssignmentTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class OwnDutiesTest {
+class TaskAssignmentTest {
 
     private static final List<String> NAMES = List.of("i1", "i2", "i3", "i4");
 
@@ -14,9 +14,9 @@
         return NAMES.stream()
                 .filter(alive::contains)
                 .filter(name -> {
-                    OwnDuties duties = new OwnDuties(new Succession("dc", name, 0));
-                    duties.among(alive);
-                    return duties.fallsToOwn(duty);
+                    TaskAssignment duties = new TaskAssignment(new SuccessionOrder("dc", name, 0));
+                    duties.updateMembers(alive);
+                    return duties.isAssignedToSelf(duty);
                 })
                 .count();
     }
@@ -33,13 +33,13 @@
     /** Somebody dies, and what was ranked while it lived is ranked anew: else nobody asked its engines any more. */
     @Test
     void aDutyOfOneThatDiedIsTakenOver() {
-        OwnDuties duties = new OwnDuties(new Succession("dc", "i1", 0));
-        duties.among(Set.of("i1", "i2"));
+        TaskAssignment duties = new TaskAssignment(new SuccessionOrder("dc", "i1", 0));
+        duties.updateMembers(Set.of("i1", "i2"));
         String others = List.of("a", "b", "c", "d", "e", "f").stream()
-                .filter(duty -> !duties.fallsToOwn(duty))
+                .filter(duty -> !duties.isAssignedToSelf(duty))
                 .findFirst()
                 .orElseThrow();
-        duties.among(Set.of("i1"));
-        assertEquals(true, duties.fallsToOwn(others));
+        duties.updateMembers(Set.of("i1"));
+        assertEquals(true, duties.isAssignedToSelf(others));
     }
 }
