--- a/src/main/java/org/dogwoodwinch/follow/ConditionalLog.java
+++ b/src/main/java/org/dogwoodwinch/follow/ConditionalLog.java
@@ -3,40 +3,41 @@
 import java.util.concurrent.CompletionStage;
 import org.dogwoodwinch.bytes.Bytes;
 
-/** A log of the platform that takes a record only at the end that the writer names. */
+/** A log of the platform whose appends are conditional on the expected end offset (optimistic concurrency). */
 @FunctionalInterface
 public interface ConditionalLog {
 
-    /** What became of a record. */
+    /** The result of an append. */
     sealed interface Appended permits Written, EndsElsewhere, Unknown {}
 
     /**
-     * It was written.
+     * The record was written.
      *
-     * @param offset where it lies
+     * @param offset the offset of the record
      */
     record Written(long offset) implements Appended {}
 
     /**
-     * The log ends elsewhere; nothing was written.
+     * The log does not end at the expected offset, and nothing was written.
      *
-     * @param endOffset its end
+     * @param endOffset the actual end offset of the log
      */
     record EndsElsewhere(long endOffset) implements Appended {}
 
     /**
-     * No usable answer: it may have been written, or be written later if the log then still ends there.
+     * The outcome is unknown. The record may have been written already, or may still be written later if the log then
+     * still ends at the expected offset.
      *
-     * @param reason what happened, for logs
+     * @param reason the cause, for logs
      */
     record Unknown(String reason) implements Appended {}
 
     /**
-     * Writes a record.
+     * Appends a record if the log ends at the expected offset.
      *
      * @param content the record, not null
-     * @param expectedEndOffset where the log has to end
-     * @return completes with what became of it; never exceptionally
+     * @param expectedEndOffset the required end offset of the log
+     * @return a stage that completes with the result of the append, and never exceptionally
      */
     CompletionStage<Appended> append(Bytes content, long expectedEndOffset);
 }
--- a/src/main/java/org/dogwoodwinch/follow/FollowListener.java
+++ b/src/main/java/org/dogwoodwinch/follow/FollowListener.java
@@ -2,31 +2,35 @@
 
 import java.util.Set;
 
-/** Hears what a followed stream says, in the order in which it may be believed. */
+/**
+ * Receives the records and connection changes of a followed stream. Calls arrive in an order in which each record can
+ * be applied as it comes.
+ */
 public interface FollowListener {
 
     /**
-     * A record was read. One read twice, or an older one of its key, may come.
+     * Called for each record that was read. The same record can arrive twice, and so can an older record of its key.
      *
      * @param record the record, not null
      */
     void record(KeyedRecord record);
 
     /**
-     * A full reading ended: what it covers and did not list is gone.
+     * Called when a snapshot read completes. A key that is not listed and whose records lie before the end offset no
+     * longer exists.
      *
-     * @param keys all keys listed, not null
-     * @param endOffset the end of the stream as the reading began
+     * @param keys all keys in the snapshot, not null
+     * @param endOffset the end offset of the stream when the snapshot read began
      */
     void readWhole(Set<String> keys, long endOffset);
 
-    /** Calls are answered again after some that were not. */
+    /** Called when a read succeeds after a series of failed reads. */
     void regained();
 
     /**
-     * A call was not answered, the first of a series.
+     * Called for the first failed read of a series.
      *
-     * @param reason what happened, not null
+     * @param reason the cause of the failure, not null
      */
     void lost(String reason);
 }
--- a/src/main/java/org/dogwoodwinch/follow/FollowPolicy.java
+++ b/src/main/java/org/dogwoodwinch/follow/FollowPolicy.java
@@ -1,11 +1,12 @@
 package org.dogwoodwinch.follow;
 
 /**
- * The times of following.
+ * The polling and back-off intervals of a {@link StreamFollower}.
  *
- * @param waitMillis how long the platform may hold a reading call while there is no record
- * @param pauseMillis the pause between two reading calls; a stream that never rests is read in batches this far apart
- * @param firstBackoffMillis the pause after a call without an answer; it doubles with each further one
- * @param maxBackoffMillis the longest such pause
+ * @param waitMillis the long-poll time-out: how long the platform may hold a read while there is no record
+ * @param pauseMillis the pause between two reads; a stream that changes all the time is read in batches at this
+ *     interval
+ * @param firstBackoffMillis the back-off after the first failed read; it doubles with each further failure
+ * @param maxBackoffMillis the upper limit of the back-off
  */
 public record FollowPolicy(long waitMillis, long pauseMillis, long firstBackoffMillis, long maxBackoffMillis) {}
--- a/src/main/java/org/dogwoodwinch/follow/KeyedRecord.java
+++ b/src/main/java/org/dogwoodwinch/follow/KeyedRecord.java
@@ -7,13 +7,13 @@
 /**
  * One record of a keyed stream.
  *
- * @param key what it is about, not null
- * @param offset its place in the stream
- * @param value what it states, empty where the key was dropped
+ * @param key the key, not null
+ * @param offset the offset of the record in the stream
+ * @param value the new value of the key, empty if the key was deleted
  */
 public record KeyedRecord(String key, long offset, Optional<Bytes> value) {
 
-    /** Checks. */
+    /** Checks that key and value are not null. */
     public KeyedRecord {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(value, "value");
--- a/src/main/java/org/dogwoodwinch/follow/KeyedWriter.java
+++ b/src/main/java/org/dogwoodwinch/follow/KeyedWriter.java
@@ -4,17 +4,17 @@
 import java.util.concurrent.CompletionStage;
 import org.dogwoodwinch.bytes.Bytes;
 
-/** Writes records of a keyed stream. */
+/** Writes records to a keyed stream. */
 @FunctionalInterface
 public interface KeyedWriter {
 
     /**
      * Writes the newest record of a key.
      *
-     * @param key what it is about, at most 255 bytes, not null
-     * @param value what it states, empty to drop the key, not null
-     * @return completes with whether the store said that it was written, never exceptionally; without its word it may
-     *     still be written, now or later
+     * @param key the key, at most 255 bytes, not null
+     * @param value the new value, empty to delete the key, not null
+     * @return a stage that completes with whether the store confirmed the write, never exceptionally; an unconfirmed
+     *     record may still be written, now or later
      */
     CompletionStage<Boolean> put(String key, Optional<Bytes> value);
 }
--- a/src/main/java/org/dogwoodwinch/follow/ReadResult.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReadResult.java
@@ -3,46 +3,46 @@
 import java.util.List;
 import java.util.Objects;
 
-/** The outcome of one call that reads a keyed stream. */
+/** The result of one read of a keyed stream. */
 public sealed interface ReadResult {
 
     /**
-     * One page of the newest record of each key. Pages are no snapshot.
+     * One page with the newest record of each key. The pages of one read do not form a consistent snapshot.
      *
      * @param records the records, not null
-     * @param more whether keys after the last one are left
-     * @param endOffset the end of the stream as the page was read
+     * @param more whether there are keys after the last one of this page
+     * @param endOffset the end offset of the stream when the page was read
      */
     record Page(List<KeyedRecord> records, boolean more, long endOffset) implements ReadResult {
-        /** Copies. */
+        /** Copies the records. */
         public Page {
             records = List.copyOf(records);
         }
     }
 
     /**
-     * Records in order.
+     * Consecutive records.
      *
-     * @param records the records from the offset asked for, not null, empty where none came in time
-     * @param nextOffset where the next reading goes on
+     * @param records the records from the requested offset on, not null, empty if none arrived before the time-out
+     * @param nextOffset the offset at which the next read continues
      */
     record Batch(List<KeyedRecord> records, long nextOffset) implements ReadResult {
-        /** Copies. */
+        /** Copies the records. */
         public Batch {
             records = List.copyOf(records);
         }
     }
 
-    /** The records asked for are no longer kept. */
+    /** The requested records are no longer retained. */
     record Expired() implements ReadResult {}
 
     /**
-     * No usable answer.
+     * The read failed or its reply was unusable.
      *
-     * @param reason what happened, for logs, not null
+     * @param reason the cause, for logs, not null
      */
     record Unavailable(String reason) implements ReadResult {
-        /** Checks. */
+        /** Checks that the reason is not null. */
         public Unavailable {
             Objects.requireNonNull(reason, "reason");
         }
--- a/src/main/java/org/dogwoodwinch/follow/RedundantRecordTracker.java
+++ b/src/main/java/org/dogwoodwinch/follow/RedundantRecordTracker.java
@@ -9,10 +9,11 @@
 import java.util.function.Function;
 
 /**
- * Which records of one reader's readings say the same as the one before of their key. Not thread-safe.
+ * Determines which of the records that one reader reads leave the state of their key unchanged. Not thread-safe.
  *
- * <p>Failure: a record is passed over as repeated though another one, which this reader did not see, stood between the two:
- * whoever saw that one would hold to it for good. So behind a gap everything is new.
+ * <p>Failure: a record is dropped as redundant although another record of its key, which this reader did not read, lies
+ * between it and the previous one. A receiver that has seen the record in between would keep that state for good. All
+ * records after a gap therefore count as changes.
  */
 final class RedundantRecordTracker {
 
@@ -23,17 +24,17 @@
     private long endOffset = -1;
 
     /**
-     * Creates a judgement that has seen nothing.
+     * Creates a tracker that has observed no records.
      *
-     * @param stateFunction what a record says; two that say the same are equal, not null
-     * @param maxOffsets the repeated records that are remembered
+     * @param stateFunction returns the state that a record conveys; records with equal states are redundant, not null
+     * @param maxOffsets the number of redundant records that are remembered
      */
     RedundantRecordTracker(Function<KeyedRecord, Object> stateFunction, int maxOffsets) {
         this.stateFunction = Objects.requireNonNull(stateFunction, "stateFunction");
         this.maxOffsets = maxOffsets;
     }
 
-    /** Takes the records of a reading; returns whether one of them says something new. */
+    /** Observes the records of one read, and returns whether any of them changes the state of its key. */
     boolean observe(long fromOffset, long nextOffset, List<KeyedRecord> records) {
         if (fromOffset != endOffset) {
             lastStates.clear();
@@ -56,7 +57,7 @@
         return changed;
     }
 
-    /** Whether the record at an offset is one that said nothing new. */
+    /** Returns whether the record at an offset is remembered as redundant. */
     boolean isRedundant(long offset) {
         return redundantOffsets.contains(offset);
     }
--- a/src/main/java/org/dogwoodwinch/follow/ReplicaPolicy.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicaPolicy.java
@@ -1,20 +1,21 @@
 package org.dogwoodwinch.follow;
 
 /**
- * The times of being told instead of reading.
+ * The time limits for relying on updates of another reader instead of reading from the platform.
  *
- * @param freshMillis how old the relay's last answer of the platform may be while its word still stands for a reading of
- *     one's own; with the stagger and one reading it has to stay under every bound that counts from an acknowledgement
- * @param staggerMillis how much longer each further instance in the order of succession waits
- * @param mostStaggers the most such waits, however many instances there are
+ * @param freshMillis the maximum age of the reader's last contact with the platform up to which its updates replace
+ *     reads of this instance; the sum of this bound, the staggered delay and one read has to stay below every limit
+ *     that counts from an acknowledgement
+ * @param staggerMillis the additional takeover delay for each further position in the succession order
+ * @param mostStaggers the maximum number of such delays, regardless of the number of instances
  */
 public record ReplicaPolicy(long freshMillis, long staggerMillis, int mostStaggers) {
 
     /**
-     * Returns how long an instance waits beyond the time for which a word stands.
+     * Returns how long an instance waits before it takes over reading, in addition to the maximum age of updates.
      *
-     * @param rank its place in the order of succession, zero is the first
-     * @return milliseconds
+     * @param rank its position in the succession order, zero is the first
+     * @return the delay in milliseconds
      */
     public long takeoverDelayMillis(int rank) {
         return staggerMillis * Math.min(Math.max(0, rank - 1), mostStaggers);
--- a/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
@@ -19,31 +19,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A keyed stream that one instance of a data centre reads and tells the others. Used on one thread alone.
+ * A keyed stream that one instance of a data centre reads from the platform and replicates to the others. Confined to
+ * one thread.
  *
- * <p>Failure: where each instance reads for itself, calls to the platform grow with the fleet until they cost more than
- * the traffic earns. Here an instance reads only while nobody before it in the order of succession says, of late, that it
- * does. A word stands for as long as the publisher's own contact with the platform is recent: a publisher that is cut off from
- * the platform, frozen, behind or gone holds nobody back longer than that, and the next ones take over one after the
- * other. Records carry their offsets, so two that both tell, or one that tells late, do no harm: what was read already is
- * passed over, and a gap is closed by a reading of one's own.
+ * <p>Failure: when each instance reads for itself, calls to the platform grow with the fleet until they cost more than
+ * the traffic earns. Here an instance reads only while no predecessor in the succession order has recently published an
+ * update as a reader. An update counts for as long as its publisher's own contact with the platform is recent: a
+ * publisher that is cut off from the platform, frozen, lagging or gone suppresses the reads of others no longer than
+ * that, after which the next instances take over one after the other. Records carry their offsets, so two concurrent
+ * readers, or one that publishes late, do no harm: records that were read already are skipped, and a gap is closed by a
+ * read from the platform.
  *
- * <p>Failure: an instance that starts while the platform turns it away knows nothing and refuses every call, though its
- * neighbours have all that it needs. What a neighbour knows whole stands for the first reading, whichever comes first.
- * Where all of a data centre is turned away, the word of another one's reader is used and passed on.
+ * <p>Failure: an instance that starts while the platform rejects its calls has no state and refuses every call,
+ * although other instances hold all the state that it needs. A snapshot from another instance therefore replaces the
+ * first snapshot read, whichever arrives first. When the platform rejects a whole data centre, updates of a reader in
+ * another data centre are used and forwarded.
  *
- * <p>Load: targets renew their entries every second or so, which says nothing new. Sent to each instance and taken apart
- * there, that was a third of what the messages of an idle fleet cost. The reader leaves such records out of its word, and
- * a word that has nothing else waits until the next is due as a sign of life.
+ * <p>Load: targets renew their entries about once a second, which changes nothing. Sending these records to each
+ * instance and decoding them there accounted for a third of the message cost of an idle fleet. The reader omits such
+ * records from its updates, and an update without other records is delayed until the next heartbeat is due.
  */
 public final class ReplicatedStream implements KeyedStream {
 
     private static final Logger log = LoggerFactory.getLogger(ReplicatedStream.class);
 
-    /** Records that are kept for followers that are a word behind; a storm of changes brings some tens a second. */
+    /**
+     * The number of records kept for followers that are one update behind; a burst of changes produces some tens of
+     * records a second.
+     */
     private static final int MAX_BACKLOG_RECORDS = 256;
 
-    /** A reader's sign of life where nothing is new: twice within the time that a word stands. */
+    /** The number of updates that a reader publishes within the maximum update age when there are no changes. */
     private static final int HEARTBEATS_PER_STALENESS_BOUND = 2;
 
     private final String name;
@@ -72,12 +78,13 @@
      * Creates a stream.
      *
      * @param name the stream's name, not null
-     * @param platform reads it from the platform, not null
-     * @param policy the times, not null
+     * @param platform reads the stream from the platform, not null
+     * @param policy the time limits, not null
      * @param time the clock and timers, not null
-     * @param ownRank this instance's place in the order of succession of its data centre, zero is the first, not null
-     * @param publisher tells the others, not null
-     * @param stateFunction what a record says; two that say the same are equal, not null
+     * @param ownRank returns this instance's position in the succession order of its data centre, zero is the first,
+     *     not null
+     * @param publisher sends updates and snapshot requests to the other instances, not null
+     * @param stateFunction returns the state that a record conveys; records with equal states are redundant, not null
      */
     public ReplicatedStream(
             String name,
@@ -96,19 +103,20 @@
         this.redundantRecords = new RedundantRecordTracker(stateFunction, MAX_BACKLOG_RECORDS);
     }
 
-    /** Tells other instances, and asks them. */
+    /** Sends updates and snapshot requests to other instances. */
     public interface Publisher {
 
         /**
-         * Tells a word.
+         * Publishes an update.
          *
-         * @param update the word, not null
-         * @param ownReading whether it was read here: it is for the other data centres too; what came from one of them is
-         *     for the own one alone, or two that both fail would pass it to each other for ever
+         * @param update the update, not null
+         * @param ownReading whether this instance read the records from the platform. If so, the update goes to the
+         *     other data centres too; an update from another data centre goes to the own one only, since two data
+         *     centres that both fail to read would otherwise forward it to each other endlessly
          */
         void tell(StreamUpdate update, boolean ownReading);
 
-        /** Asks others for all that they know: the platform did not answer the first reading. */
+        /** Requests snapshots from other instances, because the platform did not answer the initial snapshot read. */
         void want();
     }
 
@@ -155,10 +163,10 @@
     }
 
     /**
-     * Hears another instance of the data centre.
+     * Processes an update from another instance of this data centre.
      *
-     * @param update what it says, not null
-     * @param fromPredecessor whether it stands before this instance in the order of succession
+     * @param update the update, not null
+     * @param fromPredecessor whether the sender precedes this instance in the succession order
      */
     public void heard(StreamUpdate update, boolean fromPredecessor) {
         if (fromPredecessor) {
@@ -169,10 +177,10 @@
     }
 
     /**
-     * Hears a reader of another data centre. Its word is needed where this data centre's own readings fail, and is then
-     * passed on; otherwise the data centre's own reading is as good and does not cross a border.
+     * Processes an update from a reader in another data centre. It is forwarded within this data centre only if the
+     * reads of this data centre fail; otherwise these are as current, and the update is not forwarded.
      *
-     * @param update what it says, not null
+     * @param update the update, not null
      */
     public void heardAbroad(StreamUpdate update) {
         long currentAgeMillis = ageMillis();
@@ -184,9 +192,9 @@
     }
 
     /**
-     * Returns all that this instance has taken in.
+     * Returns a snapshot of the state that was delivered to the follower.
      *
-     * @return the newest record of each key, empty before the first whole reading
+     * @return the newest record of each key, empty before the first complete snapshot
      */
     public Optional<StreamUpdate> whole() {
         if (!snapshotDelivered) {
@@ -204,9 +212,10 @@
     }
 
     /**
-     * Returns how old what this instance knows may be.
+     * Returns the maximum age of the replicated state.
      *
-     * @return milliseconds since the platform answered the reader that this instance relies on; -1 before any answer
+     * @return milliseconds since the platform last answered the reader that this instance relies on; -1 before any
+     *     answer
      */
     public long ageMillis() {
         long nowMillis = time.monotonicMillis();
@@ -230,7 +239,10 @@
         pendingRead.ifPresent(this::completeFromBacklog);
     }
 
-    /** A reading of one's own that is under way is left alone while the platform answers: its answer is on the way. */
+    /**
+     * Completes a read from the backlog. A read from the platform in progress is left alone while the platform answers,
+     * since its reply is about to arrive.
+     */
     private void completeFromBacklog(PendingRead read) {
         if (read.readingPlatform && lastContactMillis > time.monotonicMillis() - policy.freshMillis()) {
             return;
@@ -259,7 +271,7 @@
         snapshotRead.complete(page);
     }
 
-    /** Whether another instance's word stands for a reading of one's own. */
+    /** Returns whether updates of another reader currently replace reads from the platform. */
     private boolean isCoveredByOtherReader() {
         return time.monotonicMillis() < takeoverMillis();
     }
@@ -304,7 +316,10 @@
         });
     }
 
-    /** News at once; a sign of life, which says up to where there was none, before the last word is too old. */
+    /**
+     * Publishes a batch: immediately if it contains changes, otherwise as a heartbeat, which carries the current
+     * offset, before the last update becomes too old.
+     */
     private void publishBatch(long fromOffset, long nextOffset, boolean changed) {
         if (isCoveredByOtherReader()) {
             unpublishedFromOffset = -1;
@@ -346,7 +361,7 @@
         backlogEndOffset = endOffset;
     }
 
-    /** Records from an offset on, where all of them that say something are kept. */
+    /** Returns the records from an offset on, if the backlog holds all of them that are not redundant. */
     private Optional<ReadResult> readBacklog(long fromOffset) {
         if (backlogFirstOffset < 0 || fromOffset >= backlogEndOffset || backlogFirstOffset > fromOffset) {
             return Optional.empty();
@@ -360,7 +375,10 @@
         return Optional.of(new ReadResult.Batch(records, backlogEndOffset));
     }
 
-    /** What goes to the follower is what a newcomer is told. */
+    /**
+     * Records a result that is delivered to the follower, so that snapshots for other instances match what the follower
+     * received.
+     */
     private ReadResult delivered(ReadResult result) {
         if (result instanceof ReadResult.Batch batch) {
             batch.records().forEach(this::deliver);
--- a/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
@@ -10,9 +10,9 @@
 /**
  * Follows one keyed stream for as long as the process runs.
  *
- * <p>Each start, and each loss of the records that it would go on from, begins with a full reading in pages; since pages
- * are no snapshot, it then goes on from the end that the first page told, so that a change between two pages is read
- * again as a record. Answers and timers must come on one thread.
+ * <p>At the start, and whenever the records from which it would continue are no longer retained, it reads a snapshot in
+ * pages. Since the pages are not consistent with each other, it then continues from the end offset of the first page,
+ * so that a change between two pages is read again as a record. Replies and timers must arrive on one thread.
  */
 public final class StreamFollower {
 
@@ -29,13 +29,13 @@
     private boolean stopped;
 
     /**
-     * Creates a follower that does not read yet.
+     * Creates a follower that has not started to read.
      *
-     * @param stream what it reads, not null
-     * @param policy its times, not null
-     * @param listener hears what it reads, not null
+     * @param stream the stream to read, not null
+     * @param policy the polling and back-off intervals, not null
+     * @param listener receives the records, not null
      * @param time schedules the pauses, not null
-     * @param random spreads the pauses after failures, not null
+     * @param random adds jitter to the back-off, not null
      */
     public StreamFollower(
             KeyedStream stream,
@@ -50,12 +50,12 @@
         this.random = Objects.requireNonNull(random, "random");
     }
 
-    /** Begins with a full reading. */
+    /** Starts to read with a snapshot. */
     public void start() {
         readPage();
     }
 
-    /** Reads no more; an answer under way is dropped. */
+    /** Stops reading; the result of a read in progress is discarded. */
     public void stop() {
         stopped = true;
     }
@@ -116,7 +116,10 @@
         readNext();
     }
 
-    /** Spread, so that instances which lost the platform together do not all come back in one moment. */
+    /**
+     * Schedules the next read after a failure. Jitter keeps instances that lost the platform at the same time from all
+     * retrying at once.
+     */
     private void backOff(String reason) {
         if (consecutiveFailures == 0) {
             listener.lost(reason);
--- a/src/main/java/org/dogwoodwinch/follow/StreamUpdate.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamUpdate.java
@@ -4,14 +4,16 @@
 import java.util.Objects;
 
 /**
- * What an instance that reads a stream tells the others of its data centre.
+ * An update that an instance which reads a stream sends to the other instances of its data centre.
  *
  * @param stream the stream's name, not null
- * @param whole whether the records are the newest of each key, not those from the first offset on
- * @param records in order; of those from the first offset on only what says something new of its key, not null
- * @param firstOffset where the records begin: whoever has read everything before it misses nothing
- * @param nextOffset the offset behind the last one: the relay has read everything before it
- * @param contactAgeMillis how long ago the platform answered the relay's last reading call, when this was said
+ * @param whole whether the records are a snapshot with the newest record of each key, instead of those from the first
+ *     offset on
+ * @param records the records in order, not null; unless this is a snapshot, records that leave their key's state
+ *     unchanged are omitted
+ * @param firstOffset the offset at which the records begin: a receiver that has all records before it misses none
+ * @param nextOffset the offset after the last record; the sender has read everything before it
+ * @param contactAgeMillis the time since the platform answered the sender's last read, when the update was created
  */
 public record StreamUpdate(
         String stream,
@@ -21,10 +23,13 @@
         long nextOffset,
         long contactAgeMillis) {
 
-    /** The age of what nobody can tell the age of: it stands for no reading. */
+    /**
+     * The contact age of an update whose age is unknown; it exceeds every limit, so that such an update replaces no
+     * read.
+     */
     public static final long UNKNOWN_AGE_MILLIS = 3_600_000;
 
-    /** Copies. */
+    /** Copies the records. */
     public StreamUpdate {
         Objects.requireNonNull(stream, "stream");
         records = List.copyOf(records);
--- a/src/main/java/org/dogwoodwinch/follow/package-info.java
+++ b/src/main/java/org/dogwoodwinch/follow/package-info.java
@@ -1,2 +1,5 @@
-/** Follows keyed streams of the platform's log: a full reading first, then record by record, never going back. */
+/**
+ * Follows keyed streams of the platform's log: reads a snapshot first, then record by record, without going back to
+ * earlier offsets.
+ */
 package org.dogwoodwinch.follow;
--- a/src/main/java/org/dogwoodwinch/peer/ClockOffsets.java
+++ b/src/main/java/org/dogwoodwinch/peer/ClockOffsets.java
@@ -8,21 +8,25 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * How long messages of other instances were on their way, by this instance's own steady clock. Used on one event loop
- * alone.
+ * Estimates how long messages of other instances were in transit, measured by this instance's monotonic clock. Confined
+ * to one event loop.
  *
- * <p>Failure: a message waits for seconds in a socket or on a full link, and what it says passes for fresh, as only its
- * holders add to its age. Steady clocks of two instances have nothing in common; but each message carries its sender's,
- * and the one that receives it knows that it was written no later than it came. Told back, that difference bounds from
- * the other side when the receiver's own messages were written. Each delay, of either way, makes a message older than it
- * is, and none makes it younger; so does a suspension of its sender.
+ * <p>Failure: a message waits for seconds in a socket or on a saturated link, and its content passes for fresh, since
+ * only the instances that hold it add to its age. The monotonic clocks of two instances are unrelated; but each message
+ * carries its sender's clock, and the receiver knows that it was written no later than it arrived. This gives a lower
+ * bound of the offset between the two clocks. Reported back to the sender, it bounds from the other side when the
+ * receiver's own messages were written. A delay in either direction, or a suspension of the sender, makes a message
+ * look older than it is, and never younger.
  */
 final class ClockOffsets {
 
-    /** Differences are forgotten after one to two of these: a suspension of the other one makes earlier ones wrong. */
+    /**
+     * An offset is discarded after one to two windows, since a suspension of the other instance invalidates earlier
+     * offsets.
+     */
     private static final long OFFSET_WINDOW_MILLIS = 1_500;
 
-    /** What two clocks that are read in whole milliseconds may seem to differ by. */
+    /** The difference that rounding to whole milliseconds can cause between two clocks. */
     private static final long ROUNDING_ERROR_MILLIS = 2;
 
     private final TimeSource time;
@@ -33,7 +37,10 @@
         this.time = Objects.requireNonNull(time, "time");
     }
 
-    /** A message came: its sender's clock was at least so far ahead of, or behind, the own one. */
+    /**
+     * Records the clock of a message that was just received: its sender's clock is ahead of the own one by at least the
+     * difference, which may be negative.
+     */
     void onMessage(PeerMessage message) {
         long nowMillis = time.monotonicMillis();
         OffsetWindow window = offsetsBySender.get(message.sender());
@@ -45,7 +52,7 @@
     }
 
     /**
-     * Returns what the others' clocks are ahead of the own one at least, for those that were heard of late.
+     * Returns lower bounds of how far the clocks of other instances are ahead of the own one, for recent senders.
      *
      * @return milliseconds by sender
      */
@@ -57,7 +64,7 @@
         return offsets;
     }
 
-    /** What one instance's clock is ahead of the own one at least, where it was heard of late. */
+    /** Returns a lower bound of how far one sender's clock is ahead of the own one, if it sent a message recently. */
     Optional<Long> offsetMillis(String sender) {
         OffsetWindow window = offsetsBySender.get(sender);
         return window == null || window.isExpired(time.monotonicMillis())
@@ -65,7 +72,7 @@
                 : Optional.of(window.maxMillis());
     }
 
-    /** Another instance told what this one's clock is ahead of its own at least. */
+    /** Records the lower bound that another instance reported of how far this instance's clock is ahead of its own. */
     void onReportedOffset(String sender, long senderStartMillis, Optional<Long> offsetMillis) {
         if (offsetMillis.isPresent()) {
             reportedBySender.put(sender, new ReportedOffset(senderStartMillis, offsetMillis.get()));
@@ -75,10 +82,10 @@
     }
 
     /**
-     * Returns how long a message was on its way at most.
+     * Returns an upper bound of the time that a message was in transit.
      *
-     * @param message the message that has just come, not null
-     * @return milliseconds; empty where its sender has not told anything of this instance's clock
+     * @param message the message that was just received, not null
+     * @return milliseconds; empty if its sender has not reported an offset of this instance's clock
      */
     OptionalLong transitMillis(PeerMessage message) {
         ReportedOffset reported = reportedBySender.get(message.sender());
@@ -87,13 +94,16 @@
         }
         long writtenMillis = message.clockMillis() + reported.offsetMillis;
         long transitMillis = time.monotonicMillis() - writtenMillis;
-        // From the future: what was told is of a clock that this machine no longer has.
+        // A message from the future: the reported offset belongs to an earlier clock of this machine.
         return transitMillis < -ROUNDING_ERROR_MILLIS
                 ? OptionalLong.empty()
                 : OptionalLong.of(Math.max(0, transitMillis));
     }
 
-    /** This process was suspended: what was told of its clock is wrong by that time. */
+    /**
+     * Discards all offsets after this process was suspended, since reported offsets are wrong by the length of the
+     * suspension.
+     */
     void reset() {
         offsetsBySender.clear();
         reportedBySender.clear();
@@ -101,7 +111,7 @@
 
     private record ReportedOffset(long startedMillis, long offsetMillis) {}
 
-    /** The greatest difference of the last one to two windows. */
+    /** Tracks the maximum offset of the last one to two windows. */
     private static final class OffsetWindow {
         private final long startedMillis;
         private long windowStartMillis;
--- a/src/main/java/org/dogwoodwinch/peer/LateMessages.java
+++ b/src/main/java/org/dogwoodwinch/peer/LateMessages.java
@@ -6,19 +6,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs when the messages of an instance begin to come late, and when they come in time again. Not thread-safe. */
+/** Logs when the messages of an instance start to arrive late, and when they arrive in time again. Not thread-safe. */
 final class LateMessages {
 
     private static final Logger log = LoggerFactory.getLogger(LateMessages.class);
 
-    /** Half of what a relay's word may be old before an instance reads for itself. */
+    /** Half of the age that a relay's update may have before an instance reads from the platform itself. */
     private static final long LATE_MILLIS = 500;
 
     private static final long RECOVERED_MILLIS = 200;
 
     private final Map<String, Long> longestMillisBySender = new HashMap<>();
 
-    /** A message came that was on its way for so long. */
+    /** Records the transit time of a message that was just received. */
     void onMessage(String sender, long transitMillis) {
         Long longestMillis = longestMillisBySender.get(sender);
         if (longestMillis != null && transitMillis <= RECOVERED_MILLIS) {
--- a/src/main/java/org/dogwoodwinch/peer/LeavingTargets.java
+++ b/src/main/java/org/dogwoodwinch/peer/LeavingTargets.java
@@ -10,10 +10,11 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Targets that refused because they are leaving, by this instance's own experience or by another's word.
+ * The targets that have refused calls because they are leaving, as observed by this instance or reported by another
+ * one.
  *
- * <p>The platform's list lags; the first refusal tells all instances within a few rounds. The word expires: a target that
- * came back is asked again. Thread-safe.
+ * <p>The platform's list lags behind, whereas the first refusal reaches all instances within a few rounds. An entry
+ * expires, so that a target that has come back is called again. Thread-safe.
  */
 public final class LeavingTargets {
 
@@ -24,11 +25,11 @@
     private final Cache<String, Boolean> leaving;
 
     /**
-     * Creates the set and listens to the board.
+     * Creates an empty set and subscribes to the reports of other instances.
      *
-     * @param bus the notice board, not null
+     * @param bus the publish/subscribe bus, not null
      * @param time the clock, not null
-     * @param ttlMillis how long a target counts as leaving after the last word, in milliseconds
+     * @param ttlMillis how long a target counts as leaving after the last refusal or report, in milliseconds
      */
     public LeavingTargets(PeerBoard bus, TimeSource time, long ttlMillis) {
         this.bus = Objects.requireNonNull(bus, "bus");
@@ -44,9 +45,9 @@
     }
 
     /**
-     * A target refused because it is leaving.
+     * Records that a target refused a call because it is leaving.
      *
-     * @param targetName its name, not null
+     * @param targetName the target's name, not null
      */
     public void onRefused(String targetName) {
         if (leaving.getIfPresent(targetName) == null) {
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Returns the targets that are believed to be leaving.
+     * Returns the targets that are considered to be leaving.
      *
-     * @return their names, in a copy
+     * @return a copy of their names
      */
     public Set<String> names() {
         return Set.copyOf(leaving.asMap().keySet());
--- a/src/main/java/org/dogwoodwinch/peer/MemberList.java
+++ b/src/main/java/org/dogwoodwinch/peer/MemberList.java
@@ -20,10 +20,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The instances as they announce themselves in a keyed stream of the platform's store. Used on one event loop alone.
+ * The instances of the fleet, as they announce themselves in a keyed stream of the platform's store. Confined to one
+ * event loop.
  *
- * <p>Each writes its record anew now and then, and drops it when it stops; one that was killed is believed in until its
- * record has not been renewed for several intervals. Believing in it too long costs failed connections, no more.
+ * <p>Each instance renews its record at intervals, and deletes it when it stops. An instance that was killed stays
+ * listed until its record has not been renewed for several intervals; this costs failed connections and nothing else.
  */
 public final class MemberList implements FollowListener {
 
@@ -33,10 +34,16 @@
     private static final Logger log = LoggerFactory.getLogger(MemberList.class);
     private static final int FIELDS = 4;
 
-    /** Renewals that may be missed: a store that is away for some seconds loses one or two. */
+    /**
+     * The intervals after which a record that was not renewed expires; a store outage of some seconds loses one or two
+     * renewals.
+     */
     private static final int MEMBER_TIMEOUT_INTERVALS = 3;
 
-    /** This instance doubts that the others count on it before they cease to: its last record may have come late to them. */
+    /**
+     * The intervals after which this instance no longer relies on its last stored announcement. They are fewer than
+     * those after which the others expire it, since it may have reached them late.
+     */
     private static final int ANNOUNCEMENT_VALID_INTERVALS = 2;
 
     private final String ownName;
@@ -54,12 +61,12 @@
     private int mostSeenCount = 1;
 
     /**
-     * Creates a list that knows nobody.
+     * Creates a list without members.
      *
      * @param ownName this instance's name, not null
      * @param writer writes the stream, not null
      * @param time the clock and timers, not null
-     * @param renewMillis the time between two records of one instance
+     * @param renewMillis the renewal interval of an instance's record
      */
     public MemberList(String ownName, KeyedWriter writer, TimeSource time, long renewMillis) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
@@ -69,9 +76,9 @@
     }
 
     /**
-     * Announces this instance from now on.
+     * Announces this instance, and renews the announcement at each interval.
      *
-     * @param self where the others reach it, not null
+     * @param self the name, address and link of this instance, not null
      */
     public void start(PeerMember self) {
         if (leaving) {
@@ -90,7 +97,7 @@
         time.schedule(renewMillis, () -> start(self));
     }
 
-    /** Drops this instance's record, and announces it no more. */
+    /** Deletes this instance's record and stops announcing it. */
     public void leave() {
         leaving = true;
         writer.put(ownName, Optional.empty())
@@ -103,7 +110,7 @@
     /**
      * Returns the other instances.
      *
-     * @return those that announced themselves of late
+     * @return those whose announcement has not expired
      */
     public List<PeerMember> others() {
         long oldestMillis = time.monotonicMillis() - MEMBER_TIMEOUT_INTERVALS * renewMillis;
@@ -114,14 +121,16 @@
     }
 
     /**
-     * Returns the instances that a thing which one of them may use alone is dealt to: those that count on each other.
+     * Returns the instances among which exclusive resources are divided: those that all count each other as members.
      *
-     * <p>Failure: while the store is away no record is renewed, all others lapse, and each instance would deal itself
-     * everything. Whoever was heard stays until the store has taken this instance's records and was followed for as long as
-     * an instance is believed in. And an instance whose own records are not taken is given up by the others: it has to know
-     * that before they act on it.
+     * <p>Failure: while the store is unavailable no record is renewed, all other instances expire, and each instance
+     * would assign every resource to itself. A known instance is therefore kept until the store has accepted this
+     * instance's records and the stream has been readable for as long as a record takes to expire. Moreover, an
+     * instance whose own records are not stored is expired by the others; it has to stop relying on its membership
+     * before they act on that.
      *
-     * @return their names, this one's among them; empty where this one cannot be sure that the others count on it
+     * @return their names, including this instance's; empty if this instance cannot be sure that the others count it as
+     *     a member
      */
     public Optional<Set<String>> countedOn() {
         long nowMillis = time.monotonicMillis();
@@ -151,12 +160,13 @@
     }
 
     /**
-     * Returns how many instances shares of a common bound are dealt out to.
+     * Returns the number of instances among which a shared limit is divided.
      *
-     * <p>Failure: while the store is away nobody's record is renewed, and each instance would take itself for the only one
-     * and the whole of each bound for its own. What was seen once is dealt to until this process ends.
+     * <p>Failure: while the store is unavailable no record is renewed, and each instance would consider itself the only
+     * one and take the whole of each limit. The maximum therefore never decreases while this process runs.
      *
-     * @return the most instances that were believed in at once, this one included; empty before the first full reading
+     * @return the maximum number of instances that were listed at the same time, including this one; empty before the
+     *     first snapshot
      */
     public OptionalInt mostSeenCount() {
         return snapshotRead ? OptionalInt.of(mostSeenCount) : OptionalInt.empty();
--- a/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
+++ b/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
@@ -32,8 +32,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Messages between instances over TCP: a length of four bytes before each, one connection to each member, kept while it
- * is used. With a TLS context that asks for client certificates, both ends are authenticated before a byte is read.
+ * Sends messages between instances over TCP. Each message has a four-byte length prefix, and there is one connection
+ * per member, which stays open while it is in use. With a TLS context that requires client certificates, both ends are
+ * authenticated before a byte is read.
  */
 public final class NettyPeerTransport implements PeerTransport, AutoCloseable {
 
@@ -41,13 +42,15 @@
 
     private static final int LENGTH_FIELD_BYTES = 4;
     private static final int IDLE_TIMEOUT_SECONDS = 60;
-    /** Many ways between data centres; a member that was down is reached as soon again after it is back. */
+    /** Many round trips between data centres, yet short enough that a member is reached soon after it is back. */
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     /**
-     * Failure: a member loses power and starts again; until the old connection is found dead it hears nothing, and has
-     * nothing to serve by where the platform turns it away. A word is told several times a second, so a second without an
-     * acknowledgement is no slow link.
+     * The time without a TCP acknowledgement after which a connection is closed.
+     *
+     * <p>Failure: a member loses power and restarts. Until the old connection is found to be dead, the member receives
+     * no messages, and has no state to serve from if the platform rejects its calls. Messages are sent several times a
+     * second, so a second without an acknowledgement is not caused by a slow link.
      */
     private static final int UNACKNOWLEDGED_TIMEOUT_MILLIS = 1_000;
 
@@ -65,10 +68,10 @@
     /**
      * Creates a transport.
      *
-     * @param sockets carries the connections, not null; its owner shuts it down
-     * @param maxMessageBytes the largest message that is sent or taken, in bytes
-     * @param serverTls the TLS of connections from members, empty for none, not null
-     * @param clientTls the TLS of connections to members, empty for none, not null
+     * @param sockets the socket transport, not null; its owner shuts it down
+     * @param maxMessageBytes the maximum size of a message that is sent or received, in bytes
+     * @param serverTls the TLS context of connections from members, empty for none, not null
+     * @param clientTls the TLS context of connections to members, empty for none, not null
      */
     public NettyPeerTransport(
             Transport sockets, int maxMessageBytes, Optional<SslContext> serverTls, Optional<SslContext> clientTls) {
@@ -79,11 +82,12 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts to listen for connections.
      *
-     * @param host the IP number to listen on, not null
+     * @param host the IP address to listen on, not null
      * @param port the port, zero for any free one
-     * @param messageHandler takes each message and says whether it was right; where it was not, the connection is closed
+     * @param messageHandler processes each message and returns whether it was accepted; if not, the connection is
+     *     closed
      * @return the port that it listens on
      */
     public synchronized int listen(String host, int port, Predicate<Bytes> messageHandler) {
@@ -105,11 +109,12 @@
     }
 
     /**
-     * Starts to listen, and says when a connection to a member was opened.
+     * Starts to listen for connections, and reports each connection that is opened to a member.
      *
-     * @param address where to listen, not null
-     * @param messageHandler takes each message and says whether it was right; where it was not, the connection is closed
-     * @param connectionListener hears of each new connection to a member, on the event loop, not null
+     * @param address the address to listen on, not null
+     * @param messageHandler processes each message and returns whether it was accepted; if not, the connection is
+     *     closed
+     * @param connectionListener called on the event loop for each new connection to a member, not null
      * @return the port that it listens on
      */
     public int listen(
@@ -143,7 +148,7 @@
             if (!connection.isSuccess()) {
                 outboundConnections.remove(member, connection);
             } else if (connection.channel().isWritable()) {
-                // A member that reads slowly misses a round; queueing for it would only grow the heap.
+                // A member that reads slowly misses a message; queueing for it would only grow the heap.
                 ignoreOutcome(connection.channel().writeAndFlush(Unpooled.wrappedBuffer(message.toByteArray())));
             }
         }));
@@ -151,7 +156,7 @@
 
     private ChannelFuture connect(PeerMember member) {
         Bootstrap bootstrap = new Bootstrap();
-        // A connection that went silent would keep a member unheard for as long as bytes are written to it.
+        // Otherwise a dead connection would stay in use for as long as bytes are written to it.
         sockets.setUnacknowledgedTimeout(bootstrap, UNACKNOWLEDGED_TIMEOUT_MILLIS);
         ChannelFuture connection = bootstrap
                 .group(sockets.group())
@@ -191,7 +196,9 @@
                 .forEach(connection -> ignoreOutcome(connection.channel().close()));
     }
 
-    /** A failed write or close shows as a closed channel, which its own listener sees to. */
+    /**
+     * Ignores the result: a failed write or close shows as a closed channel, which is handled by the close listener.
+     */
     private static void ignoreOutcome(Future<?> future) {
         Objects.requireNonNull(future, "future");
     }
--- a/src/main/java/org/dogwoodwinch/peer/PeerBoard.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerBoard.java
@@ -3,24 +3,24 @@
 import java.util.function.Consumer;
 import org.dogwoodwinch.bytes.Bytes;
 
-/** The notice board that the instances keep in common by exchange with a few neighbours a round. */
+/** The publish/subscribe bus between the instances of the fleet. */
 public interface PeerBoard {
 
     /**
-     * Publishes something of this instance, in place of what it published before on the topic and key.
+     * Publishes an update of this instance, which replaces its previous one of the same topic and key.
      *
-     * @param topic what it is about, not null
-     * @param key which one, not null
+     * @param topic the topic, not null
+     * @param key the key within the topic, not null
      * @param payload the content, in MessagePack, not null
-     * @param ttlMillis how long the others keep it unless it is published again, in milliseconds
+     * @param ttlMillis the time to live at the other instances unless the update is published again, in milliseconds
      */
     void publish(PeerTopic topic, String key, Bytes payload, long ttlMillis);
 
     /**
-     * Hears what others publish, each version once.
+     * Subscribes to the updates of other instances; each version is delivered once.
      *
-     * @param topic what about, not null
-     * @param listener takes the items, not null
+     * @param topic the topic, not null
+     * @param listener receives the updates, not null
      */
     void subscribe(PeerTopic topic, Consumer<PeerItem> listener);
 }
--- a/src/main/java/org/dogwoodwinch/peer/PeerCodec.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerCodec.java
@@ -17,9 +17,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads messages: MessagePack behind an authentication code (HMAC-SHA-256 with the shared secret).
+ * Encodes and decodes messages: MessagePack preceded by an authentication code (HMAC-SHA-256 with the shared secret).
  *
- * <p>The code is checked before a byte is parsed, so that a stranger's bytes reach no decoder. Thread-safe.
+ * <p>The code is verified before a byte is parsed, so that no decoder processes unauthenticated bytes. Thread-safe.
  */
 final class PeerCodec {
 
@@ -34,7 +34,7 @@
     private final int maxMessageBytes;
 
     PeerCodec(String secret, int maxMessageBytes) {
-        // An empty secret leaves it to mutual TLS; the code then only finds damage. A key may not be empty.
+        // With an empty secret, mutual TLS authenticates and the code only detects corruption. A key must not be empty.
         byte[] secretBytes = ("dogwoodwinch-peer:" + secret).getBytes(StandardCharsets.UTF_8);
         this.key = new SecretKeySpec(secretBytes, ALGORITHM);
         this.hasSecret = !secret.isEmpty();
@@ -112,7 +112,7 @@
                 Packing.readBytes(unpacker));
     }
 
-    /** Returns about how many bytes an entry takes, for the budget. */
+    /** Returns the approximate encoded size of an entry in bytes, for the sending budget. */
     static int sizeOf(PeerEntry entry) {
         int overheadBytes = 32;
         return overheadBytes
@@ -150,7 +150,7 @@
             }
             return isInRange(message) ? new DecodeResult(message, null) : DecodeResult.refused(PeerRefusal.MALFORMED);
         } catch (IOException | RuntimeException _e) {
-            // The decoder throws unchecked exceptions too on some malformed input; all of it means the same.
+            // On some malformed input the decoder throws unchecked exceptions too; all of them mean the same.
             return DecodeResult.refused(PeerRefusal.MALFORMED);
         }
     }
@@ -171,8 +171,9 @@
     }
 
     /**
-     * Without a secret the code only finds damage, and a checksum does that: the interpreter works a millisecond on each
-     * authentication code, which made up most of what a process spent on messages in its first seconds.
+     * Computes the authentication code, or a checksum if there is no secret. Without a secret the code only detects
+     * corruption, for which a checksum suffices: while the JVM still interprets the code, each authentication code
+     * takes a millisecond, which made up most of the time that a process spent on messages in its first seconds.
      */
     private byte[] authenticationCode(byte[] body) {
         if (!hasSecret) {
@@ -187,7 +188,7 @@
             mac.init(key);
             return mac.doFinal(body);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java runtime has " + ALGORITHM, e);
+            throw new IllegalStateException("Java runtime does not support " + ALGORITHM, e);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/peer/PeerEntry.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerEntry.java
@@ -5,15 +5,15 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * One item in a message.
+ * One entry of a message.
  *
- * @param origin the instance that says it
- * @param startedMillis when that instance started, in milliseconds of its time of day; tells its starts apart
+ * @param origin the name of the instance that published it
+ * @param startedMillis when that instance started, in wall-clock milliseconds; distinguishes its incarnations
  * @param topic the topic's name
- * @param key which one
- * @param version grows with each publication by this start of its origin
- * @param ageMillis how old it is, in milliseconds
- * @param keepMillis how long it is kept from when it was published, in milliseconds
+ * @param key the key within the topic
+ * @param version increases with each publication by this incarnation of its origin
+ * @param ageMillis its age, in milliseconds
+ * @param keepMillis its time to live from publication, in milliseconds
  * @param payload the content
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -28,7 +28,7 @@
         long keepMillis,
         Bytes payload) {
 
-    /** This entry after it was held, or was on its way, for some time. */
+    /** Returns a copy with the time added that the entry was held or in transit. */
     PeerEntry withAddedAge(long millis) {
         return new PeerEntry(
                 origin, startedMillis, topic, key, version, ageMillis + Math.max(0, millis), keepMillis, payload);
--- a/src/main/java/org/dogwoodwinch/peer/PeerEntryStore.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerEntryStore.java
@@ -9,12 +9,12 @@
 import java.util.function.Predicate;
 
 /**
- * The items that one instance knows, and which of them still have to be passed on. Not thread-safe.
+ * The entries that one instance holds, and how often each of them remains to be transmitted. Not thread-safe.
  *
- * <p>A new version is passed on a bounded number of times (a little more than the logarithm of the number of members),
- * which reaches nearly all of them; what is missed is replaced by the next version, or by what a member hears when it
- * starts. Under a budget that is too small, versions replace each other before they are passed on: news gets older
- * instead of traffic growing.
+ * <p>A new version is transmitted a limited number of times, a little more than the logarithm of the number of members,
+ * which reaches nearly all of them; a member that it misses gets the next version, or a snapshot when it starts. If the
+ * budget is too small, versions replace each other before they are transmitted, so that updates become older instead of
+ * the traffic growing.
  */
 final class PeerEntryStore {
 
@@ -30,7 +30,7 @@
 
     private final Map<Key, StoredEntry> entries = new HashMap<>();
 
-    /** Takes an item; returns whether it is news. */
+    /** Adds an entry, and returns whether it is newer than the stored version. */
     boolean add(PeerEntry entry, long nowMillis, int transmissions) {
         Key key = new Key(entry.origin(), entry.topic(), entry.key());
         StoredEntry known = entries.get(key);
@@ -55,7 +55,10 @@
         entries.values().removeIf(stored -> stored.ageMillis(nowMillis) >= stored.entry.keepMillis());
     }
 
-    /** Takes items to pass on, the most urgent topic and the least passed first, up to a number of bytes. */
+    /**
+     * Takes entries for transmission within a budget of bytes, ordered by the priority of their topics and then by the
+     * number of transmissions left.
+     */
     List<PeerEntry> takeForTransmission(long nowMillis, int budgetBytes, Predicate<PeerEntry> filter) {
         List<StoredEntry> candidates = entries.values().stream()
                 .filter(stored -> stored.transmissionsLeft > 0 && filter.test(stored.entry))
@@ -76,7 +79,7 @@
         return taken;
     }
 
-    /** Returns everything, for a member that has just started. */
+    /** Returns all entries within a budget of bytes, for a member that has just started. */
     List<PeerEntry> snapshot(long nowMillis, int budgetBytes) {
         List<PeerEntry> result = new ArrayList<>();
         int remainingBytes = budgetBytes;
@@ -108,10 +111,11 @@
     }
 
     /**
-     * What an item replaces an older one by.
+     * The identity of an entry; a newer version replaces the older one with the same key.
      *
-     * <p>Compared by hand: the methods that a record is given link themselves at their first use, which costs each process
-     * some milliseconds of its first second (see {@link org.dogwoodwinch.forwarding.Incarnation#equals}).
+     * <p>{@code equals} and {@code hashCode} are written by hand: those generated for a record are linked at their
+     * first use, which costs each process some milliseconds of its first second (see {@link
+     * org.dogwoodwinch.forwarding.Incarnation#equals}).
      */
     private record Key(String origin, String topic, String key) {
 
--- a/src/main/java/org/dogwoodwinch/peer/PeerExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerExchange.java
@@ -15,14 +15,17 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * The notice board by exchange: each round sends what is new to a few members drawn by chance, within a budget of bytes.
+ * A gossip protocol: each round sends new entries to a few randomly selected members, within a budget of bytes.
  *
- * <p>Nothing that must be agreed or kept goes this way; that is the log's. Losing all of it costs stale load figures and
- * a slower word of leaving targets and quarantines, never a wrong order or a second run. Thread-safe.
+ * <p>Whatever requires agreement or durability goes through the log instead. Losing all messages causes stale load
+ * figures and delays reports of leaving targets and quarantines, but never a wrong order or a second run. Thread-safe.
  */
 public final class PeerExchange implements PeerBoard {
 
-    /** Beyond so many members load stays within a data centre: the word of each about each would not fit the budget. */
+    /**
+     * The fleet size above which load figures stay within a data centre, since the figures of each instance about each
+     * target would exceed the budget.
+     */
     private static final int MAX_MEMBERS_FOR_FLEET_WIDE_LOAD = 24;
 
     private static final int EXTRA_TRANSMISSIONS = 2;
@@ -50,12 +53,12 @@
     /**
      * Creates an exchange; {@link #start()} makes it send.
      *
-     * @param settings what may be set, not null
+     * @param settings the settings, not null
      * @param time the clock and timers, not null
-     * @param random draws the members of a round, not null; used under this object's lock
-     * @param transport carries messages, not null
-     * @param members the other instances as the platform lists them, asked for at each round, not null
-     * @param observer hears of traffic, not null
+     * @param random selects the members of a round, not null; used under this object's lock
+     * @param transport sends messages, not null
+     * @param members returns the other instances as the platform lists them, queried in each round, not null
+     * @param observer is notified of the traffic, not null
      */
     public PeerExchange(
             PeerSettings settings,
@@ -83,14 +86,14 @@
         roundTimer = time.schedule(settings.roundMillis(), this::runRound);
     }
 
-    /** Ends the rounds. */
+    /** Stops the rounds. */
     public synchronized void stop() {
         stopped = true;
         roundTimer.cancel();
     }
 
     /**
-     * Returns the name of this start of this instance, which the claims stream carries.
+     * Returns the identifier of this incarnation of the instance, which the claims stream carries.
      *
      * @return the instance's name and the time of its start
      */
@@ -99,10 +102,10 @@
     }
 
     /**
-     * Says whether a start of an instance has been heard of lately.
+     * Returns whether an incarnation of an instance is alive.
      *
-     * @param writer its name as of {@link #writer()}, not null
-     * @return true where its word of being alive has not expired
+     * @param writer its identifier as returned by {@link #writer()}, not null
+     * @return true if its last heartbeat has not expired
      */
     public synchronized boolean isAlive(String writer) {
         store.expire(time.monotonicMillis());
@@ -133,7 +136,7 @@
     }
 
     /**
-     * Returns how many items are known.
+     * Returns the number of stored entries.
      *
      * @return the count
      */
@@ -147,7 +150,10 @@
         return Math.min(count - 1, doublings + EXTRA_TRANSMISSIONS);
     }
 
-    /** Where a round goes to every member, each hears the origin itself. */
+    /**
+     * Returns how often an entry of another instance is forwarded: never if a round reaches every member, since each of
+     * them then receives it from its origin.
+     */
     private int forwardLimit() {
         return members.get().size() <= settings.fanout() ? 0 : transmissionLimit();
     }
@@ -170,7 +176,7 @@
         outgoing.forEach(each -> send(each.member(), each.message()));
     }
 
-    /** The word of being alive comes less often the more members there are, so that its traffic stays within bounds. */
+    /** Publishes a heartbeat. Its interval grows with the number of members, so that its traffic stays bounded. */
     private void publishHeartbeat() {
         long nowMillis = time.monotonicMillis();
         if (nowMillis < nextHeartbeatMillis) {
@@ -227,10 +233,10 @@
     }
 
     /**
-     * Takes a message from the transport.
+     * Processes a message from the transport.
      *
-     * @param received the message, not null
-     * @return whether it was taken; a connection that brings one that is refused is closed
+     * @param received the encoded message, not null
+     * @return whether it was accepted; a connection that delivers a refused message is closed
      */
     public boolean receive(Bytes received) {
         boolean[] accepted = new boolean[1];
@@ -267,7 +273,8 @@
         if (topic.isEmpty() || entry.origin().equals(settings.instance())) {
             return Optional.empty();
         }
-        // A catalogue is as large as all other news together, and each member publishes its own: it is not passed on.
+        // A catalogue is as large as all other entries together, and each member publishes its own: it is not
+        // forwarded.
         boolean isCatalogue = topic.get() == PeerTopic.CATALOGUE;
         if (!isCatalogue && !store.add(entry, time.monotonicMillis(), forwardLimit())) {
             return Optional.empty();
@@ -276,7 +283,10 @@
                 entry.origin(), topic.get(), entry.key(), entry.version(), entry.payload(), entry.ageMillis()));
     }
 
-    /** The answer never asks for an answer: two newcomers would send each other everything without end. */
+    /**
+     * Returns a reply with all entries. It never requests state itself, since two instances that have just started
+     * would otherwise send each other everything endlessly.
+     */
     private Optional<Outgoing> stateReply(String sender) {
         List<PeerEntry> entries = store.snapshot(time.monotonicMillis(), settings.maxMessageBytes() / 2);
         return members.get().stream()
--- a/src/main/java/org/dogwoodwinch/peer/PeerItem.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerItem.java
@@ -4,22 +4,22 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * One thing that one instance tells the others; a higher version replaces a lower one of the same origin, topic and
- * key.
+ * An update that one instance publishes to the others; a higher version replaces a lower one of the same origin, topic
+ * and key.
  *
- * @param origin the name of the instance that says it, not null
- * @param topic what it is about, not null
- * @param key which one, such as a target's name, not null
- * @param version grows with each publication by its origin
+ * @param origin the name of the instance that published it, not null
+ * @param topic the topic, not null
+ * @param key the key within the topic, such as a target's name, not null
+ * @param version increases with each publication by its origin
  * @param payload the content, in MessagePack, not null
- * @param ageMillis how old it was on arrival, in milliseconds: what its holders on the way added up and, where it is known,
- *     the last way
- * @param ageProved whether it was no older, however long it waited on its way
+ * @param ageMillis its age on arrival, in milliseconds: the time that instances held it plus, where known, the transit
+ *     time of the last message
+ * @param ageProved whether its true age does not exceed {@code ageMillis}, regardless of delays in transit
  */
 public record PeerItem(
         String origin, PeerTopic topic, String key, long version, Bytes payload, long ageMillis, boolean ageProved) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public PeerItem {
         Objects.requireNonNull(origin, "origin");
         Objects.requireNonNull(topic, "topic");
@@ -28,14 +28,14 @@
     }
 
     /**
-     * Creates an item of which nobody knows how long it was on its way.
+     * Creates an update whose transit time is unknown.
      *
-     * @param origin the name of the instance that says it, not null
-     * @param topic what it is about, not null
-     * @param key which one, such as a target's name, not null
-     * @param version grows with each publication by its origin
+     * @param origin the name of the instance that published it, not null
+     * @param topic the topic, not null
+     * @param key the key within the topic, such as a target's name, not null
+     * @param version increases with each publication by its origin
      * @param payload the content, in MessagePack, not null
-     * @param ageMillis what its holders on the way added up, in milliseconds
+     * @param ageMillis the time that instances held it, in milliseconds
      */
     public PeerItem(String origin, PeerTopic topic, String key, long version, Bytes payload, long ageMillis) {
         this(origin, topic, key, version, payload, ageMillis, false);
--- a/src/main/java/org/dogwoodwinch/peer/PeerMember.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerMember.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * Another instance that messages can be sent to.
+ * Another instance that can receive messages.
  *
  * @param name its name in the platform's list, not null
- * @param host its IP number, not null
- * @param peerPort the port on which it takes messages
- * @param dataCentre the data centre it stands in, not null
- * @param linkMbps what its link carries, in megabits a second; zero where that is not known
+ * @param host its IP address, not null
+ * @param peerPort the port on which it receives messages
+ * @param dataCentre its data centre, not null
+ * @param linkMbps the bandwidth of its link, in megabits per second; zero if unknown
  */
 public record PeerMember(String name, String host, int peerPort, String dataCentre, double linkMbps) {
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public PeerMember {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(host, "host");
@@ -21,18 +21,20 @@
     }
 
     /**
-     * Creates a member whose link is not known.
+     * Creates a member whose link bandwidth is unknown.
      *
      * @param name its name in the platform's list, not null
-     * @param host its IP number, not null
-     * @param peerPort the port on which it takes messages
-     * @param dataCentre the data centre it stands in, not null
+     * @param host its IP address, not null
+     * @param peerPort the port on which it receives messages
+     * @param dataCentre its data centre, not null
      */
     public PeerMember(String name, String host, int peerPort, String dataCentre) {
         this(name, host, peerPort, dataCentre, 0);
     }
 
-    /** By hand, as a start is short of processor time; see {@link org.dogwoodwinch.forwarding.Incarnation#equals}. */
+    /**
+     * Written by hand to save processor time at start-up; see {@link org.dogwoodwinch.forwarding.Incarnation#equals}.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof PeerMember that
--- a/src/main/java/org/dogwoodwinch/peer/PeerMessage.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerMessage.java
@@ -6,18 +6,19 @@
 import java.util.Optional;
 
 /**
- * What one instance sends to another.
+ * A message from one instance to another.
  *
- * @param version the format, {@link #VERSION}
+ * @param version the format version, {@link #VERSION}
  * @param sender the sender's name
- * @param startedMillis when the sender started, in milliseconds of its time of day
- * @param number grows with each message of this start of the sender
- * @param sentMillis when it was sent, in milliseconds of the sender's time of day
- * @param clockMillis what the sender's steady clock showed when it was written, in milliseconds; it means nothing by itself
- * @param leadMillis what the one receiver's steady clock is ahead of the sender's at least, in milliseconds; empty where it is
- *     not known, or there are several
- * @param newcomer whether the sender has just started and wants to hear everything
- * @param items the items
+ * @param startedMillis when the sender started, in wall-clock milliseconds
+ * @param number increases with each message of this incarnation of the sender
+ * @param sentMillis when it was sent, in milliseconds of the sender's wall clock
+ * @param clockMillis the sender's monotonic clock when the message was written, in milliseconds; has no meaning by
+ *     itself
+ * @param leadMillis a lower bound of how far the recipient's monotonic clock is ahead of the sender's, in milliseconds;
+ *     empty if unknown or if there are several recipients
+ * @param newcomer whether the sender has just started and requests all state
+ * @param items the entries
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonPropertyOrder({
@@ -42,7 +43,7 @@
         boolean newcomer,
         List<PeerEntry> items) {
 
-    /** The format that this code writes and reads. */
+    /** The format version that this code writes and reads. */
     static final int VERSION = 2;
 
     PeerMessage {
--- a/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
@@ -1,52 +1,52 @@
 package org.dogwoodwinch.peer;
 
-/** Hears of the exchange's traffic, for counters; each call must return at once. */
+/** Is notified of the traffic between instances, for counters; each call must return immediately. */
 public interface PeerObserver {
 
-    /** Hears nothing. */
+    /** An observer that ignores all notifications. */
     PeerObserver NONE = new PeerObserver() {};
 
     /**
-     * A message was sent.
+     * Called when a message was sent.
      *
      * @param messageBytes its size, in bytes
      */
     default void onSent(int messageBytes) {}
 
     /**
-     * A word was put into a message.
+     * Called when an entry was put into a message.
      *
-     * @param topic what it is about, not null
-     * @param entryBytes its size with what goes before it, in bytes
-     * @param recipientCount the instances that the message goes to
+     * @param topic the entry's topic, not null
+     * @param entryBytes its approximate encoded size, in bytes
+     * @param recipientCount the number of instances that the message goes to
      */
     default void onTold(PeerTopic topic, int entryBytes, int recipientCount) {}
 
     /**
-     * A word was dropped before it was sent: others took the share of the link that there is for words.
+     * Called when a queued entry was dropped before it was sent, because other entries used up the bandwidth budget.
      *
-     * @param topic what it was about, not null
+     * @param topic the entry's topic, not null
      */
     default void onDropped(PeerTopic topic) {}
 
     /**
-     * A message came that was on its way for so long.
+     * Called when the transit time of a received message is known.
      *
-     * @param transitMillis its time from being written to being read, in milliseconds, or more
+     * @param transitMillis an upper bound of the time between writing and reading the message, in milliseconds
      */
     default void onWay(long transitMillis) {}
 
     /**
-     * A message was taken.
+     * Called when a message was received and decoded.
      *
      * @param messageBytes its size, in bytes
      */
     default void onReceived(int messageBytes) {}
 
     /**
-     * A message was refused.
+     * Called when a message was refused.
      *
-     * @param refusal why, not null
+     * @param refusal the reason, not null
      */
     default void onRefused(PeerRefusal refusal) {}
 }
--- a/src/main/java/org/dogwoodwinch/peer/PeerOutbox.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerOutbox.java
@@ -15,16 +15,17 @@
 import org.dogwoodwinch.time.TokenBucket;
 
 /**
- * What one instance is about to tell others, and how much of it goes out now. Used on one event loop alone.
+ * The entries that one instance has queued for others, sent within a bandwidth budget. Confined to one event loop.
  *
- * <p>Failure: messages to peers take the whole of a link. The instance's calls, the closes that tell targets of callers who
- * left, and its word of targets that leave wait behind them for seconds, and what is written can't be taken back. Here
- * messages have a share of the link. What the platform's bounds count for always goes; loads next, only the newest of
- * each; what merely saves reading waits its turn, and the oldest of it is dropped.
+ * <p>Failure: messages to peers take the whole bandwidth of a link. The instance's calls, the closes that notify
+ * targets of callers who disconnected, and its reports of leaving targets wait behind them for seconds, and what was
+ * written to a socket cannot be taken back. Messages therefore have a budget, which is a share of the link. Entries
+ * that the platform's limits depend on are always sent; load figures come next, of which only the newest are kept;
+ * entries that merely save prefill work wait for spare budget, and the oldest of them are dropped.
  */
 final class PeerOutbox {
 
-    /** Whom an entry is for. */
+    /** The recipients of an entry. */
     enum Audience {
         OWN_RELAY,
         OWN_DATA_CENTRE,
@@ -32,24 +33,25 @@
         ALL
     }
 
-    /** A share that was not used for longer is lost: what goes out in any second stays near the share. */
+    /** The burst capacity: unused budget beyond it is lost, so that the traffic of any second stays near the budget. */
     private static final double BURST_MILLIS = 250;
 
-    /** Of an unused share this part is left to what is more urgent than prompts' parts. */
+    /** The fraction of the burst capacity that is reserved for entries more urgent than cache hints. */
     private static final double URGENT_RESERVE_FRACTION = 0.3;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /**
-     * After so long without room for loads, or for what newcomers are told, parts wait until these have gone.
+     * The time without budget for load figures or state transfers after which cache hints wait until these have been
+     * sent.
      *
-     * <p>Failure: small words used up what a large and more urgent one waited for, round after round.
+     * <p>Failure: small entries used up the budget that a large and more urgent one was waiting for, round after round.
      */
     private static final long STARVATION_MILLIS = 450;
 
     private static final long NOT_BLOCKED = -1;
 
-    /** Some seconds of a large data centre's changes; older ones are soon told again, as whole lists. */
+    /** Some seconds of a large data centre's changes; older ones are soon sent again as complete lists. */
     private static final int MAX_QUEUED_ENTRIES = 2_000;
 
     private static final Set<PeerTopic> LOAD_TOPICS =
@@ -65,11 +67,11 @@
     private final Map<Audience, Deque<QueuedEntry>> queues = new EnumMap<>(Audience.class);
 
     /**
-     * Creates an empty one.
+     * Creates an empty outbox.
      *
      * @param time the clock, not null
-     * @param bytesPerSecond what may be sent to others a second
-     * @param onDropped hears of each entry that was dropped unsent, not null
+     * @param bytesPerSecond the budget, in bytes per second
+     * @param onDropped receives the topic of each entry that was dropped unsent, not null
      */
     PeerOutbox(TimeSource time, int bytesPerSecond, Consumer<PeerTopic> onDropped) {
         this.time = Objects.requireNonNull(time, "time");
@@ -81,7 +83,7 @@
         }
     }
 
-    /** Adds an entry; of loads a newer one replaces the older. */
+    /** Queues an entry; a load figure replaces the queued one of the same key. */
     void add(Audience audience, PeerEntry entry) {
         Deque<QueuedEntry> queue = queues.get(audience);
         QueuedEntry added = new QueuedEntry(entry, time.monotonicMillis());
@@ -94,23 +96,23 @@
         }
     }
 
-    /** Hands what waits for one audience to another one: who was to be told has changed. */
+    /** Moves the queued entries from one audience to another, when the recipients have changed. */
     void move(Audience from, Audience to) {
         queues.get(to).addAll(queues.get(from));
         queues.get(from).clear();
     }
 
-    /** Drops what waits for an audience that there is not any more. */
+    /** Drops the entries queued for an audience without members. */
     void clear(Audience audience) {
         queues.get(audience).clear();
     }
 
-    /** Messages were sent, of these or of others: they used up a part of the share. */
+    /** Charges the budget for messages that were sent, from this outbox or otherwise. */
     void onSent(long bytes) {
         budget.take(bytes);
     }
 
-    /** Whether so many bytes, which can wait, may be sent now. */
+    /** Returns whether a number of bytes that can wait may be sent now. */
     boolean hasBudgetFor(long bytes) {
         long nowMillis = time.monotonicMillis();
         boolean isSendable = budget.canTake(bytes + urgentReserveBytes, nowMillis);
@@ -130,11 +132,12 @@
     }
 
     /**
-     * Takes what may go out now, the most urgent first and each as old as it has become here.
+     * Takes the entries that may be sent now, the most urgent first, with the time that they were queued added to their
+     * ages.
      *
-     * @param audience whom it is for, not null
-     * @param recipientCount how many these are; each gets it
-     * @return the entries, to be sent at once
+     * @param audience the recipients, not null
+     * @param recipientCount the number of recipients; each of them gets every entry
+     * @return the entries, to be sent immediately
      */
     List<PeerEntry> take(Audience audience, int recipientCount) {
         Deque<QueuedEntry> queue = queues.get(audience);
@@ -142,7 +145,8 @@
         for (Urgency urgency : Urgency.values()) {
             takeOfUrgency(queue, recipientCount, urgency, taken);
         }
-        // Counted as it was taken, each before the next; what is sent is charged whole by the sender.
+        // Each entry was charged as it was taken, so that the next one sees less budget; the sender charges the whole
+        // message.
         taken.forEach(entry -> budget.correct(-costBytes(entry, recipientCount)));
         return taken;
     }
--- a/src/main/java/org/dogwoodwinch/peer/PeerRefusal.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerRefusal.java
@@ -2,17 +2,17 @@
 
 import java.util.Locale;
 
-/** Why a message of a peer was refused. */
+/** The reason why a message of a peer was refused. */
 public enum PeerRefusal {
-    /** It is larger than the settings allow. */
+    /** The message exceeds the configured maximum size. */
     TOO_LARGE,
-    /** Its authentication code is missing or wrong. */
+    /** The authentication code is missing or wrong. */
     UNAUTHENTICATED,
-    /** It cannot be read, or a part of it is out of range. */
+    /** The message cannot be decoded, or one of its fields is out of range. */
     MALFORMED,
-    /** It is of a version that this instance does not speak. */
+    /** The format version is not supported by this instance. */
     WRONG_VERSION,
-    /** It was sent too long ago, or its number was seen before. */
+    /** The message was sent too long ago, or its number was seen before. */
     REPLAYED;
 
     /**
--- a/src/main/java/org/dogwoodwinch/peer/PeerSettings.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerSettings.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * What may be set of the exchange between instances.
+ * The settings of the message exchange between instances.
  *
  * @param instance this instance's name in the platform's list, not null
- * @param dataCentre the data centre it stands in, not null
- * @param secret the secret that all instances share, which authenticates each message; empty where mutual TLS alone
- *     does, not null
- * @param roundMillis how often a round is sent, in milliseconds
- * @param fanout how many members a round goes to
- * @param bytesPerSecond how many bytes this instance sends a second, on average
- * @param maxMessageBytes the largest message that is sent or taken, in bytes
- * @param linkMbps what this instance's link carries, in megabits a second; zero where that is not known
+ * @param dataCentre its data centre, not null
+ * @param secret the secret that all instances share, which authenticates each message; empty if mutual TLS alone does,
+ *     not null
+ * @param roundMillis the interval between rounds, in milliseconds
+ * @param fanout the number of members that a round goes to
+ * @param bytesPerSecond the average sending budget of this instance, in bytes per second
+ * @param maxMessageBytes the maximum size of a message that is sent or received, in bytes
+ * @param linkMbps the bandwidth of this instance's link, in megabits per second; zero if unknown
  */
 public record PeerSettings(
         String instance,
@@ -28,29 +28,30 @@
     private static final int MIN_MESSAGE_BYTES = 1_024;
 
     /**
-     * Checks the numbers.
+     * Checks that texts are not null and numbers are in range.
      *
-     * @throws IllegalArgumentException if one is out of range
+     * @throws IllegalArgumentException if a number is out of range
      */
     public PeerSettings {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(dataCentre, "dataCentre");
         Objects.requireNonNull(secret, "secret");
         if (roundMillis <= 0 || fanout <= 0 || bytesPerSecond <= 0 || maxMessageBytes < MIN_MESSAGE_BYTES) {
-            throw new IllegalArgumentException("rounds, neighbours and bytes must be more than zero");
+            throw new IllegalArgumentException(
+                    "roundMillis, fanout and bytesPerSecond must be positive, maxMessageBytes at least " + MIN_MESSAGE_BYTES);
         }
     }
 
     /**
-     * Creates the settings of an instance whose link is not known.
+     * Creates the settings of an instance whose link bandwidth is unknown.
      *
      * @param instance this instance's name in the platform's list, not null
-     * @param dataCentre the data centre it stands in, not null
+     * @param dataCentre its data centre, not null
      * @param secret the shared secret, not null
-     * @param roundMillis how often a round is sent, in milliseconds
-     * @param fanout how many members a round goes to
-     * @param bytesPerSecond how many bytes this instance sends a second, on average
-     * @param maxMessageBytes the largest message that is sent or taken, in bytes
+     * @param roundMillis the interval between rounds, in milliseconds
+     * @param fanout the number of members that a round goes to
+     * @param bytesPerSecond the average sending budget of this instance, in bytes per second
+     * @param maxMessageBytes the maximum size of a message that is sent or received, in bytes
      */
     public PeerSettings(
             String instance,
@@ -64,7 +65,7 @@
     }
 
     /**
-     * Returns what holds where the settings say nothing: a round a second to three members, 3,400 bytes a second out.
+     * Returns the default settings: one round per second to three members, and a budget of 3,400 bytes per second.
      *
      * @param instance this instance's name, not null
      * @param dataCentre its data centre, not null
--- a/src/main/java/org/dogwoodwinch/peer/PeerTopic.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerTopic.java
@@ -2,53 +2,55 @@
 
 import java.util.Optional;
 
-/** What instances tell each other about. */
+/** The topics of the messages between instances. */
 public enum PeerTopic {
-    /** What an instance sent to targets of late. */
+    /** The load that an instance has recently sent to targets. */
     LOAD,
     /** Targets that are leaving. */
     LEAVING,
     /** Targets that break off the calls of an instance, or answer again. */
     BROKEN_TARGET,
-    /** Limits that targets name. */
+    /** Rate limits that targets state. */
     TARGET_LIMIT,
     /** Fingerprints of requests that crash targets. */
     QUARANTINE,
-    /** Demand of owners, for the shares of their limits. */
+    /** The demand of owners, from which the shares of their limits are computed. */
     DEMAND,
-    /** The newest catalogue and the offset it covers; sent to a member that has just started, not passed on. */
+    /** The newest catalogue and the offset it covers; sent to a member that has just started, not forwarded. */
     CATALOGUE,
-    /** That an instance is alive. */
+    /** The heartbeat of an instance. */
     MEMBER,
-    /** What an instance has in flight on targets that are out of service. */
+    /** The requests that an instance has in flight on targets that are out of service. */
     DRAIN,
 
-    /** What all instances of a data centre have under way at targets, as its relay sums it up for the other relays. */
+    /**
+     * The load that all instances of a data centre have in flight at targets, summed by its relay for the other relays.
+     */
     CENTRE_LOAD,
 
-    /** What the whole fleet has under way at targets, as a relay sums it up for its data centre. */
+    /** The load that the whole fleet has in flight at targets, summed by a relay for its data centre. */
     FLEET_LOAD,
 
-    /** Which parts of prompts an engine keeps. */
+    /** The prompt parts that a target has in its cache. */
     KEPT_PARTS,
 
-    /** Parts of prompts that several requests name. */
+    /** Prompt parts that occur in several requests. */
     SHARED_PARTS,
 
     /** Records of a stream of the platform's store. */
     STREAM,
 
-    /** The instances of a data centre that its relay hears. */
+    /** The heartbeat of a relay: the instances of its data centre that it receives messages from. */
     ALIVE,
 
-    /** That an instance has nothing to serve by, and wants all that its relay knows. */
+    /** A request of an instance without state for all state that its relay has. */
     WANT;
 
     /**
-     * Finds a topic.
+     * Returns the topic with a name.
      *
      * @param name its name on the wire, not null
-     * @return the topic; empty for one that a newer version of this program added, which is passed over
+     * @return the topic; empty for one that a newer version of this program added, whose entries are ignored
      */
     static Optional<PeerTopic> find(String name) {
         for (PeerTopic topic : values()) {
--- a/src/main/java/org/dogwoodwinch/peer/PeerTransport.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerTransport.java
@@ -2,15 +2,18 @@
 
 import org.dogwoodwinch.bytes.Bytes;
 
-/** Carries messages to members; what cannot be sent at once is dropped, for the next round says it anew. */
+/**
+ * Sends messages to members. A message that cannot be sent at once is dropped, since the next round repeats its
+ * content.
+ */
 @FunctionalInterface
 public interface PeerTransport {
 
     /**
      * Sends a message.
      *
-     * @param member where to, not null
-     * @param message the message, not null
+     * @param member the recipient, not null
+     * @param message the encoded message, not null
      */
     void send(PeerMember member, Bytes message);
 }
--- a/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
@@ -22,33 +22,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The notice board of a fleet in which one instance of each data centre, its relay, passes on what the others say. Used
- * on one event loop alone.
+ * A bus for a fleet in which one instance of each data centre, its relay, forwards the updates of the others. Confined
+ * to one event loop.
  *
- * <p>Load: told by each to each, messages grow with the square of the fleet; passed on at random, word of what is under
- * way is older than the calls it is about. Here an instance sends one message a round to its relay and gets one back;
- * relays send theirs to each other. What one instance spends does not grow with the fleet, what a relay spends grows
- * with its data centre alone. A small fleet needs no relay for this: each tells each at once.
+ * <p>Load: if each instance sends to each other one, messages grow with the square of the fleet; with random gossip,
+ * load figures are older than the calls that they describe. Here an instance sends one message a round to its relay and
+ * gets one back, and the relays send theirs to each other. The traffic of an instance does not grow with the fleet, and
+ * that of a relay grows with its data centre only. A small fleet needs no relay: each instance sends to each other one
+ * directly.
  *
- * <p>Failure: the relay dies, freezes or is cut off, and nobody hears anything. Whoever has heard no relay before it in
- * the order of succession for a while acts as one, the next in order first; two that both act for a moment say the same
- * things twice. Nothing that must be agreed or kept goes this way.
+ * <p>Failure: the relay dies, freezes or is cut off, and no instance receives updates any more. An instance that has
+ * received no heartbeat from a predecessor in the succession order for a while becomes the relay, the next in order
+ * first; two that act as relay at the same time send the same updates twice. Whatever requires agreement or durability
+ * does not use this bus.
  */
 public final class RelayExchange implements PeerBoard {
 
     private static final Logger log = LoggerFactory.getLogger(RelayExchange.class);
 
-    /** A relay's word without news, and an instance's to its relay: two of them may be lost before it is missed. */
+    /**
+     * The rounds between the heartbeats of a relay, and between the messages of an instance to its relay when it has no
+     * updates: two of these messages may be lost before it counts as missing.
+     */
     private static final int RELAY_HEARTBEAT_ROUNDS = 2;
 
     private static final int MEMBER_HEARTBEAT_ROUNDS = 3;
 
     private static final int STATE_REQUEST_ROUNDS = 3;
 
-    /** Who wants something asks again with its next reading. */
+    /** An instance that lacks state repeats its request with its next read. */
     private static final long STATE_REQUEST_TTL_MILLIS = 1_000;
 
-    /** What relays pass on to their own data centre and, where it comes from there, to the other relays. */
+    /**
+     * The topics that relays forward within their own data centre and, if the update comes from there, to the other
+     * relays.
+     */
     private static final Set<PeerTopic> FLEET_WIDE_TOPICS =
             Set.of(PeerTopic.QUARANTINE, PeerTopic.LEAVING, PeerTopic.BROKEN_TARGET, PeerTopic.TARGET_LIMIT);
 
@@ -79,11 +87,11 @@
     /**
      * Creates an exchange; {@link #start()} makes it send.
      *
-     * @param settings what may be set; a fleet with no more others than neighbours needs no relays, not null
+     * @param settings the settings; a fleet with no more other instances than the fanout uses no relays, not null
      * @param time the clock and timers, not null
-     * @param transport carries messages, not null
-     * @param members the other instances as the platform lists them, asked for at each round, not null
-     * @param observer hears of traffic, not null
+     * @param transport sends messages, not null
+     * @param members returns the other instances as the platform lists them, queried in each round, not null
+     * @param observer is notified of the traffic, not null
      */
     public RelayExchange(
             PeerSettings settings,
@@ -113,34 +121,35 @@
     }
 
     /**
-     * Calls back at each round, before it is sent.
+     * Registers a task that runs in each round before its messages are sent.
      *
-     * @param task what to do, not null
+     * @param task the task, not null
      */
     public void eachRound(Runnable task) {
         roundTasks.add(Objects.requireNonNull(task, "task"));
     }
 
     /**
-     * Says whether the fleet is so large that loads go by relays.
+     * Returns whether the fleet is so large that it uses relays.
      *
-     * @return false while each tells each
+     * @return false while each instance sends to each other one
      */
     public boolean byRelays() {
         return relayTracker.usesRelays();
     }
 
     /**
-     * Says whether this instance is its data centre's relay now.
+     * Returns whether this instance is currently the relay of its data centre.
      *
-     * @return whether no instance before it was heard to be one of late
+     * @return whether no predecessor in the succession order has recently acted as the relay
      */
     public boolean acting() {
         return relayTracker.isRelay();
     }
 
     /**
-     * Says whether a relay gives its sign of life in this round: what else is told to all then goes in the same message.
+     * Returns whether relays send their heartbeat in this round; other updates for all instances then go in the same
+     * message.
      *
      * @return whether this is such a round
      */
@@ -149,7 +158,7 @@
     }
 
     /**
-     * Returns this instance's place in the order of succession.
+     * Returns this instance's position in the succession order.
      *
      * @return zero for the first
      */
@@ -158,60 +167,60 @@
     }
 
     /**
-     * Says whether another instance of this data centre stands before this one.
+     * Returns whether another instance of this data centre precedes this one in the succession order.
      *
      * @param name its name, not null
-     * @return whether it does
+     * @return whether it is a predecessor
      */
     public boolean before(String name) {
         return relayTracker.isPredecessor(name);
     }
 
     /**
-     * Says whether a duty that one instance of each data centre does falls to this one.
+     * Returns whether a task that one instance of each data centre performs is assigned to this one.
      *
-     * @param key what the duty is about, not null
-     * @return whether no other instance that is believed alive ranks higher for it
+     * @param key the key of the task, not null
+     * @return whether no other instance that is considered alive ranks higher for it
      */
     public boolean fallsToOwn(String key) {
         return relayTracker.isAssignedToSelf(key);
     }
 
     /**
-     * Says whether a duty that one instance of the whole fleet does falls to this one: the one of the relays that ranks
-     * highest for it.
+     * Returns whether a task that one instance of the whole fleet performs is assigned to this one. It is assigned to
+     * the relay that ranks highest for it.
      *
-     * @param key what the duty is about, not null
-     * @return whether this instance acts as a relay, and no other relay that was heard of late ranks higher
+     * @param key the key of the task, not null
+     * @return whether this instance is a relay, and no other recently active relay ranks higher
      */
     public boolean fleetsDutyFallsToOwn(String key) {
         return relayTracker.isFleetTaskAssignedToSelf(key);
     }
 
     /**
-     * Says whether an instance is one of this data centre.
+     * Returns whether an instance belongs to this data centre.
      *
      * @param name its name, not null
-     * @return whether it is this one, or is listed in this data centre
+     * @return whether it is this instance, or is listed in this data centre
      */
     public boolean ofOwnCentre(String name) {
         return relayTracker.inOwnDataCentre(name);
     }
 
     /**
-     * Tells everything of a topic to each instance that this one has just been connected to: it may have started anew, and
-     * know nobody that it could ask.
+     * Registers the state of a topic for transfer to each instance that a connection has been opened to, since that
+     * instance may have restarted and may not know any other instance that it could ask.
      *
      * @param topic the topic, not null
-     * @param entries what is to be told by key, asked for each time, not null
-     * @param ttlMillis how long it may be of use
+     * @param entries returns the current payloads by key, called for each transfer, not null
+     * @param ttlMillis the time to live of the transferred entries
      */
     public void tellNewcomers(PeerTopic topic, Supplier<Map<String, Bytes>> entries, long ttlMillis) {
         stateTransfers.addSource(topic, entries, ttlMillis);
     }
 
     /**
-     * Hears of a new connection to another instance.
+     * Called when a connection to another instance was opened.
      *
      * @param member the instance, not null
      */
@@ -223,8 +232,9 @@
     }
 
     /**
-     * Asks others for all that they know: the platform turns this instance away, and it has nothing to serve by. The one
-     * that tells it, and of its data centre each time another one, since the relay may be turned away as well.
+     * Requests all state from other instances, because the platform rejects this instance's calls and it has no state
+     * to serve from. The request goes to the instance's relay and to one other instance of its data centre, a different
+     * one each time, since the relay may be rejected as well.
      */
     public void wantEverything() {
         List<PeerEntry> request =
@@ -241,7 +251,7 @@
         }
     }
 
-    /** Returns whether there was anything to tell newcomers. */
+    /** Sends all state to a member, and returns whether there was any state of the registered topics. */
     private boolean sendState(PeerMember member) {
         pendingSnapshots.add(member);
         sendPendingSnapshots();
@@ -250,13 +260,14 @@
     }
 
     /**
-     * Tells the own data centre at once: what the platform's bounds count for may not wait for a round.
+     * Sends an update to the own data centre immediately, for updates that the platform's limits depend on and that
+     * cannot wait for a round.
      *
      * @param topic the topic, not null
-     * @param key what it is about, not null
-     * @param payload what is told, not null
-     * @param ttlMillis how long it may be of use
-     * @param toOtherDataCentres whether the relays of the other data centres are told too
+     * @param key the key within the topic, not null
+     * @param payload the content, not null
+     * @param ttlMillis the time to live at the recipients
+     * @param toOtherDataCentres whether the relays of the other data centres get the update too
      */
     public void publishAtOnce(PeerTopic topic, String key, Bytes payload, long ttlMillis, boolean toOtherDataCentres) {
         List<PeerEntry> entries = List.of(ownEntry(topic, key, payload, ttlMillis));
@@ -267,9 +278,10 @@
     }
 
     /**
-     * Tells newcomers what is known beside the streams, one after the other as the link has room.
+     * Sends the stored entries to members that have just started, one member after the other as the budget allows.
      *
-     * <p>Load: a whole data centre starts at once. Everything for everybody would fill a narrow link for seconds.
+     * <p>Load: when a whole data centre starts at once, sending everything to all members would saturate a narrow link
+     * for seconds.
      */
     private void sendPendingSnapshots() {
         Iterator<PeerMember> recipients = pendingSnapshots.iterator();
@@ -345,7 +357,7 @@
         flush(Audience.ALL, relayTracker.others());
         flush(Audience.OTHER_RELAYS, relayTracker.inOtherDataCentres());
         if (isRelay) {
-            // It was for a relay that has gone silent since.
+            // These entries were queued for a relay that has since fallen silent.
             outbox.move(Audience.OWN_RELAY, Audience.OWN_DATA_CENTRE);
         }
         flush(Audience.OWN_DATA_CENTRE, relayTracker.localPeers());
@@ -390,7 +402,10 @@
                 relayTracker.heartbeatTtlMillis());
     }
 
-    /** This process was suspended: what is known of the ways of messages is wrong by that time. */
+    /**
+     * Discards the clock offsets after this process was suspended, since transit times are wrong by the length of the
+     * suspension.
+     */
     public void suspended() {
         clockOffsets.reset();
     }
@@ -423,10 +438,10 @@
     }
 
     /**
-     * Takes a message from the transport.
+     * Processes a message from the transport.
      *
-     * @param received the message, not null
-     * @return whether it was taken; a connection that brings one that is refused is closed
+     * @param received the encoded message, not null
+     * @return whether it was accepted; a connection that delivers a refused message is closed
      */
     public boolean receive(Bytes received) {
         boolean[] accepted = new boolean[1];
@@ -463,14 +478,14 @@
             accept(entry, transitMillis, message.sender(), heartbeat);
         }
         if (stateTransfers.isFirstStateRequest(message) && (acting() || !byRelays())) {
-            // Without the wish to be answered: two newcomers would send each other everything without end.
+            // The reply requests no state itself: two starting instances would send each other everything endlessly.
             relayTracker.findMember(message.sender()).ifPresent(pendingSnapshots::add);
             sendPendingSnapshots();
         }
         return true;
     }
 
-    /** What a relay says of itself and of the clocks of those that it hears, where the message has that. */
+    /** Returns the sender's heartbeat as a relay with its clock offsets, if the message contains one. */
     private Optional<RelayHeartbeat> heartbeatIn(PeerMessage message) {
         for (PeerEntry entry : message.items()) {
             if (entry.topic().equals(PeerTopic.ALIVE.name()) && entry.origin().equals(message.sender())) {
@@ -493,7 +508,7 @@
         Optional<PeerTopic> topic = PeerTopic.find(entry.topic());
         if (topic.isEmpty()
                 || entry.origin().equals(settings.instance())
-                // What came late is old and still news; its age may be this instance's own way.
+                // A late entry is old but still new to this instance; its age may stem from this instance's own link.
                 || !store.add(received, time.monotonicMillis(), 0)) {
             return;
         }
--- a/src/main/java/org/dogwoodwinch/peer/RelayHeartbeat.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayHeartbeat.java
@@ -8,9 +8,10 @@
 import org.dogwoodwinch.bytes.Packing;
 
 /**
- * Who a relay hears, and what their clocks are ahead of its own at least.
+ * The heartbeat of a relay: the instances that it receives messages from, and the offsets of their clocks.
  *
- * @param clockOffsetsMillis milliseconds by the names of those that it hears, not null
+ * @param clockOffsetsMillis lower bounds of how far their clocks are ahead of the relay's, in milliseconds by instance
+ *     name, not null
  */
 record RelayHeartbeat(Map<String, Long> clockOffsetsMillis) {
 
--- a/src/main/java/org/dogwoodwinch/peer/RelayTracker.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayTracker.java
@@ -12,25 +12,35 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Who passes words on for each data centre, and who is alive in the own one, as far as it was heard. Used on one event loop
- * alone.
+ * Tracks the relay of each data centre and the live instances of the own one. Confined to one event loop.
  *
- * <p>Failure: the instance that passes words on dies, freezes or is cut off, and nobody hears anything. Whoever has heard none
- * before it in the order of succession for a while acts, the next in order first; two that both act for a moment say the same
- * things twice.
+ * <p>Failure: the relay dies, freezes or is cut off, and no instance receives updates. An instance that has received no
+ * heartbeat from a predecessor in the succession order for a while takes over, the next in order first; two that act as
+ * relay at the same time send the same updates twice.
  */
 final class RelayTracker {
 
-    /** A relay is missed after so many rounds: three of its words lost, or a pause as garbage collection makes. */
+    /**
+     * The rounds after which a relay counts as failed: three lost heartbeats, or the length of a garbage collection
+     * pause.
+     */
     private static final int RELAY_TIMEOUT_ROUNDS = 7;
 
-    /** The rounds that each further one in the order of succession waits longer, so that one after the other acts. */
+    /**
+     * The additional rounds that each further instance in the succession order waits, so that they take over one after
+     * the other.
+     */
     private static final int STAGGER_ROUNDS = 1;
 
-    /** Beyond so many places in the order nobody waits longer: relays that die in a row must not add up to seconds. */
+    /**
+     * The position from which the delay no longer grows, so that successive failures of relays do not add up to
+     * seconds.
+     */
     private static final int MAX_STAGGERS = 3;
 
-    /** An instance that was not heard for so long is not counted on for duties; longer than a pause or a lost packet. */
+    /**
+     * The rounds without a message after which an instance is assigned no tasks; longer than a pause or a lost packet.
+     */
     private static final int MEMBER_TIMEOUT_ROUNDS = 10;
 
     private final PeerSettings settings;
@@ -53,7 +63,10 @@
         this.taskAssignment = new TaskAssignment(succession);
     }
 
-    /** Takes the other instances. Once a round: the list is asked for by each message and call, and changes within seconds. */
+    /**
+     * Updates the list of other instances. Called once per round, since the list is needed for each message and call,
+     * and changes within seconds.
+     */
     void updateMembers(List<PeerMember> members) {
         if (firstRoundMillis == Long.MIN_VALUE && !others.isEmpty()) {
             firstRoundMillis = time.monotonicMillis();
@@ -67,7 +80,7 @@
         taskAssignment.updateMembers(aliveMembers());
     }
 
-    /** Forgets when instances were heard that were silent for long. */
+    /** Removes the timestamps of instances that have been silent for the member time-out. */
     void expireSilentMembers() {
         lastMessageMillis.values().removeIf(atMillis -> !isRecent(atMillis, MEMBER_TIMEOUT_ROUNDS));
     }
@@ -101,7 +114,10 @@
         return taskAssignment.isAssignedToSelf(key);
     }
 
-    /** Whether a duty that one instance of the fleet does falls to this one: it acts, and no relay heard of late ranks higher. */
+    /**
+     * Returns whether a task that one instance of the fleet performs is assigned to this one: it is a relay, and no
+     * recently active relay ranks higher.
+     */
     boolean isFleetTaskAssignedToSelf(String key) {
         List<String> activeRelays = relays.values().stream()
                 .filter(relay -> isRecent(relay.heartbeatMillis, RELAY_TIMEOUT_ROUNDS))
@@ -110,17 +126,17 @@
         return isRelay() && succession.isAssignedToSelf(key, activeRelays);
     }
 
-    /** Whether the fleet is so large that words go by relays. */
+    /** Returns whether the fleet is so large that it uses relays. */
     boolean usesRelays() {
         return others.size() > settings.fanout();
     }
 
-    /** Whether this instance passes on for its data centre. */
+    /** Returns whether this instance is the relay of its data centre. */
     boolean isRelay() {
         return inOwnDataCentre().isEmpty();
     }
 
-    /** The instance of this data centre that passes on, where that is another one. */
+    /** Returns the relay of this data centre, unless it is this instance. */
     Optional<String> inOwnDataCentre() {
         int timeoutRounds = RELAY_TIMEOUT_ROUNDS + STAGGER_ROUNDS * Math.min(MAX_STAGGERS, Math.max(0, ownRank - 1));
         Relay relay = relays.get(settings.dataCentre());
@@ -131,10 +147,11 @@
     }
 
     /**
-     * Who it is while none was heard yet: the first in order is given as long as one that falls silent.
+     * Returns the presumed relay while no heartbeat has been received yet: the first in order is given as much time as
+     * a relay that falls silent.
      *
-     * <p>Load: a fleet that starts at once. Each instance took itself for the relay until it heard one, and opened a
-     * connection to each other one of its data centre.
+     * <p>Load: when a whole fleet started at once, each instance considered itself the relay until it received a
+     * heartbeat, and opened a connection to each other instance of its data centre.
      */
     private Optional<String> presumedRelay(int timeoutRounds) {
         return usesRelays() && isRecent(firstRoundMillis, timeoutRounds)
@@ -145,7 +162,10 @@
                 : Optional.empty();
     }
 
-    /** Those of the other data centres, presumed where none was heard of late. */
+    /**
+     * Returns the relays of the other data centres; where no heartbeat has been received recently, the first in order
+     * is presumed.
+     */
     List<PeerMember> inOtherDataCentres() {
         Map<String, List<PeerMember>> membersByDataCentre = new HashMap<>();
         for (PeerMember member : others) {
@@ -169,7 +189,7 @@
         return result;
     }
 
-    /** An instance sent a message. */
+    /** Records that an instance sent a message. */
     void onMessageFrom(String name) {
         lastMessageMillis.put(name, time.monotonicMillis());
     }
@@ -178,12 +198,15 @@
         return lastMessageMillis.containsKey(name);
     }
 
-    /** How long the names of those who are alive may be of use. */
+    /** Returns the time to live of a heartbeat's list of live instances. */
     long heartbeatTtlMillis() {
         return MEMBER_TIMEOUT_ROUNDS * settings.roundMillis();
     }
 
-    /** By the relay's word where there is a recent one, else those heard here: at a relay, or where there is none. */
+    /**
+     * Returns the live instances: those that the relay recently reported or, at a relay and without a recent report,
+     * the recent senders.
+     */
     private Set<String> aliveMembers() {
         if (!isRelay() && isRecent(reportedAliveMillis, MEMBER_TIMEOUT_ROUNDS)) {
             return reportedAlive;
@@ -204,8 +227,9 @@
     }
 
     /**
-     * A relay tells who is alive in its data centre. The first in order that was heard of late counts, however long its words
-     * were on their way: that may be this instance's own link, on which it should not begin to tell all others.
+     * Processes a relay's heartbeat with the live instances of its data centre. The first recently active relay in the
+     * succession order counts, however long its messages were in transit: the delay may be on this instance's own link,
+     * and must not make it start to send to all others.
      */
     void onHeartbeat(PeerEntry entry, RelayHeartbeat heartbeat, String sender) {
         String dataCentre = entry.key();
--- a/src/main/java/org/dogwoodwinch/peer/ReplayGuard.java
+++ b/src/main/java/org/dogwoodwinch/peer/ReplayGuard.java
@@ -5,10 +5,10 @@
 import java.util.Objects;
 import org.dogwoodwinch.time.TimeSource;
 
-/** Tells messages that were played again: a recorded one could bring back a word that has expired since. Not thread-safe. */
+/** Detects replayed messages: a recorded one could restore an entry that has since expired. Not thread-safe. */
 final class ReplayGuard {
 
-    /** Well over what the times of day of two instances differ by. */
+    /** Well above the difference between the wall clocks of two instances. */
     private static final long MAX_CLOCK_SKEW_MILLIS = 300_000;
 
     private final TimeSource time;
@@ -18,7 +18,10 @@
         this.time = Objects.requireNonNull(time, "time");
     }
 
-    /** Whether a message is too old, or not newer than the last one of the same start of its sender; remembers it if not. */
+    /**
+     * Returns whether a message is too old, or not newer than the last one of the same incarnation of its sender;
+     * records it if it is neither.
+     */
     boolean isReplayed(PeerMessage message) {
         if (Math.abs(time.wallMillis() - message.sentMillis()) > MAX_CLOCK_SKEW_MILLIS) {
             return true;
--- a/src/main/java/org/dogwoodwinch/peer/StateTransfers.java
+++ b/src/main/java/org/dogwoodwinch/peer/StateTransfers.java
@@ -9,24 +9,24 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * Which instances have just been connected to and may know nothing yet, and what they are told. Used on one event loop
- * alone.
+ * Tracks the instances that a connection has recently been opened to and that may have no state yet, and the state to
+ * transfer to them. Confined to one event loop.
  */
 final class StateTransfers {
 
-    /** An instance that read the platform's list says a word to its relay within three rounds. */
+    /** An instance that has read the platform's list sends a message to its relay within three rounds. */
     private static final int RETRY_ROUNDS = 4;
 
     private final Map<PeerTopic, SnapshotSource> snapshotSources = new EnumMap<>(PeerTopic.class);
     private final Map<String, PendingTransfer> pending = new HashMap<>();
     private final Map<String, Long> answeredStartMillis = new HashMap<>();
 
-    /** What a newcomer is told of a topic: all that there is, asked for each time, and how long it may be of use. */
+    /** Adds a source of state: the entries of a topic, queried for each transfer, and their time to live. */
     void addSource(PeerTopic topic, Supplier<Map<String, Bytes>> entries, long ttlMillis) {
         snapshotSources.put(Objects.requireNonNull(topic, "topic"), new SnapshotSource(entries, ttlMillis));
     }
 
-    /** Hands out all that a newcomer is told; returns whether there was anything. */
+    /** Passes all entries to a consumer, and returns whether there were any. */
     boolean forEachEntry(EntryConsumer consumer) {
         boolean any = false;
         for (Map.Entry<PeerTopic, SnapshotSource> topic : snapshotSources.entrySet()) {
@@ -38,20 +38,20 @@
         return any;
     }
 
-    /** An instance was connected to and is told everything now. */
+    /** Records that an instance was connected to; its state is transferred now. */
     void onConnected(PeerMember member, long currentRound) {
         pending.put(member.name(), new PendingTransfer(member, currentRound));
     }
 
     /**
-     * Tells everything once more to those that were silent since they were connected to.
+     * Repeats the transfer to instances that have sent no message since they were connected to.
      *
-     * <p>Failure: all instances start at once, and the platform answers some of them. When these connected to the others
-     * they knew nothing yet; those that are turned away know nobody whom they could ask.
+     * <p>Failure: all instances start at once, and the platform answers some of them. When these connected to the
+     * others they had no state yet, and those that the platform rejects know no instance that they could ask.
      *
-     * @param hasMessageFrom whether an instance was heard of late
-     * @param currentRound the round
-     * @param transfer tells an instance everything, and says whether there was anything
+     * @param hasMessageFrom returns whether an instance has sent a message recently
+     * @param currentRound the number of the current round
+     * @param transfer transfers all state to an instance, and returns whether there was any
      */
     void retryPending(Predicate<String> hasMessageFrom, long currentRound, Predicate<PeerMember> transfer) {
         pending.values().removeIf(pendingTransfer -> hasMessageFrom.test(pendingTransfer.member.name()));
@@ -61,24 +61,24 @@
                         && transfer.test(pendingTransfer.member));
     }
 
-    /** Whether a message is the first of its sender's start that asks for an answer. */
+    /** Returns whether a message is the first state request of its sender's incarnation. */
     boolean isFirstStateRequest(PeerMessage message) {
         return message.newcomer()
                 && !Long.valueOf(message.startedMillis())
                         .equals(answeredStartMillis.put(message.sender(), message.startedMillis()));
     }
 
-    /** Takes one thing that a newcomer is told. */
+    /** Consumes one entry of the state to transfer. */
     @FunctionalInterface
     interface EntryConsumer {
 
         /**
-         * Takes it.
+         * Consumes an entry.
          *
-         * @param topic what it is about
-         * @param key which one
+         * @param topic the topic
+         * @param key the key within the topic
          * @param payload the content
-         * @param ttlMillis how long it may be of use
+         * @param ttlMillis its time to live
          */
         void accept(PeerTopic topic, String key, Bytes payload, long ttlMillis);
     }
--- a/src/main/java/org/dogwoodwinch/peer/SuccessionOrder.java
+++ b/src/main/java/org/dogwoodwinch/peer/SuccessionOrder.java
@@ -10,11 +10,11 @@
 import org.dogwoodwinch.forwarding.Rendezvous;
 
 /**
- * The order in which the instances of a data centre take over what one of them does for all. All of them work it out
- * alike, from what the instances announce. Not thread-safe.
+ * The order in which the instances of a data centre take over tasks that one of them performs for all. Each instance
+ * computes the same order from the members' announcements. Not thread-safe.
  *
- * <p>Failure: what one sends for all of a data centre takes most of a narrow link, and its calls wait behind it. Those
- * with the widest links stand first.
+ * <p>Failure: the messages that one instance sends for a whole data centre take most of a narrow link, and its calls
+ * wait behind them. Instances with the highest bandwidth therefore come first.
  */
 public final class SuccessionOrder {
 
@@ -23,11 +23,11 @@
     private final Map<String, Double> linksMbps = new HashMap<>();
 
     /**
-     * Creates an order in which no link but the own one is known.
+     * Creates an order in which only the own link bandwidth is known.
      *
-     * @param dataCentre the data centre, not null
+     * @param dataCentre this instance's data centre, not null
      * @param ownName this instance's name, not null
-     * @param ownLinkMbps what its link carries, in megabits a second; zero where that is not known
+     * @param ownLinkMbps the bandwidth of its link, in megabits per second; zero if unknown
      */
     public SuccessionOrder(String dataCentre, String ownName, double ownLinkMbps) {
         this.dataCentre = Objects.requireNonNull(dataCentre, "dataCentre");
@@ -36,40 +36,40 @@
     }
 
     /**
-     * Takes what the other instances announce; one that is not heard of any more keeps its place.
+     * Updates the link bandwidths of the other instances; an instance that is no longer listed keeps its position.
      *
-     * @param others the others, of all data centres, not null
+     * @param others the other instances of all data centres, not null
      */
     public void updateLinks(Collection<PeerMember> others) {
         others.forEach(other -> linksMbps.put(other.name(), other.linkMbps()));
     }
 
     /**
-     * Says whether another instance of this data centre stands before this one.
+     * Returns whether another instance of this data centre precedes this one.
      *
-     * @param name the other one's name, not null
-     * @return whether it does
+     * @param name the other instance's name, not null
+     * @return whether it is a predecessor
      */
     public boolean isPredecessor(String name) {
         return isPredecessor(dataCentre, name, ownName);
     }
 
     /**
-     * Says which of two instances of a data centre stands first.
+     * Returns whether one instance of a data centre precedes another one.
      *
      * @param dataCentre the data centre, not null
-     * @param candidate an instance's name, not null
-     * @param other another's, not null
-     * @return whether the one stands before the other
+     * @param candidate the name of the instance that may precede the other one, not null
+     * @param other the other instance's name, not null
+     * @return whether the candidate precedes the other instance
      */
     boolean isPredecessor(String dataCentre, String candidate, String other) {
         return byPriority(dataCentre).compare(candidate, other) > 0;
     }
 
     /**
-     * Returns this instance's place.
+     * Returns this instance's position.
      *
-     * @param others the others that are believed to exist, those of other data centres are passed over, not null
+     * @param others the other instances; those of other data centres are ignored, not null
      * @return zero for the first
      */
     public int ownRank(List<PeerMember> others) {
@@ -79,11 +79,11 @@
     }
 
     /**
-     * Returns the first of a data centre.
+     * Returns the first instance of a data centre.
      *
      * @param dataCentre the data centre, not null
-     * @param members instances, not null
-     * @return the first one of that data centre, empty where there is none
+     * @param members the instances to choose from, not null
+     * @return the first one of that data centre, empty if there is none
      */
     public Optional<PeerMember> first(String dataCentre, List<PeerMember> members) {
         return members.stream()
@@ -92,18 +92,18 @@
     }
 
     /**
-     * Says whether this instance is the one of several that a thing falls to.
+     * Returns whether a task that one of several instances performs is assigned to this one, by rendezvous hashing.
      *
-     * @param key the thing, not null
-     * @param candidates the instances, this one may be among them or not, not null
-     * @return whether no other one ranks higher for the thing
+     * @param key the key of the task, not null
+     * @param candidates the names of the instances, which may or may not include this one, not null
+     * @return whether no other candidate ranks higher for the task
      */
     public boolean isAssignedToSelf(String key, Collection<String> candidates) {
         double ownScore = Rendezvous.score(key, ownName);
         return candidates.stream().noneMatch(name -> !name.equals(ownName) && Rendezvous.score(key, name) > ownScore);
     }
 
-    /** The greatest stands first. */
+    /** Compares the names of instances of a data centre; the maximum comes first in the succession order. */
     private Comparator<String> byPriority(String dataCentre) {
         return Comparator.<String>comparingDouble(name -> linksMbps.getOrDefault(name, 0.0))
                 .thenComparingDouble(name -> Rendezvous.score(dataCentre, name));
--- a/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries suspicions between the instances, so that a resend through another one is known there. */
+/** Shares suspicions between the instances, so that an instance recognizes a request that is sent again through it. */
 public final class SuspicionExchange implements Consumer<SuspicionNotice> {
 
     private static final Logger log = LoggerFactory.getLogger(SuspicionExchange.class);
@@ -23,16 +23,16 @@
     private final PeerBoard bus;
 
     /**
-     * Creates the publishing side.
+     * Creates an exchange that publishes suspicions.
      *
-     * @param bus the notice board, not null
+     * @param bus the publish/subscribe bus, not null
      */
     public SuspicionExchange(PeerBoard bus) {
         this.bus = Objects.requireNonNull(bus, "bus");
     }
 
     /**
-     * Makes a book hear what the others tell.
+     * Subscribes a book of suspects to the suspicions of other instances.
      *
      * @param suspects the book, not null
      */
@@ -43,7 +43,10 @@
                         .ifPresent(notice -> suspects.onPeerNotice(notice, update.ageMillis())));
     }
 
-    /** A trial has a key of its own: its end must not replace the word of the quarantine that followed from it. */
+    /**
+     * Publishes a suspicion. A trial has a key of its own, so that its end does not replace the quarantine that
+     * resulted from it.
+     */
     @Override
     public void accept(SuspicionNotice notice) {
         boolean isTrial =
--- a/src/main/java/org/dogwoodwinch/peer/TaskAssignment.java
+++ b/src/main/java/org/dogwoodwinch/peer/TaskAssignment.java
@@ -6,15 +6,18 @@
 import java.util.Set;
 
 /**
- * Which duties fall to this instance among those of its data centre that are believed alive. Not thread-safe.
+ * Determines which tasks are assigned to this instance among the live instances of its data centre. Not thread-safe.
  *
- * <p>Load: each instance asks for each target several times a second, and an answer ranks all instances of the data centre.
- * Targets times instances were ranked anew each time, which was a good part of what an idle instance of a large fleet did.
- * Here a duty is ranked once, and again only when somebody came or went.
+ * <p>Load: each instance looks up each target several times a second, and each lookup ranks all instances of the data
+ * centre. Repeating this for every target made up a good part of the work of an idle instance in a large fleet. Here a
+ * task is ranked once, and again only when the set of live instances changes.
  */
 final class TaskAssignment {
 
-    /** More than the targets of any fleet; what is beyond has gone long ago, and is ranked again where it is asked for. */
+    /**
+     * More than the targets of any fleet; entries of targets that are gone are discarded with the rest, and ranked
+     * again if they are looked up.
+     */
     private static final int MAX_CACHED_TASKS = 20_000;
 
     private final SuccessionOrder succession;
@@ -25,7 +28,7 @@
         this.succession = Objects.requireNonNull(succession, "succession");
     }
 
-    /** Takes the names of those that are alive; what was ranked among others is forgotten. */
+    /** Sets the names of the live instances; if they have changed, cached assignments are discarded. */
     void updateMembers(Set<String> names) {
         if (!aliveMembers.equals(names)) {
             aliveMembers = Set.copyOf(names);
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Whether nobody that is alive ranks higher for the thing. */
+    /** Returns whether no live instance ranks higher for the task. */
     boolean isAssignedToSelf(String key) {
         if (assignments.size() >= MAX_CACHED_TASKS) {
             assignments.clear();
--- a/src/main/java/org/dogwoodwinch/peer/package-info.java
+++ b/src/main/java/org/dogwoodwinch/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Exchange between the instances of the system. */
+/** The message exchange between the instances: membership, relays, gossip, publish/subscribe and state transfer. */
 package org.dogwoodwinch.peer;
--- a/src/test/java/org/dogwoodwinch/follow/RedundantRecordTrackerTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/RedundantRecordTrackerTest.java
@@ -13,7 +13,7 @@
 
     private final RedundantRecordTracker repeated = new RedundantRecordTracker(RedundantRecordTrackerTest::state, 4);
 
-    /** Entries here are a state and a count that grows with each renewal. */
+    /** The entries of this test consist of a state and a count that grows with each renewal. */
     private static Object state(KeyedRecord record) {
         return record.value()
                 .map(value -> new String(value.toByteArray(), java.nio.charset.StandardCharsets.UTF_8).charAt(0))
@@ -35,11 +35,7 @@
         assertFalse(repeated.isRedundant(3));
     }
 
-    /**
-     * A reader loses the store, an engine says that it leaves and then that it is ready again, and the reader goes on
-     * behind the first of the two. The others heard of the leaving from somebody else; told that nothing is new, they would
-     * leave the engine alone for good.
-     */
+    /** Guards against dropping a changed state as redundant after the reader skipped a record of the same key. */
     @Test
     void behindAGapEverythingIsNew() {
         repeated.observe(0, 1, List.of(entry(0, "ready 1")));
--- a/src/test/java/org/dogwoodwinch/follow/ReplicatedStreamAgeTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/ReplicatedStreamAgeTest.java
@@ -13,7 +13,7 @@
 
     private static final long UNPROVED_MILLIS = 3_600_000;
 
-    /** What was heard without a proved age, before any answer of the store, was handed on as read this moment. */
+    /** Guards against publishing a received snapshot of unknown age as fresh before the platform has answered once. */
     @Test
     void whatHasNoProvedAgeIsNotToldAsFresh() {
         KeyedStream silent = new KeyedStream() {
--- a/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
@@ -54,10 +54,7 @@
         return new KeyedRecord(key, offset, Optional.of(Bytes.ofUtf8("v")));
     }
 
-    /**
-     * Between two pages of the full reading a record is written that neither page shows. Reading goes on from the end
-     * that the first page told, so it is read as a record.
-     */
+    /** Guards against losing a record that is written between two pages of a snapshot read. */
     @Test
     void aChangeBetweenTwoPagesIsReadAsARecord() {
         follower.start();
@@ -81,7 +78,7 @@
         assertEquals(List.of("whole [] to 2", "a@2", "a@3"), heard);
     }
 
-    /** The records to go on from were dropped: everything is read anew, and nothing is believed gone before that. */
+    /** Guards against treating keys as deleted after records expired and before a new snapshot is complete. */
     @Test
     void lostHistoryLeadsToAFullReading() {
         follower.start();
@@ -94,8 +91,7 @@
     }
 
     /**
-     * The store is away. The listener hears so once, questions come further and further apart up to the longest pause,
-     * and what was read before is neither dropped nor read anew.
+     * Guards against repeated disconnect events, and against losing the read position, during an outage of the store.
      */
     @Test
     void throughAnOutageItAsksAgainFromWhereItWas() {
@@ -111,7 +107,7 @@
         assertEquals(Set.of("newest ", "read 2"), new TreeSet<>(calls));
     }
 
-    /** A page fails in the middle of a full reading: the reading goes on with that page, not from the beginning. */
+    /** Guards against restarting the snapshot read from the beginning when one page fails. */
     @Test
     void aPageThatFailsIsAskedForAgain() {
         follower.start();
--- a/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
@@ -11,7 +11,7 @@
 
 class ClockOffsetsTest {
 
-    /** What the relay's steady clock shows beyond the own one. */
+    /** How far the relay's monotonic clock is ahead of the own one. */
     private static final long APART_MILLIS = 7_777_777;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
@@ -28,7 +28,7 @@
         return message("relay", startedMillis, time.monotonicMillis() + APART_MILLIS - suspendedMillis);
     }
 
-    /** The relay hears this instance after some time on the way, and tells what it knows of the clocks. */
+    /** Delivers a message of this instance to the relay after a transit time. */
     private void relayHears(long wayMillis) {
         long writtenMillis = time.monotonicMillis();
         time.advanceMillis(wayMillis);
@@ -61,7 +61,7 @@
         assertEquals(3_002, wayMillis(written));
     }
 
-    /** A word came three seconds late and passed for fresh: no delay of either way may make one look younger. */
+    /** Guards against a delayed message that passes for fresh because of a delay in either direction. */
     @Test
     void noDelayMakesAMessageYounger() {
         for (long wayThere : new long[] {0, 1, 200, 2_000}) {
@@ -103,7 +103,7 @@
         assertEquals(-APART_MILLIS - 400, relays.offsetsMillis().get("own"));
     }
 
-    /** An instance started anew, and what was known of its earlier clock made old words look fresh. */
+    /** Guards against stale messages that look fresh after a restart, because of an offset to the earlier clock. */
     @Test
     void aWordFromTheFutureProvesNothing() {
         own.onReportedOffset("relay", 1, Optional.of(3_600_000L - APART_MILLIS));
--- a/src/test/java/org/dogwoodwinch/peer/MemberListTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/MemberListTest.java
@@ -62,7 +62,7 @@
         assertEquals(List.of(), names());
     }
 
-    /** Before it knows the others, an instance may take no part of a bound that all share. */
+    /** Guards against taking a part of a shared limit before the other instances are known. */
     @Test
     void beforeTheFirstReadingTheCountIsUnknown() {
         hear("i1");
@@ -73,8 +73,7 @@
     }
 
     /**
-     * The store is away for a minute: no record is renewed, and all others lapse. Counted anew, each of 58 instances would
-     * take the whole slack of the retry budget.
+     * Guards against an instance that takes the whole retry budget because the others expired during a store outage.
      */
     @Test
     void anOutageOfTheStoreDoesNotMakeAnInstanceTheOnlyOne() {
@@ -92,7 +91,10 @@
         assertEquals(OptionalInt.of(58), members.mostSeenCount());
     }
 
-    /** The store is away for a minute: no record is renewed, and nobody may take itself for the only one. */
+    /**
+     * Guards against an instance that considers itself the only one because no record was renewed during a store
+     * outage.
+     */
     @Test
     void throughAnOutageOfTheStoreTheSameInstancesAreCountedOn() {
         begin("i1", "i2");
--- a/src/test/java/org/dogwoodwinch/peer/NettyPeerTransportTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/NettyPeerTransportTest.java
@@ -29,7 +29,7 @@
         eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Messages arrive whole; one that is refused closes its connection, and the next message opens another one. */
+    /** Guards against losing the connection to a member for good after it refused one message. */
     @Test
     void carriesMessagesAndOpensAnewAfterARefusal() throws InterruptedException {
         int port = transport.listen("127.0.0.1", 0, message -> {
@@ -42,7 +42,7 @@
         transport.send(member, Bytes.ofUtf8("x"));
         assertEquals(Bytes.ofUtf8("x"), received.poll(10, TimeUnit.SECONDS));
         Bytes second = null;
-        // The close is on its way; what is sent into it is lost, as any message may be.
+        // A message that is sent before the connection's close arrives is lost, as any message may be.
         for (int i = 0; i < 100 && second == null; i++) {
             transport.send(member, Bytes.ofUtf8("second"));
             second = received.poll(100, TimeUnit.MILLISECONDS);
--- a/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
@@ -50,7 +50,7 @@
         assertEquals(before - 1, exchanges.get(1).items());
     }
 
-    /** An instance starts while the log is out: it hears the catalogue from a neighbour, and it hears it at once. */
+    /** Guards against an instance that starts during a log outage and gets no catalogue from the other instances. */
     @Test
     void aNewcomerHearsTheCatalogue() {
         startAll();
@@ -74,7 +74,9 @@
         assertFalse(exchanges.get(0).isAlive(writer));
     }
 
-    /** A stranger, a damaged, an oversized, a replayed and a meaningless message: each is refused by its own reason. */
+    /**
+     * Each invalid message is refused for its own reason: unauthenticated, corrupted, oversized, replayed or malformed.
+     */
     @Test
     void refusesWhatIsNotRight() {
         startAll();
@@ -111,7 +113,7 @@
                 refusals);
     }
 
-    /** Far more is published than the budget carries: traffic stays within it, and the urgent word still gets through. */
+    /** Guards against traffic above the budget, and against urgent entries that wait behind load figures. */
     @Test
     void staysWithinItsBudget() {
         startAll();
--- a/src/test/java/org/dogwoodwinch/peer/PeerOutboxStarvationTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/PeerOutboxStarvationTest.java
@@ -25,7 +25,7 @@
         return new PeerEntry("a", 1, topic.name(), "k", version++, 0, 1_500, Bytes.of(new byte[bytes]));
     }
 
-    /** Small words that may wait used up what a large, more urgent word waited for: loads never went out. */
+    /** Guards against load figures that are never sent because small cache hints use up the budget. */
     @Test
     void wordsThatMayWaitDoNotKeepLoadsWaitingForever() {
         PeerOutbox outbox = new PeerOutbox(time, BYTES_PER_SECOND, _topic -> {});
@@ -45,7 +45,7 @@
         assertTrue(loads >= ROUNDS / 8, loads + " words of loads and " + (sent.size() - loads) + " of parts in 6 s");
     }
 
-    /** A newcomer waited for the room that what may be dropped took each time, and was never told of limits. */
+    /** Guards against state transfers that are never sent because cache hints use up the budget. */
     @Test
     void wordsThatMayWaitLeaveRoomForNewcomers() {
         PeerOutbox outbox = new PeerOutbox(time, BYTES_PER_SECOND, _topic -> {});
--- a/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
@@ -28,7 +28,10 @@
         return succession;
     }
 
-    /** A relay on a narrow link left its own calls no room, while others of its data centre had twenty times the link. */
+    /**
+     * Guards against a relay on a narrow link, whose own calls wait, while others of its data centre have twenty times
+     * the bandwidth.
+     */
     @Test
     void noNarrowLinkRelaysWhileThereIsAWideOne() {
         for (int wideCount = 1; wideCount <= 3; wideCount++) {
--- a/src/test/java/org/dogwoodwinch/peer/TaskAssignmentTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/TaskAssignmentTest.java
@@ -21,7 +21,7 @@
                 .count();
     }
 
-    /** Each duty falls to one instance, whoever is alive. */
+    /** Guards against a task that no instance or several instances consider theirs. */
     @Test
     void eachDutyFallsToOne() {
         for (int i = 0; i < 50; i++) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Somebody dies, and what was ranked while it lived is ranked anew: else nobody asked its engines any more. */
+    /** Guards against cached assignments that keep the tasks of a failed instance from being taken over. */
     @Test
     void aDutyOfOneThatDiedIsTakenOver() {
         TaskAssignment duties = new TaskAssignment(new SuccessionOrder("dc", "i1", 0));
