--- a/src/main/java/org/dogwoodwinch/peer/PeerSettings.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerSettings.java
@@ -38,7 +38,8 @@
         Objects.requireNonNull(secret, "secret");
         if (roundMillis <= 0 || fanout <= 0 || bytesPerSecond <= 0 || maxMessageBytes < MIN_MESSAGE_BYTES) {
             throw new IllegalArgumentException(
-                    "roundMillis, fanout and bytesPerSecond must be positive, maxMessageBytes at least " + MIN_MESSAGE_BYTES);
+                    "roundMillis, fanout and bytesPerSecond must be positive, maxMessageBytes at least "
+                            + MIN_MESSAGE_BYTES);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
@@ -233,8 +233,9 @@
 
     /**
      * Requests all state from other instances, because the platform rejects this instance's calls and it has no state
-     * to serve from. The request goes to the instance's relay and to one other instance of its data centre, a different
-     * one each time, since the relay may be rejected as well.
+     * to serve from. The request goes to the instance's relay or, from a relay, to those of the other data centres. It
+     * also goes to one other instance of the own data centre, a different one each time, since the relay may be
+     * rejected as well.
      */
     public void wantEverything() {
         List<PeerEntry> request =
--- a/src/test/java/org/dogwoodwinch/follow/ReplicatedStreamAgeTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/ReplicatedStreamAgeTest.java
@@ -11,12 +11,12 @@
 
 class ReplicatedStreamAgeTest {
 
-    private static final long UNPROVED_MILLIS = 3_600_000;
+    private static final long UNKNOWN_AGE_MILLIS = 3_600_000;
 
     /** Guards against publishing a received snapshot of unknown age as fresh before the platform has answered once. */
     @Test
-    void whatHasNoProvedAgeIsNotToldAsFresh() {
-        KeyedStream silent = new KeyedStream() {
+    void snapshotOfUnknownAgeIsNotPublishedAsFresh() {
+        KeyedStream unresponsivePlatform = new KeyedStream() {
             @Override
             public CompletionStage<ReadResult> newest(Optional<String> _afterKey) {
                 return new CompletableFuture<>();
@@ -27,26 +27,26 @@
                 return new CompletableFuture<>();
             }
         };
-        ReplicatedStream.Publisher relay = new ReplicatedStream.Publisher() {
+        ReplicatedStream.Publisher publisher = new ReplicatedStream.Publisher() {
             @Override
-            public void tell(StreamUpdate _word, boolean _ownReading) {}
+            public void tell(StreamUpdate _update, boolean _ownReading) {}
 
             @Override
             public void want() {}
         };
         ReplicatedStream stream = new ReplicatedStream(
                 "s",
-                silent,
+                unresponsivePlatform,
                 new ReplicaPolicy(1_100, 75, 3),
                 new VirtualTimeSource(10_000_000),
                 () -> 0,
-                relay,
+                publisher,
                 record -> record);
         assertTrue(!stream.newest(Optional.empty()).toCompletableFuture().isDone());
 
-        stream.heardAbroad(new StreamUpdate("s", true, List.of(), 5, 5, UNPROVED_MILLIS));
+        stream.heardAbroad(new StreamUpdate("s", true, List.of(), 5, 5, UNKNOWN_AGE_MILLIS));
 
-        long toldMillis = stream.whole().orElseThrow().contactAgeMillis();
-        assertTrue(toldMillis >= UNPROVED_MILLIS, "told as " + toldMillis + " ms old");
+        long publishedAgeMillis = stream.whole().orElseThrow().contactAgeMillis();
+        assertTrue(publishedAgeMillis >= UNKNOWN_AGE_MILLIS, "published as " + publishedAgeMillis + " ms old");
     }
 }
--- a/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
@@ -19,19 +19,19 @@
 class StreamFollowerTest {
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final Deque<CompletableFuture<ReadResult>> asked = new ArrayDeque<>();
+    private final Deque<CompletableFuture<ReadResult>> pendingReads = new ArrayDeque<>();
     private final List<String> calls = new ArrayList<>();
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final StreamFollower follower = new StreamFollower(
             new KeyedStream() {
                 @Override
                 public CompletionStage<ReadResult> newest(Optional<String> afterKey) {
-                    return ask("newest " + afterKey.orElse(""));
+                    return startRead("newest " + afterKey.orElse(""));
                 }
 
                 @Override
                 public CompletionStage<ReadResult> read(long fromOffset, long _waitMillis) {
-                    return ask("read " + fromOffset);
+                    return startRead("read " + fromOffset);
                 }
             },
             new FollowPolicy(1_000, 100, 50, 400),
@@ -39,15 +39,15 @@
             time,
             RandomSource.XO_RO_SHI_RO_128_PP.create(3));
 
-    private CompletionStage<ReadResult> ask(String call) {
+    private CompletionStage<ReadResult> startRead(String call) {
         calls.add(call);
         CompletableFuture<ReadResult> reply = new CompletableFuture<>();
-        asked.add(reply);
+        pendingReads.add(reply);
         return reply;
     }
 
     private void reply(ReadResult result) {
-        asked.remove().complete(result);
+        pendingReads.remove().complete(result);
     }
 
     private static KeyedRecord record(String key, long offset) {
@@ -56,17 +56,17 @@
 
     /** Guards against losing a record that is written between two pages of a snapshot read. */
     @Test
-    void aChangeBetweenTwoPagesIsReadAsARecord() {
+    void changeBetweenPagesIsReadAsRecord() {
         follower.start();
         reply(new ReadResult.Page(List.of(record("a", 3)), true, 5));
         reply(new ReadResult.Page(List.of(record("b", 4)), false, 7));
 
         assertEquals(List.of("newest ", "newest a", "read 5"), calls);
-        assertEquals(List.of("a@3", "b@4", "whole [a, b] to 5"), heard);
+        assertEquals(List.of("a@3", "b@4", "snapshot [a, b] to 5"), events);
     }
 
     @Test
-    void batchesFollowEachOtherAfterAPause() {
+    void readsNextBatchAfterPause() {
         follower.start();
         reply(new ReadResult.Page(List.of(), false, 2));
         reply(new ReadResult.Batch(List.of(record("a", 2), record("a", 3)), 4));
@@ -75,26 +75,26 @@
         time.advanceMillis(100);
 
         assertEquals("read 4", calls.get(calls.size() - 1));
-        assertEquals(List.of("whole [] to 2", "a@2", "a@3"), heard);
+        assertEquals(List.of("snapshot [] to 2", "a@2", "a@3"), events);
     }
 
     /** Guards against treating keys as deleted after records expired and before a new snapshot is complete. */
     @Test
-    void lostHistoryLeadsToAFullReading() {
+    void expiredRecordsLeadToNewSnapshot() {
         follower.start();
         reply(new ReadResult.Page(List.of(record("a", 1)), false, 2));
         reply(new ReadResult.Expired());
         reply(new ReadResult.Page(List.of(record("b", 8)), false, 9));
 
         assertEquals(List.of("newest ", "read 2", "newest ", "read 9"), calls);
-        assertEquals(List.of("a@1", "whole [a] to 2", "b@8", "whole [b] to 9"), heard);
+        assertEquals(List.of("a@1", "snapshot [a] to 2", "b@8", "snapshot [b] to 9"), events);
     }
 
     /**
      * Guards against repeated disconnect events, and against losing the read position, during an outage of the store.
      */
     @Test
-    void throughAnOutageItAsksAgainFromWhereItWas() {
+    void resumesAtSameOffsetAfterOutage() {
         follower.start();
         reply(new ReadResult.Page(List.of(), false, 2));
         for (int i = 0; i < 6; i++) {
@@ -103,13 +103,13 @@
         }
         reply(new ReadResult.Batch(List.of(record("a", 2)), 3));
 
-        assertEquals(List.of("whole [] to 2", "lost", "regained", "a@2"), heard);
+        assertEquals(List.of("snapshot [] to 2", "disconnected", "reconnected", "a@2"), events);
         assertEquals(Set.of("newest ", "read 2"), new TreeSet<>(calls));
     }
 
     /** Guards against restarting the snapshot read from the beginning when one page fails. */
     @Test
-    void aPageThatFailsIsAskedForAgain() {
+    void failedPageIsReadAgain() {
         follower.start();
         reply(new ReadResult.Page(List.of(record("a", 3)), true, 5));
         reply(new ReadResult.Unavailable("reset"));
@@ -120,35 +120,35 @@
     }
 
     @Test
-    void afterStopNothingIsAsked() {
+    void readsNothingAfterStop() {
         follower.start();
         follower.stop();
         reply(new ReadResult.Page(List.of(record("a", 3)), false, 5));
         time.advanceMillis(10_000);
 
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), events);
         assertEquals(1, calls.size());
     }
 
     private final class Listener implements FollowListener {
         @Override
         public void record(KeyedRecord record) {
-            heard.add(record.key() + "@" + record.offset());
+            events.add(record.key() + "@" + record.offset());
         }
 
         @Override
         public void readWhole(Set<String> keys, long endOffset) {
-            heard.add("whole " + new TreeSet<>(keys) + " to " + endOffset);
+            events.add("snapshot " + new TreeSet<>(keys) + " to " + endOffset);
         }
 
         @Override
         public void regained() {
-            heard.add("regained");
+            events.add("reconnected");
         }
 
         @Override
         public void lost(String _reason) {
-            heard.add("lost");
+            events.add("disconnected");
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
@@ -12,11 +12,11 @@
 class ClockOffsetsTest {
 
     /** How far the relay's monotonic clock is ahead of the own one. */
-    private static final long APART_MILLIS = 7_777_777;
+    private static final long RELAY_CLOCK_AHEAD_MILLIS = 7_777_777;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final ClockOffsets own = new ClockOffsets(time);
-    private final ClockOffsets relays = new ClockOffsets(time);
+    private final ClockOffsets ownOffsets = new ClockOffsets(time);
+    private final ClockOffsets relayOffsets = new ClockOffsets(time);
     private long suspendedMillis;
 
     private static PeerMessage message(String sender, long startedMillis, long clockMillis) {
@@ -24,90 +24,91 @@
                 PeerMessage.VERSION, sender, startedMillis, 1, 0, clockMillis, Optional.empty(), false, List.of());
     }
 
-    private PeerMessage ofRelay(long startedMillis) {
-        return message("relay", startedMillis, time.monotonicMillis() + APART_MILLIS - suspendedMillis);
+    private PeerMessage relayMessage(long startedMillis) {
+        return message("relay", startedMillis, time.monotonicMillis() + RELAY_CLOCK_AHEAD_MILLIS - suspendedMillis);
     }
 
     /** Delivers a message of this instance to the relay after a transit time. */
-    private void relayHears(long wayMillis) {
+    private void deliverToRelay(long transitMillis) {
         long writtenMillis = time.monotonicMillis();
-        time.advanceMillis(wayMillis);
-        relays.onMessage(message("own", 1, writtenMillis - APART_MILLIS));
+        time.advanceMillis(transitMillis);
+        relayOffsets.onMessage(message("own", 1, writtenMillis - RELAY_CLOCK_AHEAD_MILLIS));
     }
 
-    private void relayTells(long startedMillis) {
-        own.onReportedOffset(
+    private void reportOffset(long startedMillis) {
+        ownOffsets.onReportedOffset(
                 "relay",
                 startedMillis,
-                Optional.ofNullable(relays.offsetsMillis().get("own")));
+                Optional.ofNullable(relayOffsets.offsetsMillis().get("own")));
     }
 
-    private long wayMillis(PeerMessage message) {
-        return own.transitMillis(message).orElseThrow();
+    private long transitMillis(PeerMessage message) {
+        return ownOffsets.transitMillis(message).orElseThrow();
     }
 
     @Test
-    void ofOneThatToldNothingNoWayIsKnown() {
-        assertEquals(OptionalLong.empty(), own.transitMillis(ofRelay(1)));
+    void transitTimeIsUnknownWithoutReportedOffset() {
+        assertEquals(OptionalLong.empty(), ownOffsets.transitMillis(relayMessage(1)));
     }
 
     @Test
-    void whatWaitedOnItsWayIsAsOldAsItIs() {
-        relayHears(2);
-        relayTells(1);
-        PeerMessage written = ofRelay(1);
+    void transitTimeIncludesDelay() {
+        deliverToRelay(2);
+        reportOffset(1);
+        PeerMessage written = relayMessage(1);
         time.advanceMillis(3_000);
 
-        assertEquals(3_002, wayMillis(written));
+        assertEquals(3_002, transitMillis(written));
     }
 
     /** Guards against a delayed message that passes for fresh because of a delay in either direction. */
     @Test
-    void noDelayMakesAMessageYounger() {
-        for (long wayThere : new long[] {0, 1, 200, 2_000}) {
-            relayHears(wayThere);
-            relayTells(1);
-            PeerMessage written = ofRelay(1);
+    void transitTimeIsNeverUnderestimated() {
+        for (long transitToRelayMillis : new long[] {0, 1, 200, 2_000}) {
+            deliverToRelay(transitToRelayMillis);
+            reportOffset(1);
+            PeerMessage written = relayMessage(1);
             time.advanceMillis(700);
 
-            assertTrue(wayMillis(written) >= 700, "after a way there of " + wayThere);
+            assertTrue(transitMillis(written) >= 700, "with a transit time to the relay of " + transitToRelayMillis);
             time.advanceMillis(5_000);
         }
     }
 
     @Test
-    void aSuspensionOfTheRelayMakesItsMessagesOlder() {
-        relayHears(1);
-        relayTells(1);
+    void suspendedRelayMakesMessagesOlder() {
+        deliverToRelay(1);
+        reportOffset(1);
         suspendedMillis = 5_000;
 
-        assertTrue(wayMillis(ofRelay(1)) >= 5_000);
+        assertTrue(transitMillis(relayMessage(1)) >= 5_000);
     }
 
     @Test
-    void whatWasToldByAnEarlierStartSaysNothingOfTheLater() {
-        relayHears(1);
-        relayTells(1);
+    void offsetFromEarlierIncarnationIsIgnored() {
+        deliverToRelay(1);
+        reportOffset(1);
 
-        assertEquals(OptionalLong.empty(), own.transitMillis(ofRelay(2)));
+        assertEquals(OptionalLong.empty(), ownOffsets.transitMillis(relayMessage(2)));
     }
 
     @Test
-    void anOldDifferenceIsForgottenWhereNewOnesAreSmaller() {
-        relayHears(1);
+    void expiredOffsetIsReplacedBySmallerOne() {
+        deliverToRelay(1);
         time.advanceMillis(1_600);
-        relayHears(400);
+        deliverToRelay(400);
         time.advanceMillis(1_600);
-        relayHears(400);
+        deliverToRelay(400);
 
-        assertEquals(-APART_MILLIS - 400, relays.offsetsMillis().get("own"));
+        assertEquals(
+                -RELAY_CLOCK_AHEAD_MILLIS - 400, relayOffsets.offsetsMillis().get("own"));
     }
 
     /** Guards against stale messages that look fresh after a restart, because of an offset to the earlier clock. */
     @Test
-    void aWordFromTheFutureProvesNothing() {
-        own.onReportedOffset("relay", 1, Optional.of(3_600_000L - APART_MILLIS));
+    void transitTimeIsUnknownForMessageFromTheFuture() {
+        ownOffsets.onReportedOffset("relay", 1, Optional.of(3_600_000L - RELAY_CLOCK_AHEAD_MILLIS));
 
-        assertEquals(OptionalLong.empty(), own.transitMillis(ofRelay(1)));
+        assertEquals(OptionalLong.empty(), ownOffsets.transitMillis(relayMessage(1)));
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/MemberListTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/MemberListTest.java
@@ -21,14 +21,14 @@
     private static final long RENEW_MILLIS = 15_000;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final Written written = new Written();
-    private final MemberList members = new MemberList("i0", written, time, RENEW_MILLIS);
+    private final FakeWriter writer = new FakeWriter();
+    private final MemberList members = new MemberList("i0", writer, time, RENEW_MILLIS);
     private long nextOffset;
 
-    private void hear(String name) {
-        MemberList other = new MemberList(name, written, time, RENEW_MILLIS);
+    private void announce(String name) {
+        MemberList other = new MemberList(name, writer, time, RENEW_MILLIS);
         other.start(new PeerMember(name, "10.0.0.1", 7_000, "dc"));
-        members.record(new KeyedRecord(name, nextOffset++, written.last));
+        members.record(new KeyedRecord(name, nextOffset++, writer.lastValue));
     }
 
     private List<String> names() {
@@ -36,10 +36,10 @@
     }
 
     @Test
-    void membersAreBelievedForThreeIntervals() {
-        hear("i1");
+    void membersExpireAfterThreeIntervals() {
+        announce("i1");
         time.advanceMillis(2 * RENEW_MILLIS);
-        hear("i2");
+        announce("i2");
 
         assertEquals(List.of("i1", "i2"), names());
         time.advanceMillis(RENEW_MILLIS + 1);
@@ -47,39 +47,37 @@
     }
 
     @Test
-    void aMemberThatLeavesIsForgotten() {
-        hear("i1");
+    void leavingMemberIsRemoved() {
+        announce("i1");
         members.record(new KeyedRecord("i1", nextOffset++, Optional.empty()));
 
         assertEquals(List.of(), names());
     }
 
     @Test
-    void whatCannotBeReadIsNoMember() {
-        Bytes strange = Bytes.of("?".getBytes(StandardCharsets.UTF_8));
-        members.record(new KeyedRecord("i1", nextOffset++, Optional.of(strange)));
+    void malformedRecordIsIgnored() {
+        Bytes malformed = Bytes.of("?".getBytes(StandardCharsets.UTF_8));
+        members.record(new KeyedRecord("i1", nextOffset++, Optional.of(malformed)));
 
         assertEquals(List.of(), names());
     }
 
     /** Guards against taking a part of a shared limit before the other instances are known. */
     @Test
-    void beforeTheFirstReadingTheCountIsUnknown() {
-        hear("i1");
+    void countIsUnknownBeforeFirstSnapshot() {
+        announce("i1");
 
         assertEquals(OptionalInt.empty(), members.mostSeenCount());
         members.readWhole(Set.of("i1"), 1);
         assertEquals(OptionalInt.of(2), members.mostSeenCount());
     }
 
-    /**
-     * Guards against an instance that takes the whole retry budget because the others expired during a store outage.
-     */
+    /** Guards against each of 58 instances taking the whole slack of the retry budget after a store outage. */
     @Test
-    void anOutageOfTheStoreDoesNotMakeAnInstanceTheOnlyOne() {
+    void maxCountSurvivesStoreOutage() {
         Set<String> keys = new HashSet<>();
         for (int i = 1; i < 58; i++) {
-            hear("i" + i);
+            announce("i" + i);
             keys.add("i" + i);
         }
         members.readWhole(keys, nextOffset);
@@ -87,7 +85,7 @@
         time.advanceMillis(60_000);
 
         assertEquals(List.of(), names());
-        hear("i1");
+        announce("i1");
         assertEquals(OptionalInt.of(58), members.mostSeenCount());
     }
 
@@ -96,69 +94,69 @@
      * outage.
      */
     @Test
-    void throughAnOutageOfTheStoreTheSameInstancesAreCountedOn() {
-        begin("i1", "i2");
+    void assignmentMembersSurviveStoreOutage() {
+        startWith("i1", "i2");
 
-        written.taken = false;
+        writer.accepts = false;
         members.lost("timeout");
         time.advanceMillis(29_999 - RENEW_MILLIS);
         assertEquals(Optional.of(Set.of("i0", "i1", "i2")), members.countedOn());
         time.advanceMillis(45_000);
-        assertEquals(Optional.empty(), members.countedOn(), "the others have ceased to count on it");
+        assertEquals(Optional.empty(), members.countedOn(), "the other instances have expired this one");
 
-        written.taken = true;
+        writer.accepts = true;
         members.regained();
         time.advanceMillis(RENEW_MILLIS);
         assertEquals(Optional.of(Set.of("i0", "i1", "i2")), members.countedOn());
     }
 
     @Test
-    void whoIsNotRenewedWhileTheStoreIsThereIsCountedOnNoMore() {
-        begin("i1", "i2");
+    void expiredMemberIsExcludedWhileStoreIsAvailable() {
+        startWith("i1", "i2");
         for (int i = 0; i < 4; i++) {
             time.advanceMillis(RENEW_MILLIS);
-            hear("i1");
+            announce("i1");
         }
 
         assertEquals(Optional.of(Set.of("i0", "i1")), members.countedOn());
     }
 
     @Test
-    void whoLeavesCountsOnNobody() {
-        begin("i1");
+    void noAssignmentMembersAfterLeaving() {
+        startWith("i1");
         members.leave();
 
         assertEquals(Optional.empty(), members.countedOn());
     }
 
     @Test
-    void beforeItsOwnRecordIsTakenAnInstanceCountsOnNobody() {
-        written.taken = false;
-        begin("i1");
+    void noAssignmentMembersBeforeOwnRecordIsStored() {
+        writer.accepts = false;
+        startWith("i1");
         assertEquals(Optional.empty(), members.countedOn());
 
-        written.taken = true;
+        writer.accepts = true;
         time.advanceMillis(RENEW_MILLIS);
         assertEquals(Optional.of(Set.of("i0", "i1")), members.countedOn());
     }
 
-    private void begin(String... others) {
+    private void startWith(String... others) {
         for (String other : others) {
-            hear(other);
+            announce(other);
         }
         members.readWhole(Set.of(others), nextOffset);
         members.start(new PeerMember("i0", "10.0.0.1", 7_000, "dc"));
     }
 
-    private static final class Written implements KeyedWriter {
+    private static final class FakeWriter implements KeyedWriter {
 
-        private Optional<Bytes> last = Optional.empty();
-        private boolean taken = true;
+        private Optional<Bytes> lastValue = Optional.empty();
+        private boolean accepts = true;
 
         @Override
         public CompletionStage<Boolean> put(String _key, Optional<Bytes> value) {
-            last = value;
-            return CompletableFuture.completedFuture(taken);
+            lastValue = value;
+            return CompletableFuture.completedFuture(accepts);
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/NettyPeerTransportTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/NettyPeerTransportTest.java
@@ -31,7 +31,7 @@
 
     /** Guards against losing the connection to a member for good after it refused one message. */
     @Test
-    void carriesMessagesAndOpensAnewAfterARefusal() throws InterruptedException {
+    void deliversMessagesAndReconnectsAfterRefusal() throws InterruptedException {
         int port = transport.listen("127.0.0.1", 0, message -> {
             received.add(message);
             return message.length() != 1;
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void sendsNothingThatIsTooLarge() throws InterruptedException {
+    void doesNotSendOversizedMessage() throws InterruptedException {
         int port = transport.listen("127.0.0.1", 0, received::add);
         transport.send(new PeerMember("entry", "127.0.0.1", port, "kakkanad"), Bytes.of(new byte[MAX_BYTES + 1]));
         assertNull(received.poll(50, TimeUnit.MILLISECONDS));
--- a/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
@@ -23,72 +23,72 @@
     private final List<Bytes> sent = new ArrayList<>();
 
     @Test
-    void newsReachesEveryMemberOnceWithinSeconds() {
+    void updateReachesEachMemberOnceWithinSeconds() {
         startAll();
-        int[] heard = new int[MEMBERS];
+        int[] receivedCounts = new int[MEMBERS];
         for (int i = 0; i < MEMBERS; i++) {
             int member = i;
-            exchanges.get(i).subscribe(PeerTopic.QUARANTINE, _item -> heard[member]++);
+            exchanges.get(i).subscribe(PeerTopic.QUARANTINE, _item -> receivedCounts[member]++);
         }
         exchanges.get(0).publish(PeerTopic.QUARANTINE, "key", Bytes.ofUtf8("payload"), 60_000);
         time.advanceMillis(5_000);
         for (int i = 1; i < MEMBERS; i++) {
-            assertEquals(1, heard[i], "member " + i);
+            assertEquals(1, receivedCounts[i], "member " + i);
         }
     }
 
     @Test
-    void ageAddsUpOnTheWayAndOldNewsExpires() {
+    void ageAccumulatesAndOldEntriesExpire() {
         startAll();
-        List<PeerItem> heard = new ArrayList<>();
-        exchanges.get(1).subscribe(PeerTopic.LEAVING, heard::add);
+        List<PeerItem> received = new ArrayList<>();
+        exchanges.get(1).subscribe(PeerTopic.LEAVING, received::add);
         exchanges.get(0).publish(PeerTopic.LEAVING, "engine", Bytes.EMPTY, 30_000);
         time.advanceMillis(10_000);
-        assertTrue(heard.get(0).ageMillis() > 0 && heard.get(0).ageMillis() < 10_000);
-        int before = exchanges.get(1).items();
+        assertTrue(received.get(0).ageMillis() > 0 && received.get(0).ageMillis() < 10_000);
+        int countBefore = exchanges.get(1).items();
         time.advanceMillis(30_000);
-        assertEquals(before - 1, exchanges.get(1).items());
+        assertEquals(countBefore - 1, exchanges.get(1).items());
     }
 
     /** Guards against an instance that starts during a log outage and gets no catalogue from the other instances. */
     @Test
-    void aNewcomerHearsTheCatalogue() {
+    void startingInstanceReceivesCatalogue() {
         startAll();
         exchanges.forEach(each -> each.publish(PeerTopic.CATALOGUE, "catalogue", Bytes.ofUtf8("c"), 3_600_000));
         time.advanceMillis(10_000);
-        PeerExchange newcomer = start(MEMBERS);
-        List<PeerItem> heard = new ArrayList<>();
-        newcomer.subscribe(PeerTopic.CATALOGUE, heard::add);
+        PeerExchange startingInstance = start(MEMBERS);
+        List<PeerItem> received = new ArrayList<>();
+        startingInstance.subscribe(PeerTopic.CATALOGUE, received::add);
         time.advanceMillis(2_000);
-        assertFalse(heard.isEmpty());
+        assertFalse(received.isEmpty());
     }
 
     @Test
-    void knowsWhoIsAlive() {
+    void isAliveUntilHeartbeatExpires() {
         startAll();
         time.advanceMillis(5_000);
-        String writer = exchanges.get(1).writer();
-        assertTrue(exchanges.get(0).isAlive(writer));
+        String incarnationId = exchanges.get(1).writer();
+        assertTrue(exchanges.get(0).isAlive(incarnationId));
         exchanges.get(1).stop();
         time.advanceMillis(10_000);
-        assertFalse(exchanges.get(0).isAlive(writer));
+        assertFalse(exchanges.get(0).isAlive(incarnationId));
     }
 
     /**
      * Each invalid message is refused for its own reason: unauthenticated, corrupted, oversized, replayed or malformed.
      */
     @Test
-    void refusesWhatIsNotRight() {
+    void refusesInvalidMessages() {
         startAll();
         time.advanceMillis(1_000);
         PeerExchange receiver = exchanges.get(0);
-        Bytes good = new PeerCodec("secret", 1_048_576)
+        Bytes valid = new PeerCodec("secret", 1_048_576)
                 .encode(new PeerMessage(
                         PeerMessage.VERSION, "x", 1, 1, time.wallMillis(), 0, Optional.empty(), false, List.of()));
-        assertTrue(receiver.receive(good));
+        assertTrue(receiver.receive(valid));
         refusals.clear();
-        assertFalse(receiver.receive(good));
-        byte[] damaged = good.toByteArray();
+        assertFalse(receiver.receive(valid));
+        byte[] damaged = valid.toByteArray();
         damaged[damaged.length - 1] ^= 1;
         receiver.receive(Bytes.of(damaged));
         receiver.receive(Bytes.ofUtf8("short"));
@@ -115,10 +115,10 @@
 
     /** Guards against traffic above the budget, and against urgent entries that wait behind load figures. */
     @Test
-    void staysWithinItsBudget() {
+    void staysWithinBudget() {
         startAll();
-        List<PeerItem> urgent = new ArrayList<>();
-        exchanges.get(MEMBERS - 1).subscribe(PeerTopic.QUARANTINE, urgent::add);
+        List<PeerItem> urgentUpdates = new ArrayList<>();
+        exchanges.get(MEMBERS - 1).subscribe(PeerTopic.QUARANTINE, urgentUpdates::add);
         sent.clear();
         for (int second = 0; second < 20; second++) {
             for (int i = 0; i < 50; i++) {
@@ -132,7 +132,7 @@
         long sentBytes = sent.stream().mapToLong(Bytes::length).sum();
         long budgetBytes = 20L * MEMBERS * 3_400;
         assertTrue(sentBytes < budgetBytes * 1.2, sentBytes + " bytes");
-        assertEquals(1, urgent.size());
+        assertEquals(1, urgentUpdates.size());
     }
 
     private void startAll() {
--- a/src/test/java/org/dogwoodwinch/peer/PeerOutboxStarvationTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/PeerOutboxStarvationTest.java
@@ -13,9 +13,9 @@
     /** A fifth of a link of 7 Mbit/s. */
     private static final int BYTES_PER_SECOND = 175_000;
 
-    private static final int RECEIVERS = 22;
+    private static final int RECIPIENTS = 22;
     private static final int LOADS_BYTES = 2_300;
-    private static final int PARTS_BYTES = 200;
+    private static final int CACHE_HINT_BYTES = 200;
     private static final int ROUNDS = 40;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
@@ -27,39 +27,39 @@
 
     /** Guards against load figures that are never sent because small cache hints use up the budget. */
     @Test
-    void wordsThatMayWaitDoNotKeepLoadsWaitingForever() {
+    void cacheHintsDoNotStarveLoads() {
         PeerOutbox outbox = new PeerOutbox(time, BYTES_PER_SECOND, _topic -> {});
         List<String> sent = new ArrayList<>();
         for (int round = 0; round < ROUNDS; round++) {
             for (int i = 0; i < 10; i++) {
-                outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.KEPT_PARTS, PARTS_BYTES));
+                outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.KEPT_PARTS, CACHE_HINT_BYTES));
             }
             outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.FLEET_LOAD, LOADS_BYTES));
-            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_DATA_CENTRE, RECEIVERS);
+            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_DATA_CENTRE, RECIPIENTS);
             taken.forEach(entry -> sent.add(entry.topic()));
-            outbox.onSent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECEIVERS);
+            outbox.onSent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECIPIENTS);
             time.advanceMillis(150);
         }
 
         long loads = sent.stream().filter(PeerTopic.FLEET_LOAD.name()::equals).count();
-        assertTrue(loads >= ROUNDS / 8, loads + " words of loads and " + (sent.size() - loads) + " of parts in 6 s");
+        assertTrue(loads >= ROUNDS / 8, loads + " load entries and " + (sent.size() - loads) + " cache hints in 6 s");
     }
 
     /** Guards against state transfers that are never sent because cache hints use up the budget. */
     @Test
-    void wordsThatMayWaitLeaveRoomForNewcomers() {
+    void cacheHintsDoNotStarveStateTransfers() {
         PeerOutbox outbox = new PeerOutbox(time, BYTES_PER_SECOND, _topic -> {});
-        boolean paid = false;
+        boolean transferSent = false;
         for (int round = 0; round < ROUNDS; round++) {
             for (int i = 0; i < 10; i++) {
-                outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.KEPT_PARTS, PARTS_BYTES));
+                outbox.add(PeerOutbox.Audience.OWN_DATA_CENTRE, entry(PeerTopic.KEPT_PARTS, CACHE_HINT_BYTES));
             }
-            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_DATA_CENTRE, RECEIVERS);
-            outbox.onSent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECEIVERS);
-            paid |= outbox.hasBudgetFor(40_000);
+            List<PeerEntry> taken = outbox.take(PeerOutbox.Audience.OWN_DATA_CENTRE, RECIPIENTS);
+            outbox.onSent(taken.stream().mapToLong(PeerCodec::sizeOf).sum() * RECIPIENTS);
+            transferSent |= outbox.hasBudgetFor(40_000);
             time.advanceMillis(150);
         }
 
-        assertTrue(paid);
+        assertTrue(transferSent);
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
@@ -9,21 +9,21 @@
 
 class SuccessionOrderTest {
 
-    private static final String CENTRE = "dc";
+    private static final String DATA_CENTRE = "dc";
 
-    private static List<PeerMember> centre(int narrowCount, int wideCount) {
+    private static List<PeerMember> membersWithLinks(int narrowCount, int wideCount) {
         List<PeerMember> members = new ArrayList<>();
         for (int i = 0; i < narrowCount; i++) {
-            members.add(new PeerMember("narrow-" + i, "10.0.0.1", 1, CENTRE, 7));
+            members.add(new PeerMember("narrow-" + i, "10.0.0.1", 1, DATA_CENTRE, 7));
         }
         for (int i = 0; i < wideCount; i++) {
-            members.add(new PeerMember("wide-" + i, "10.0.0.1", 1, CENTRE, 140));
+            members.add(new PeerMember("wide-" + i, "10.0.0.1", 1, DATA_CENTRE, 140));
         }
         return members;
     }
 
-    private static SuccessionOrder of(PeerMember own, List<PeerMember> all) {
-        SuccessionOrder succession = new SuccessionOrder(CENTRE, own.name(), own.linkMbps());
+    private static SuccessionOrder orderSeenBy(PeerMember own, List<PeerMember> all) {
+        SuccessionOrder succession = new SuccessionOrder(DATA_CENTRE, own.name(), own.linkMbps());
         succession.updateLinks(all.stream().filter(other -> !other.equals(own)).toList());
         return succession;
     }
@@ -33,28 +33,32 @@
      * the bandwidth.
      */
     @Test
-    void noNarrowLinkRelaysWhileThereIsAWideOne() {
+    void narrowLinkIsNotFirstWhileWideLinkExists() {
         for (int wideCount = 1; wideCount <= 3; wideCount++) {
-            List<PeerMember> all = centre(20, wideCount);
-            PeerMember first = of(all.get(0), all).first(CENTRE, all).orElseThrow();
+            List<PeerMember> all = membersWithLinks(20, wideCount);
+            PeerMember first =
+                    orderSeenBy(all.get(0), all).first(DATA_CENTRE, all).orElseThrow();
 
             assertEquals(140, first.linkMbps());
-            assertEquals(0, of(first, all).ownRank(all));
+            assertEquals(0, orderSeenBy(first, all).ownRank(all));
             for (PeerMember each : all) {
-                assertEquals(first, of(each, all).first(CENTRE, all).orElseThrow(), "seen by " + each.name());
-                assertTrue(each.equals(first) || of(each, all).isPredecessor(first.name()), "seen by " + each.name());
+                assertEquals(
+                        first, orderSeenBy(each, all).first(DATA_CENTRE, all).orElseThrow(), "seen by " + each.name());
+                assertTrue(
+                        each.equals(first) || orderSeenBy(each, all).isPredecessor(first.name()),
+                        "seen by " + each.name());
             }
         }
     }
 
     @Test
-    void eachHasAPlaceOfItsOwn() {
-        List<PeerMember> all = centre(6, 2);
+    void ranksAreUnique() {
+        List<PeerMember> all = membersWithLinks(6, 2);
 
         assertEquals(
                 List.of(0, 1, 2, 3, 4, 5, 6, 7),
                 all.stream()
-                        .map(each -> of(each, all)
+                        .map(each -> orderSeenBy(each, all)
                                 .ownRank(all.stream()
                                         .filter(other -> !other.equals(each))
                                         .toList()))
@@ -63,9 +67,9 @@
     }
 
     @Test
-    void oneThatAnnouncedNothingStandsLast() {
-        List<PeerMember> all = centre(3, 0);
+    void unknownInstanceComesLast() {
+        List<PeerMember> all = membersWithLinks(3, 0);
 
-        assertTrue(all.stream().noneMatch(each -> of(each, all).isPredecessor("stranger")));
+        assertTrue(all.stream().noneMatch(each -> orderSeenBy(each, all).isPredecessor("unknown")));
     }
 }
--- a/src/test/java/org/dogwoodwinch/peer/TaskAssignmentTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/TaskAssignmentTest.java
@@ -10,36 +10,36 @@
 
     private static final List<String> NAMES = List.of("i1", "i2", "i3", "i4");
 
-    private static long takers(String duty, Set<String> alive) {
+    private static long countAssignees(String task, Set<String> alive) {
         return NAMES.stream()
                 .filter(alive::contains)
                 .filter(name -> {
-                    TaskAssignment duties = new TaskAssignment(new SuccessionOrder("dc", name, 0));
-                    duties.updateMembers(alive);
-                    return duties.isAssignedToSelf(duty);
+                    TaskAssignment assignment = new TaskAssignment(new SuccessionOrder("dc", name, 0));
+                    assignment.updateMembers(alive);
+                    return assignment.isAssignedToSelf(task);
                 })
                 .count();
     }
 
     /** Guards against a task that no instance or several instances consider theirs. */
     @Test
-    void eachDutyFallsToOne() {
+    void eachTaskIsAssignedToOneInstance() {
         for (int i = 0; i < 50; i++) {
-            assertEquals(1, takers("engine-" + i, Set.of("i1", "i2", "i3", "i4")));
-            assertEquals(1, takers("engine-" + i, Set.of("i2", "i4")));
+            assertEquals(1, countAssignees("engine-" + i, Set.of("i1", "i2", "i3", "i4")));
+            assertEquals(1, countAssignees("engine-" + i, Set.of("i2", "i4")));
         }
     }
 
-    /** Guards against cached assignments that keep the tasks of a failed instance from being taken over. */
+    /** Guards against stale cached assignments, with which no instance would query the targets of a failed one. */
     @Test
-    void aDutyOfOneThatDiedIsTakenOver() {
-        TaskAssignment duties = new TaskAssignment(new SuccessionOrder("dc", "i1", 0));
-        duties.updateMembers(Set.of("i1", "i2"));
-        String others = List.of("a", "b", "c", "d", "e", "f").stream()
-                .filter(duty -> !duties.isAssignedToSelf(duty))
+    void taskOfFailedInstanceIsTakenOver() {
+        TaskAssignment assignment = new TaskAssignment(new SuccessionOrder("dc", "i1", 0));
+        assignment.updateMembers(Set.of("i1", "i2"));
+        String otherTask = List.of("a", "b", "c", "d", "e", "f").stream()
+                .filter(task -> !assignment.isAssignedToSelf(task))
                 .findFirst()
                 .orElseThrow();
-        duties.updateMembers(Set.of("i1"));
-        assertEquals(true, duties.isAssignedToSelf(others));
+        assignment.updateMembers(Set.of("i1"));
+        assertEquals(true, assignment.isAssignedToSelf(otherTask));
     }
 }
