--- a/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
@@ -50,7 +50,7 @@
     private static final int MAX_BACKLOG_RECORDS = 256;
 
     /** The number of updates that a reader publishes within the maximum update age when there are no changes. */
-    private static final int HEARTBEATS_PER_STALENESS_BOUND = 2;
+    private static final int HEARTBEATS_PER_MAX_AGE = 2;
 
     private final String name;
     private final KeyedStream platform;
@@ -329,7 +329,7 @@
             unpublishedFromOffset = fromOffset;
         }
         boolean isHeartbeatDue = lastPublishMillis == Long.MIN_VALUE
-                || time.monotonicMillis() - lastPublishMillis >= policy.freshMillis() / HEARTBEATS_PER_STALENESS_BOUND;
+                || time.monotonicMillis() - lastPublishMillis >= policy.freshMillis() / HEARTBEATS_PER_MAX_AGE;
         if (!changed && !isHeartbeatDue) {
             return;
         }
--- a/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
@@ -90,9 +90,7 @@
         assertEquals(List.of("a@1", "snapshot [a] to 2", "b@8", "snapshot [b] to 9"), events);
     }
 
-    /**
-     * Guards against repeated disconnect events, and against losing the read position, during an outage of the store.
-     */
+    /** Guards against repeated disconnect events and a lost read position during an outage of the store. */
     @Test
     void resumesAtSameOffsetAfterOutage() {
         follower.start();
--- a/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
@@ -74,9 +74,7 @@
         assertFalse(exchanges.get(0).isAlive(incarnationId));
     }
 
-    /**
-     * Each invalid message is refused for its own reason: unauthenticated, corrupted, oversized, replayed or malformed.
-     */
+    /** Each invalid message is refused for its own reason: unauthenticated, corrupt, oversized, replayed, malformed. */
     @Test
     void refusesInvalidMessages() {
         startAll();
--- a/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/SuccessionOrderTest.java
@@ -28,10 +28,7 @@
         return succession;
     }
 
-    /**
-     * Guards against a relay on a narrow link, whose own calls wait, while others of its data centre have twenty times
-     * the bandwidth.
-     */
+    /** Guards against a relay on a narrow link, which delays its calls, while others have 20 times the bandwidth. */
     @Test
     void narrowLinkIsNotFirstWhileWideLinkExists() {
         for (int wideCount = 1; wideCount <= 3; wideCount++) {
