--- a/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
@@ -17,10 +17,10 @@
      * Called when an entry was put into a message.
      *
      * @param topic the entry's topic, not null
-     * @param entryBytes its approximate encoded size, in bytes
-     * @param recipientCount the number of instances that the message goes to
+     * @param wordBytes its approximate encoded size, in bytes
+     * @param receiversCount the number of instances that the message goes to
      */
-    default void onTold(PeerTopic topic, int entryBytes, int recipientCount) {}
+    default void onTold(PeerTopic topic, int wordBytes, int receiversCount) {}
 
     /**
      * Called when a queued entry was dropped before it was sent, because other entries used up the bandwidth budget.
--- a/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/ClockOffsetsTest.java
@@ -15,8 +15,8 @@
     private static final long RELAY_CLOCK_AHEAD_MILLIS = 7_777_777;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final ClockOffsets ownOffsets = new ClockOffsets(time);
-    private final ClockOffsets relayOffsets = new ClockOffsets(time);
+    private final ClockOffsets own = new ClockOffsets(time);
+    private final ClockOffsets relay = new ClockOffsets(time);
     private long suspendedMillis;
 
     private static PeerMessage message(String sender, long startedMillis, long clockMillis) {
@@ -32,23 +32,23 @@
     private void deliverToRelay(long transitMillis) {
         long writtenMillis = time.monotonicMillis();
         time.advanceMillis(transitMillis);
-        relayOffsets.onMessage(message("own", 1, writtenMillis - RELAY_CLOCK_AHEAD_MILLIS));
+        relay.onMessage(message("own", 1, writtenMillis - RELAY_CLOCK_AHEAD_MILLIS));
     }
 
     private void reportOffset(long startedMillis) {
-        ownOffsets.onReportedOffset(
+        own.onReportedOffset(
                 "relay",
                 startedMillis,
-                Optional.ofNullable(relayOffsets.offsetsMillis().get("own")));
+                Optional.ofNullable(relay.offsetsMillis().get("own")));
     }
 
     private long transitMillis(PeerMessage message) {
-        return ownOffsets.transitMillis(message).orElseThrow();
+        return own.transitMillis(message).orElseThrow();
     }
 
     @Test
     void transitTimeIsUnknownWithoutReportedOffset() {
-        assertEquals(OptionalLong.empty(), ownOffsets.transitMillis(relayMessage(1)));
+        assertEquals(OptionalLong.empty(), own.transitMillis(relayMessage(1)));
     }
 
     @Test
@@ -89,7 +89,7 @@
         deliverToRelay(1);
         reportOffset(1);
 
-        assertEquals(OptionalLong.empty(), ownOffsets.transitMillis(relayMessage(2)));
+        assertEquals(OptionalLong.empty(), own.transitMillis(relayMessage(2)));
     }
 
     @Test
@@ -100,15 +100,14 @@
         time.advanceMillis(1_600);
         deliverToRelay(400);
 
-        assertEquals(
-                -RELAY_CLOCK_AHEAD_MILLIS - 400, relayOffsets.offsetsMillis().get("own"));
+        assertEquals(-RELAY_CLOCK_AHEAD_MILLIS - 400, relay.offsetsMillis().get("own"));
     }
 
     /** Guards against stale messages that look fresh after a restart, because of an offset to the earlier clock. */
     @Test
     void transitTimeIsUnknownForMessageFromTheFuture() {
-        ownOffsets.onReportedOffset("relay", 1, Optional.of(3_600_000L - RELAY_CLOCK_AHEAD_MILLIS));
+        own.onReportedOffset("relay", 1, Optional.of(3_600_000L - RELAY_CLOCK_AHEAD_MILLIS));
 
-        assertEquals(OptionalLong.empty(), ownOffsets.transitMillis(relayMessage(1)));
+        assertEquals(OptionalLong.empty(), own.transitMillis(relayMessage(1)));
     }
 }
