--- a/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
@@ -19,32 +19,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A keyed stream that one instance of a data centre reads and tells the others. Used on one thread alone.
+ * A keyed stream that one instance of a data centre reads from the platform and replicates to the others. Confined to
+ * one thread.
  *
- * <p>Failure: where each instance reads for itself, calls to the platform grow with the fleet until they cost more than
- * the traffic earns. Here an instance reads only while nobody before it in the order of succession says, of late, that it
- * does. A word stands for as long as the publisher's own contact with the platform is recent: a publisher that is cut off from
- * the platform, frozen, behind or gone holds nobody back longer than that, and the next ones take over one after the
- * other. Records carry their offsets, so two that both tell, or one that tells late, do no harm: what was read already is
- * passed over, and a gap is closed by a reading of one's own.
+ * <p>Failure: when each instance reads for itself, calls to the platform grow with the fleet until they cost more than
+ * the traffic earns. Here an instance reads only while no predecessor in the succession order has recently published an
+ * update as a reader. An update counts for as long as its publisher's own contact with the platform is recent: a
+ * publisher that is cut off from the platform, frozen, lagging or gone suppresses the reads of others no longer than
+ * that, after which the next instances take over one after the other. Records carry their offsets, so two concurrent
+ * readers, or one that publishes late, do no harm: records that were read already are skipped, and a gap is closed by a
+ * read from the platform.
  *
- * <p>Failure: an instance that starts while the platform turns it away knows nothing and refuses every call, though its
- * neighbours have all that it needs. What a neighbour knows whole stands for the first reading, whichever comes first.
- * Where all of a data centre is turned away, the word of another one's reader is used and passed on.
+ * <p>Failure: an instance that starts while the platform rejects its calls has no state and refuses every call,
+ * although other instances hold all the state that it needs. A snapshot from another instance therefore replaces the
+ * first snapshot read, whichever arrives first. When the platform rejects a whole data centre, updates of a reader in
+ * another data centre are used and forwarded.
  *
- * <p>Load: targets renew their entries every second or so, which says nothing new. Sent to each instance and taken apart
- * there, that was a third of what the messages of an idle fleet cost. The reader leaves such records out of its word, and
- * a word that has nothing else waits until the next is due as a sign of life.
+ * <p>Load: targets renew their entries about once a second, which changes nothing. Sending these records to each
+ * instance and decoding them there accounted for a third of the message cost of an idle fleet. The reader omits such
+ * records from its updates, and an update without other records is delayed until the next heartbeat is due.
  */
 public final class ReplicatedStream implements KeyedStream {
 
     private static final Logger log = LoggerFactory.getLogger(ReplicatedStream.class);
 
-    /** Records that are kept for followers that are a word behind; a storm of changes brings some tens a second. */
-    private static final int KEPT_RECORDS = 256;
+    /**
+     * The number of records kept for followers that are one update behind; a burst of changes produces some tens of
+     * records a second.
+     */
+    private static final int MAX_BACKLOG_RECORDS = 256;
 
-    /** A reader's sign of life where nothing is new: twice within the time that a word stands. */
-    private static final int SIGNS_WHILE_FRESH = 2;
+    /** The number of updates that a reader publishes within the maximum update age when there are no changes. */
+    private static final int HEARTBEATS_PER_MAX_AGE = 2;
 
     private final String name;
     private final KeyedStream platform;
@@ -52,32 +58,33 @@
     private final TimeSource time;
     private final IntSupplier ownRank;
     private final Publisher publisher;
-    private final RepeatedMeaning repeated;
-    private final Deque<KeyedRecord> kept = new ArrayDeque<>();
-    private final Map<String, KeyedRecord> consumed = new LinkedHashMap<>();
-    private long consumedEndOffset = -1;
-    private boolean consumedWhole;
-    private long keptFirstOffset = -1;
-    private long keptEndOffset = -1;
-    private long toldFreshUntilMillis = Long.MIN_VALUE;
-    private long contactAtMillis = Long.MIN_VALUE;
-    private long saidAtMillis = Long.MIN_VALUE;
-    private long unsaidFromOffset = -1;
-    private Optional<Waiting> waiting = Optional.empty();
-    private Optional<CompletableFuture<ReadResult>> wholeAsked = Optional.empty();
-    private Optional<StreamUpdate> toldWhole = Optional.empty();
-    private long toldWholeUntilMillis = Long.MIN_VALUE;
+    private final RedundantRecordTracker redundantRecords;
+    private final Deque<KeyedRecord> backlog = new ArrayDeque<>();
+    private final Map<String, KeyedRecord> delivered = new LinkedHashMap<>();
+    private long deliveredEndOffset = -1;
+    private boolean snapshotDelivered;
+    private long backlogFirstOffset = -1;
+    private long backlogEndOffset = -1;
+    private long otherReaderFreshUntilMillis = Long.MIN_VALUE;
+    private long lastContactMillis = Long.MIN_VALUE;
+    private long lastPublishMillis = Long.MIN_VALUE;
+    private long unpublishedFromOffset = -1;
+    private Optional<PendingRead> pendingRead = Optional.empty();
+    private Optional<CompletableFuture<ReadResult>> pendingSnapshotRead = Optional.empty();
+    private Optional<StreamUpdate> receivedSnapshot = Optional.empty();
+    private long receivedSnapshotUntilMillis = Long.MIN_VALUE;
 
     /**
      * Creates a stream.
      *
      * @param name the stream's name, not null
-     * @param platform reads it from the platform, not null
-     * @param policy the times, not null
+     * @param platform reads the stream from the platform, not null
+     * @param policy the time limits, not null
      * @param time the clock and timers, not null
-     * @param ownRank this instance's place in the order of succession of its data centre, zero is the first, not null
-     * @param publisher tells the others, not null
-     * @param meaning what a record says; two that say the same are equal, not null
+     * @param ownRank returns this instance's position in the succession order of its data centre, zero is the first,
+     *     not null
+     * @param publisher sends updates and snapshot requests to the other instances, not null
+     * @param stateFunction returns the state that a record conveys; records with equal states are redundant, not null
      */
     public ReplicatedStream(
             String name,
@@ -86,29 +93,30 @@
             TimeSource time,
             IntSupplier ownRank,
             Publisher publisher,
-            Function<KeyedRecord, Object> meaning) {
+            Function<KeyedRecord, Object> stateFunction) {
         this.name = Objects.requireNonNull(name, "name");
         this.platform = Objects.requireNonNull(platform, "platform");
         this.policy = Objects.requireNonNull(policy, "policy");
         this.time = Objects.requireNonNull(time, "time");
         this.ownRank = Objects.requireNonNull(ownRank, "ownRank");
         this.publisher = Objects.requireNonNull(publisher, "publisher");
-        this.repeated = new RepeatedMeaning(meaning, KEPT_RECORDS);
+        this.redundantRecords = new RedundantRecordTracker(stateFunction, MAX_BACKLOG_RECORDS);
     }
 
-    /** Tells other instances, and asks them. */
+    /** Sends updates and snapshot requests to other instances. */
     public interface Publisher {
 
         /**
-         * Tells a word.
+         * Publishes an update.
          *
-         * @param word the word, not null
-         * @param ownReading whether it was read here: it is for the other data centres too; what came from one of them is
-         *     for the own one alone, or two that both fail would pass it to each other for ever
+         * @param update the update, not null
+         * @param ownReading whether this instance read the records from the platform. If so, the update goes to the
+         *     other data centres too; an update from another data centre goes to the own one only, since two data
+         *     centres that both fail to read would otherwise forward it to each other endlessly
          */
-        void tell(StreamUpdate word, boolean ownReading);
+        void tell(StreamUpdate update, boolean ownReading);
 
-        /** Asks others for all that they know: the platform did not answer the first reading. */
+        /** Requests snapshots from other instances, because the platform did not answer the initial snapshot read. */
         void want();
     }
 
@@ -116,22 +124,22 @@
     public CompletionStage<ReadResult> newest(Optional<String> afterKey) {
         CompletableFuture<ReadResult> result = new CompletableFuture<>();
         if (afterKey.isEmpty()) {
-            wholeAsked = Optional.of(result);
-            if (toldWhole.isPresent() && time.monotonicMillis() < toldWholeUntilMillis) {
-                answerWhole(toldWhole.get());
+            pendingSnapshotRead = Optional.of(result);
+            if (receivedSnapshot.isPresent() && time.monotonicMillis() < receivedSnapshotUntilMillis) {
+                completeSnapshotRead(receivedSnapshot.get());
                 return result;
             }
         }
         platform.newest(afterKey).thenAccept(page -> {
             if (!(page instanceof ReadResult.Unavailable)) {
-                contactAtMillis = time.monotonicMillis();
+                lastContactMillis = time.monotonicMillis();
             }
             if (!result.isDone()) {
-                wholeAsked = Optional.empty();
+                pendingSnapshotRead = Optional.empty();
                 if (page instanceof ReadResult.Unavailable) {
                     publisher.want();
                 }
-                consumedPage(afterKey, page);
+                deliveredPage(afterKey, page);
                 result.complete(page);
             }
         });
@@ -140,264 +148,275 @@
 
     @Override
     public CompletionStage<ReadResult> read(long fromOffset, long waitMillis) {
-        Optional<ReadResult> known = fromKept(fromOffset);
+        Optional<ReadResult> known = readBacklog(fromOffset);
         if (known.isPresent()) {
-            return CompletableFuture.completedFuture(consumed(known.get()));
+            return CompletableFuture.completedFuture(delivered(known.get()));
         }
-        Waiting fresh = new Waiting(fromOffset, waitMillis);
-        waiting = Optional.of(fresh);
-        if (!told() || fromOffset < keptEndOffset) {
-            readPlatform(fresh, told() ? 0 : waitMillis);
+        PendingRead newRead = new PendingRead(fromOffset, waitMillis);
+        pendingRead = Optional.of(newRead);
+        if (!isCoveredByOtherReader() || fromOffset < backlogEndOffset) {
+            readPlatform(newRead, isCoveredByOtherReader() ? 0 : waitMillis);
         } else {
-            watch(fresh);
+            scheduleTakeover(newRead);
         }
-        return fresh.result;
+        return newRead.result;
     }
 
     /**
-     * Hears another instance of the data centre.
+     * Processes an update from another instance of this data centre.
      *
-     * @param word what it says, not null
-     * @param before whether it stands before this instance in the order of succession
+     * @param update the update, not null
+     * @param fromPredecessor whether the sender precedes this instance in the succession order
      */
-    public void heard(StreamUpdate word, boolean before) {
-        if (before) {
-            long until = time.monotonicMillis() - word.contactAgeMillis() + policy.freshMillis();
-            toldFreshUntilMillis = Math.max(toldFreshUntilMillis, until);
+    public void heard(StreamUpdate update, boolean fromPredecessor) {
+        if (fromPredecessor) {
+            long until = time.monotonicMillis() - update.contactAgeMillis() + policy.freshMillis();
+            otherReaderFreshUntilMillis = Math.max(otherReaderFreshUntilMillis, until);
         }
-        take(word);
+        apply(update);
     }
 
     /**
-     * Hears a reader of another data centre. Its word is needed where this data centre's own readings fail, and is then
-     * passed on; otherwise the data centre's own reading is as good and does not cross a border.
+     * Processes an update from a reader in another data centre. It is forwarded within this data centre only if the
+     * reads of this data centre fail; otherwise these are as current, and the update is not forwarded.
      *
-     * @param word what it says, not null
+     * @param update the update, not null
      */
-    public void heardAbroad(StreamUpdate word) {
-        long sinceMillis = ageMillis();
-        boolean ownFails = sinceMillis < 0 || sinceMillis > policy.freshMillis();
-        take(word);
-        if (ownFails && !told() && !word.whole()) {
-            publisher.tell(word, false);
+    public void heardAbroad(StreamUpdate update) {
+        long currentAgeMillis = ageMillis();
+        boolean ownReadsFail = currentAgeMillis < 0 || currentAgeMillis > policy.freshMillis();
+        apply(update);
+        if (ownReadsFail && !isCoveredByOtherReader() && !update.whole()) {
+            publisher.tell(update, false);
         }
     }
 
     /**
-     * Returns all that this instance has taken in.
+     * Returns a snapshot of the state that was delivered to the follower.
      *
-     * @return the newest record of each key, empty before the first whole reading
+     * @return the newest record of each key, empty before the first complete snapshot
      */
     public Optional<StreamUpdate> whole() {
-        if (!consumedWhole) {
+        if (!snapshotDelivered) {
             return Optional.empty();
         }
-        List<KeyedRecord> records = List.copyOf(consumed.values());
+        List<KeyedRecord> records = List.copyOf(delivered.values());
         long ageMillis = ageMillis();
         return Optional.of(new StreamUpdate(
                 name,
                 true,
                 records,
-                consumedEndOffset,
-                consumedEndOffset,
+                deliveredEndOffset,
+                deliveredEndOffset,
                 ageMillis < 0 ? StreamUpdate.UNKNOWN_AGE_MILLIS : ageMillis));
     }
 
     /**
-     * Returns how old what this instance knows may be.
+     * Returns the maximum age of the replicated state.
      *
-     * @return milliseconds since the platform answered the reader that this instance relies on; -1 before any answer
+     * @return milliseconds since the platform last answered the reader that this instance relies on; -1 before any
+     *     answer
      */
     public long ageMillis() {
         long nowMillis = time.monotonicMillis();
-        long toldContact =
-                toldFreshUntilMillis == Long.MIN_VALUE ? Long.MIN_VALUE : toldFreshUntilMillis - policy.freshMillis();
-        long last = Math.max(contactAtMillis, toldContact);
-        return last == Long.MIN_VALUE ? -1 : Math.max(0, nowMillis - last);
+        long otherReaderContactMillis = otherReaderFreshUntilMillis == Long.MIN_VALUE
+                ? Long.MIN_VALUE
+                : otherReaderFreshUntilMillis - policy.freshMillis();
+        long lastAnyContactMillis = Math.max(lastContactMillis, otherReaderContactMillis);
+        return lastAnyContactMillis == Long.MIN_VALUE ? -1 : Math.max(0, nowMillis - lastAnyContactMillis);
     }
 
-    private void take(StreamUpdate word) {
-        if (word.whole()) {
-            toldWhole = Optional.of(word);
-            toldWholeUntilMillis = time.monotonicMillis() + policy.freshMillis();
-            if (wholeAsked.isPresent()) {
-                answerWhole(word);
+    private void apply(StreamUpdate update) {
+        if (update.whole()) {
+            receivedSnapshot = Optional.of(update);
+            receivedSnapshotUntilMillis = time.monotonicMillis() + policy.freshMillis();
+            if (pendingSnapshotRead.isPresent()) {
+                completeSnapshotRead(update);
             }
             return;
         }
-        keep(word.records(), word.firstOffset(), word.nextOffset());
-        waiting.ifPresent(this::answerFromKept);
+        addToBacklog(update.records(), update.firstOffset(), update.nextOffset());
+        pendingRead.ifPresent(this::completeFromBacklog);
     }
 
-    /** A reading of one's own that is under way is left alone while the platform answers: its answer is on the way. */
-    private void answerFromKept(Waiting asked) {
-        if (asked.reading && contactAtMillis > time.monotonicMillis() - policy.freshMillis()) {
+    /**
+     * Completes a read from the backlog. A read from the platform in progress is left alone while the platform answers,
+     * since its reply is about to arrive.
+     */
+    private void completeFromBacklog(PendingRead read) {
+        if (read.readingPlatform && lastContactMillis > time.monotonicMillis() - policy.freshMillis()) {
             return;
         }
-        Optional<ReadResult> known = fromKept(asked.fromOffset);
+        Optional<ReadResult> known = readBacklog(read.fromOffset);
         if (known.isPresent()) {
-            answer(asked, known.get());
-        } else if (!asked.reading && asked.fromOffset < keptEndOffset) {
-            asked.timer.cancel();
-            readPlatform(asked, 0);
+            complete(read, known.get());
+        } else if (!read.readingPlatform && read.fromOffset < backlogEndOffset) {
+            read.timer.cancel();
+            readPlatform(read, 0);
         }
     }
 
-    private void answerWhole(StreamUpdate word) {
-        CompletableFuture<ReadResult> asked = wholeAsked.orElseThrow();
-        wholeAsked = Optional.empty();
-        toldWhole = Optional.empty();
-        ReadResult.Page page = new ReadResult.Page(word.records(), false, word.nextOffset());
-        consumedPage(Optional.empty(), page);
+    private void completeSnapshotRead(StreamUpdate update) {
+        CompletableFuture<ReadResult> snapshotRead = pendingSnapshotRead.orElseThrow();
+        pendingSnapshotRead = Optional.empty();
+        receivedSnapshot = Optional.empty();
+        ReadResult.Page page = new ReadResult.Page(update.records(), false, update.nextOffset());
+        deliveredPage(Optional.empty(), page);
         LogEvent.of("stream_told_whole")
                 .with("stream", name)
-                .with("records", word.records().size())
-                .with("offset", word.nextOffset())
-                .with("ageMillis", word.contactAgeMillis())
+                .with("records", update.records().size())
+                .with("offset", update.nextOffset())
+                .with("ageMillis", update.contactAgeMillis())
                 .info(log);
-        asked.complete(page);
+        snapshotRead.complete(page);
     }
 
-    /** Whether another instance's word stands for a reading of one's own. */
-    private boolean told() {
-        return time.monotonicMillis() < readersTimeMillis();
+    /** Returns whether updates of another reader currently replace reads from the platform. */
+    private boolean isCoveredByOtherReader() {
+        return time.monotonicMillis() < takeoverMillis();
     }
 
-    private long readersTimeMillis() {
-        return toldFreshUntilMillis == Long.MIN_VALUE
+    private long takeoverMillis() {
+        return otherReaderFreshUntilMillis == Long.MIN_VALUE
                 ? Long.MIN_VALUE
-                : toldFreshUntilMillis + policy.patienceMillis(ownRank.getAsInt());
+                : otherReaderFreshUntilMillis + policy.takeoverDelayMillis(ownRank.getAsInt());
     }
 
-    private void watch(Waiting asked) {
-        long leftMillis = readersTimeMillis() - time.monotonicMillis();
-        asked.timer = time.schedule(Math.max(1, leftMillis), () -> {
-            if (told()) {
-                watch(asked);
+    private void scheduleTakeover(PendingRead read) {
+        long remainingMillis = takeoverMillis() - time.monotonicMillis();
+        read.timer = time.schedule(Math.max(1, remainingMillis), () -> {
+            if (isCoveredByOtherReader()) {
+                scheduleTakeover(read);
             } else {
-                readPlatform(asked, asked.waitMillis);
+                readPlatform(read, read.waitMillis);
             }
         });
     }
 
-    private void answer(Waiting asked, ReadResult result) {
-        asked.timer.cancel();
-        waiting = waiting.filter(other -> other != asked);
-        if (!asked.result.isDone()) {
-            asked.result.complete(consumed(result));
+    private void complete(PendingRead read, ReadResult result) {
+        read.timer.cancel();
+        pendingRead = pendingRead.filter(other -> other != read);
+        if (!read.result.isDone()) {
+            read.result.complete(delivered(result));
         }
     }
 
-    private void readPlatform(Waiting asked, long waitMillis) {
-        asked.reading = true;
-        platform.read(asked.fromOffset, waitMillis).thenAccept(result -> {
+    private void readPlatform(PendingRead read, long waitMillis) {
+        read.readingPlatform = true;
+        platform.read(read.fromOffset, waitMillis).thenAccept(result -> {
             if (!(result instanceof ReadResult.Unavailable)) {
-                contactAtMillis = time.monotonicMillis();
+                lastContactMillis = time.monotonicMillis();
             }
             if (result instanceof ReadResult.Batch batch) {
-                boolean news = repeated.read(asked.fromOffset, batch.nextOffset(), batch.records());
-                keep(batch.records(), asked.fromOffset, batch.nextOffset());
-                say(asked.fromOffset, batch.nextOffset(), news);
+                boolean changed = redundantRecords.observe(read.fromOffset, batch.nextOffset(), batch.records());
+                addToBacklog(batch.records(), read.fromOffset, batch.nextOffset());
+                publishBatch(read.fromOffset, batch.nextOffset(), changed);
             }
-            answer(asked, result);
+            complete(read, result);
         });
     }
 
-    /** News at once; a sign of life, which says up to where there was none, before the last word is too old. */
-    private void say(long fromOffset, long nextOffset, boolean news) {
-        if (told()) {
-            unsaidFromOffset = -1;
+    /**
+     * Publishes a batch: immediately if it contains changes, otherwise as a heartbeat, which carries the current
+     * offset, before the last update becomes too old.
+     */
+    private void publishBatch(long fromOffset, long nextOffset, boolean changed) {
+        if (isCoveredByOtherReader()) {
+            unpublishedFromOffset = -1;
             return;
         }
-        if (unsaidFromOffset < 0 || unsaidFromOffset > fromOffset) {
-            unsaidFromOffset = fromOffset;
+        if (unpublishedFromOffset < 0 || unpublishedFromOffset > fromOffset) {
+            unpublishedFromOffset = fromOffset;
         }
-        boolean due = saidAtMillis == Long.MIN_VALUE
-                || time.monotonicMillis() - saidAtMillis >= policy.freshMillis() / SIGNS_WHILE_FRESH;
-        if (!news && !due) {
+        boolean isHeartbeatDue = lastPublishMillis == Long.MIN_VALUE
+                || time.monotonicMillis() - lastPublishMillis >= policy.freshMillis() / HEARTBEATS_PER_MAX_AGE;
+        if (!changed && !isHeartbeatDue) {
             return;
         }
-        long firstOffset = Math.max(unsaidFromOffset, keptFirstOffset);
-        List<KeyedRecord> said = kept.stream()
-                .filter(record -> record.offset() >= firstOffset && !repeated.contains(record.offset()))
+        long firstOffset = Math.max(unpublishedFromOffset, backlogFirstOffset);
+        List<KeyedRecord> records = backlog.stream()
+                .filter(record -> record.offset() >= firstOffset && !redundantRecords.isRedundant(record.offset()))
                 .toList();
-        saidAtMillis = time.monotonicMillis();
-        unsaidFromOffset = -1;
-        publisher.tell(new StreamUpdate(name, false, said, firstOffset, nextOffset, 0), true);
+        lastPublishMillis = time.monotonicMillis();
+        unpublishedFromOffset = -1;
+        publisher.tell(new StreamUpdate(name, false, records, firstOffset, nextOffset, 0), true);
     }
 
-    private void keep(List<KeyedRecord> records, long firstOffset, long endOffset) {
-        if (endOffset <= keptEndOffset) {
+    private void addToBacklog(List<KeyedRecord> records, long firstOffset, long endOffset) {
+        if (endOffset <= backlogEndOffset) {
             return;
         }
-        if (firstOffset > keptEndOffset || keptFirstOffset < 0) {
-            kept.clear();
-            keptFirstOffset = firstOffset;
+        if (firstOffset > backlogEndOffset || backlogFirstOffset < 0) {
+            backlog.clear();
+            backlogFirstOffset = firstOffset;
         }
         for (KeyedRecord record : records) {
-            if (record.offset() >= keptEndOffset) {
-                kept.addLast(record);
+            if (record.offset() >= backlogEndOffset) {
+                backlog.addLast(record);
             }
         }
-        while (kept.size() > KEPT_RECORDS) {
-            keptFirstOffset = kept.removeFirst().offset() + 1;
+        while (backlog.size() > MAX_BACKLOG_RECORDS) {
+            backlogFirstOffset = backlog.removeFirst().offset() + 1;
         }
-        keptEndOffset = endOffset;
+        backlogEndOffset = endOffset;
     }
 
-    /** Records from an offset on, where all of them that say something are kept. */
-    private Optional<ReadResult> fromKept(long fromOffset) {
-        if (keptFirstOffset < 0 || fromOffset >= keptEndOffset || keptFirstOffset > fromOffset) {
+    /** Returns the records from an offset on, if the backlog holds all of them that are not redundant. */
+    private Optional<ReadResult> readBacklog(long fromOffset) {
+        if (backlogFirstOffset < 0 || fromOffset >= backlogEndOffset || backlogFirstOffset > fromOffset) {
             return Optional.empty();
         }
-        List<KeyedRecord> wanted = new ArrayList<>();
-        for (KeyedRecord record : kept) {
+        List<KeyedRecord> records = new ArrayList<>();
+        for (KeyedRecord record : backlog) {
             if (record.offset() >= fromOffset) {
-                wanted.add(record);
+                records.add(record);
             }
         }
-        return Optional.of(new ReadResult.Batch(wanted, keptEndOffset));
+        return Optional.of(new ReadResult.Batch(records, backlogEndOffset));
     }
 
-    /** What goes to the follower is what a newcomer is told. */
-    private ReadResult consumed(ReadResult result) {
+    /**
+     * Records a result that is delivered to the follower, so that snapshots for other instances match what the follower
+     * received.
+     */
+    private ReadResult delivered(ReadResult result) {
         if (result instanceof ReadResult.Batch batch) {
-            batch.records().forEach(this::consume);
-            consumedEndOffset = Math.max(consumedEndOffset, batch.nextOffset());
+            batch.records().forEach(this::deliver);
+            deliveredEndOffset = Math.max(deliveredEndOffset, batch.nextOffset());
         } else if (!(result instanceof ReadResult.Unavailable)) {
-            consumedWhole = false;
+            snapshotDelivered = false;
         }
         return result;
     }
 
-    private void consumedPage(Optional<String> afterKey, ReadResult result) {
+    private void deliveredPage(Optional<String> afterKey, ReadResult result) {
         if (!(result instanceof ReadResult.Page page)) {
             return;
         }
         if (afterKey.isEmpty()) {
-            consumed.clear();
-            consumedEndOffset = page.endOffset();
+            delivered.clear();
+            deliveredEndOffset = page.endOffset();
         }
-        page.records().forEach(this::consume);
-        consumedWhole = !page.more();
+        page.records().forEach(this::deliver);
+        snapshotDelivered = !page.more();
     }
 
-    private void consume(KeyedRecord record) {
+    private void deliver(KeyedRecord record) {
         if (record.value().isPresent()) {
-            consumed.put(record.key(), record);
+            delivered.put(record.key(), record);
         } else {
-            consumed.remove(record.key());
+            delivered.remove(record.key());
         }
     }
 
-    private static final class Waiting {
+    private static final class PendingRead {
         private final long fromOffset;
         private final long waitMillis;
         private final CompletableFuture<ReadResult> result = new CompletableFuture<>();
         private Cancellable timer = () -> {};
-        private boolean reading;
+        private boolean readingPlatform;
 
-        Waiting(long fromOffset, long waitMillis) {
+        PendingRead(long fromOffset, long waitMillis) {
             this.fromOffset = fromOffset;
             this.waitMillis = waitMillis;
         }
--- a/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
@@ -10,9 +10,9 @@
 /**
  * Follows one keyed stream for as long as the process runs.
  *
- * <p>Each start, and each loss of the records that it would go on from, begins with a full reading in pages; since pages
- * are no snapshot, it then goes on from the end that the first page told, so that a change between two pages is read
- * again as a record. Answers and timers must come on one thread.
+ * <p>At the start, and whenever the records from which it would continue are no longer retained, it reads a snapshot in
+ * pages. Since the pages are not consistent with each other, it then continues from the end offset of the first page,
+ * so that a change between two pages is read again as a record. Replies and timers must arrive on one thread.
  */
 public final class StreamFollower {
 
@@ -21,21 +21,21 @@
     private final FollowListener listener;
     private final TimeSource time;
     private final UniformRandomProvider random;
-    private Set<String> listed = new HashSet<>();
+    private Set<String> snapshotKeys = new HashSet<>();
     private Optional<String> afterKey = Optional.empty();
-    private long firstPageEnd = -1;
+    private long snapshotEndOffset = -1;
     private long nextOffset = -1;
-    private int failuresInARow;
+    private int consecutiveFailures;
     private boolean stopped;
 
     /**
-     * Creates a follower that does not read yet.
+     * Creates a follower that has not started to read.
      *
-     * @param stream what it reads, not null
-     * @param policy its times, not null
-     * @param listener hears what it reads, not null
+     * @param stream the stream to read, not null
+     * @param policy the polling and back-off intervals, not null
+     * @param listener receives the records, not null
      * @param time schedules the pauses, not null
-     * @param random spreads the pauses after failures, not null
+     * @param random adds jitter to the back-off, not null
      */
     public StreamFollower(
             KeyedStream stream,
@@ -50,29 +50,29 @@
         this.random = Objects.requireNonNull(random, "random");
     }
 
-    /** Begins with a full reading. */
+    /** Starts to read with a snapshot. */
     public void start() {
         readPage();
     }
 
-    /** Reads no more; an answer under way is dropped. */
+    /** Stops reading; the result of a read in progress is discarded. */
     public void stop() {
         stopped = true;
     }
 
     private void readPage() {
-        stream.newest(afterKey).thenAccept(this::took);
+        stream.newest(afterKey).thenAccept(this::onResult);
     }
 
-    private void readOn() {
+    private void readNext() {
         if (nextOffset < 0) {
             readPage();
             return;
         }
-        stream.read(nextOffset, policy.waitMillis()).thenAccept(this::took);
+        stream.read(nextOffset, policy.waitMillis()).thenAccept(this::onResult);
     }
 
-    private void took(ReadResult result) {
+    private void onResult(ReadResult result) {
         if (stopped) {
             return;
         }
@@ -80,29 +80,29 @@
             backOff(unavailable.reason());
             return;
         }
-        if (failuresInARow > 0) {
-            failuresInARow = 0;
+        if (consecutiveFailures > 0) {
+            consecutiveFailures = 0;
             listener.regained();
         }
         if (result instanceof ReadResult.Page page) {
-            tookPage(page);
+            onPage(page);
         } else if (result instanceof ReadResult.Batch batch) {
             batch.records().forEach(listener::record);
             nextOffset = Math.max(nextOffset, batch.nextOffset());
-            time.schedule(policy.pauseMillis(), this::readOnUnlessStopped);
+            time.schedule(policy.pauseMillis(), this::readNextUnlessStopped);
         } else {
             nextOffset = -1;
             readPage();
         }
     }
 
-    private void tookPage(ReadResult.Page page) {
+    private void onPage(ReadResult.Page page) {
         if (afterKey.isEmpty()) {
-            firstPageEnd = page.endOffset();
-            listed = new HashSet<>();
+            snapshotEndOffset = page.endOffset();
+            snapshotKeys = new HashSet<>();
         }
         for (KeyedRecord record : page.records()) {
-            listed.add(record.key());
+            snapshotKeys.add(record.key());
             afterKey = Optional.of(record.key());
             listener.record(record);
         }
@@ -111,25 +111,28 @@
             return;
         }
         afterKey = Optional.empty();
-        nextOffset = firstPageEnd;
-        listener.readWhole(Set.copyOf(listed), firstPageEnd);
-        readOn();
+        nextOffset = snapshotEndOffset;
+        listener.readWhole(Set.copyOf(snapshotKeys), snapshotEndOffset);
+        readNext();
     }
 
-    /** Spread, so that instances which lost the platform together do not all come back in one moment. */
+    /**
+     * Schedules the next read after a failure. Jitter keeps instances that lost the platform at the same time from all
+     * retrying at once.
+     */
     private void backOff(String reason) {
-        if (failuresInARow == 0) {
+        if (consecutiveFailures == 0) {
             listener.lost(reason);
         }
-        long doubled = policy.firstBackoffMillis() << Math.min(failuresInARow, 10);
-        long longest = Math.min(policy.maxBackoffMillis(), doubled);
-        failuresInARow++;
-        time.schedule(longest / 2 + random.nextLong(longest / 2 + 1), this::readOnUnlessStopped);
+        long exponentialMillis = policy.firstBackoffMillis() << Math.min(consecutiveFailures, 10);
+        long maxPauseMillis = Math.min(policy.maxBackoffMillis(), exponentialMillis);
+        consecutiveFailures++;
+        time.schedule(maxPauseMillis / 2 + random.nextLong(maxPauseMillis / 2 + 1), this::readNextUnlessStopped);
     }
 
-    private void readOnUnlessStopped() {
+    private void readNextUnlessStopped() {
         if (!stopped) {
-            readOn();
+            readNext();
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/MemberList.java
+++ b/src/main/java/org/dogwoodwinch/peer/MemberList.java
@@ -20,10 +20,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The instances as they announce themselves in a keyed stream of the platform's store. Used on one event loop alone.
+ * The instances of the fleet, as they announce themselves in a keyed stream of the platform's store. Confined to one
+ * event loop.
  *
- * <p>Each writes its record anew now and then, and drops it when it stops; one that was killed is believed in until its
- * record has not been renewed for several intervals. Believing in it too long costs failed connections, no more.
+ * <p>Each instance renews its record at intervals, and deletes it when it stops. An instance that was killed stays
+ * listed until its record has not been renewed for several intervals; this costs failed connections and nothing else.
  */
 public final class MemberList implements FollowListener {
 
@@ -33,33 +34,39 @@
     private static final Logger log = LoggerFactory.getLogger(MemberList.class);
     private static final int FIELDS = 4;
 
-    /** Renewals that may be missed: a store that is away for some seconds loses one or two. */
-    private static final int KEPT_INTERVALS = 3;
+    /**
+     * The intervals after which a record that was not renewed expires; a store outage of some seconds loses one or two
+     * renewals.
+     */
+    private static final int MEMBER_TIMEOUT_INTERVALS = 3;
 
-    /** This instance doubts that the others count on it before they cease to: its last record may have come late to them. */
-    private static final int SURE_INTERVALS = 2;
+    /**
+     * The intervals after which this instance no longer relies on its last stored announcement. They are fewer than
+     * those after which the others expire it, since it may have reached them late.
+     */
+    private static final int ANNOUNCEMENT_VALID_INTERVALS = 2;
 
     private final String ownName;
     private final KeyedWriter writer;
     private final TimeSource time;
     private final long renewMillis;
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Map<String, Announcement> announcements = new HashMap<>();
     private boolean leaving;
-    private boolean readOnce;
-    private boolean announcedOnce;
-    private boolean announced;
-    private boolean following = true;
-    private long announcedAtMillis;
-    private long regularSinceMillis;
+    private boolean snapshotRead;
+    private boolean everAnnounced;
+    private boolean lastAnnouncementStored;
+    private boolean storeReachable = true;
+    private long lastAnnouncementMillis;
+    private long storeHealthySinceMillis;
     private int mostSeenCount = 1;
 
     /**
-     * Creates a list that knows nobody.
+     * Creates a list without members.
      *
      * @param ownName this instance's name, not null
      * @param writer writes the stream, not null
      * @param time the clock and timers, not null
-     * @param renewMillis the time between two records of one instance
+     * @param renewMillis the renewal interval of an instance's record
      */
     public MemberList(String ownName, KeyedWriter writer, TimeSource time, long renewMillis) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
@@ -69,28 +76,28 @@
     }
 
     /**
-     * Announces this instance from now on.
+     * Announces this instance, and renews the announcement at each interval.
      *
-     * @param self where the others reach it, not null
+     * @param self the name, address and link of this instance, not null
      */
     public void start(PeerMember self) {
         if (leaving) {
             return;
         }
-        long beganMillis = time.monotonicMillis();
+        long startMillis = time.monotonicMillis();
         writer.put(self.name(), Optional.of(encode(self))).thenAccept(written -> {
             if (written) {
-                announcedOnce = true;
-                announcedAtMillis = beganMillis;
+                everAnnounced = true;
+                lastAnnouncementMillis = startMillis;
             } else {
                 LogEvent.of("member_not_announced").with("member", self.name()).info(log);
             }
-            regular(written, following);
+            updateStoreHealth(written, storeReachable);
         });
         time.schedule(renewMillis, () -> start(self));
     }
 
-    /** Drops this instance's record, and announces it no more. */
+    /** Deletes this instance's record and stops announcing it. */
     public void leave() {
         leaving = true;
         writer.put(ownName, Optional.empty())
@@ -103,59 +110,66 @@
     /**
      * Returns the other instances.
      *
-     * @return those that announced themselves of late
+     * @return those whose announcement has not expired
      */
     public List<PeerMember> others() {
-        long oldestMillis = time.monotonicMillis() - KEPT_INTERVALS * renewMillis;
-        return heard.values().stream()
-                .filter(each -> each.atMillis >= oldestMillis)
-                .map(Heard::member)
+        long oldestMillis = time.monotonicMillis() - MEMBER_TIMEOUT_INTERVALS * renewMillis;
+        return announcements.values().stream()
+                .filter(each -> each.receivedMillis >= oldestMillis)
+                .map(Announcement::member)
                 .toList();
     }
 
     /**
-     * Returns the instances that a thing which one of them may use alone is dealt to: those that count on each other.
+     * Returns the instances among which exclusive resources are divided: those that all count each other as members.
      *
-     * <p>Failure: while the store is away no record is renewed, all others lapse, and each instance would deal itself
-     * everything. Whoever was heard stays until the store has taken this instance's records and was followed for as long as
-     * an instance is believed in. And an instance whose own records are not taken is given up by the others: it has to know
-     * that before they act on it.
+     * <p>Failure: while the store is unavailable no record is renewed, all other instances expire, and each instance
+     * would assign every resource to itself. A known instance is therefore kept until the store has accepted this
+     * instance's records and the stream has been readable for as long as a record takes to expire. Moreover, an
+     * instance whose own records are not stored is expired by the others; it has to stop relying on its membership
+     * before they act on that.
      *
-     * @return their names, this one's among them; empty where this one cannot be sure that the others count on it
+     * @return their names, including this instance's; empty if this instance cannot be sure that the others count it as
+     *     a member
      */
     public Optional<Set<String>> countedOn() {
         long nowMillis = time.monotonicMillis();
-        if (!readOnce || leaving || !announcedOnce || nowMillis - announcedAtMillis >= SURE_INTERVALS * renewMillis) {
+        if (!snapshotRead
+                || leaving
+                || !everAnnounced
+                || nowMillis - lastAnnouncementMillis >= ANNOUNCEMENT_VALID_INTERVALS * renewMillis) {
             return Optional.empty();
         }
-        if (announced && following) {
-            heard.values()
-                    .removeIf(each ->
-                            nowMillis - Math.max(each.atMillis, regularSinceMillis) > KEPT_INTERVALS * renewMillis);
+        if (lastAnnouncementStored && storeReachable) {
+            announcements
+                    .values()
+                    .removeIf(each -> nowMillis - Math.max(each.receivedMillis, storeHealthySinceMillis)
+                            > MEMBER_TIMEOUT_INTERVALS * renewMillis);
         }
-        Set<String> names = new HashSet<>(heard.keySet());
+        Set<String> names = new HashSet<>(announcements.keySet());
         names.add(ownName);
         return Optional.of(names);
     }
 
-    private void regular(boolean nowAnnounced, boolean nowFollowing) {
-        if (nowAnnounced && nowFollowing && !(announced && following)) {
-            regularSinceMillis = time.monotonicMillis();
+    private void updateStoreHealth(boolean announcementStored, boolean streamReachable) {
+        if (announcementStored && streamReachable && !(lastAnnouncementStored && storeReachable)) {
+            storeHealthySinceMillis = time.monotonicMillis();
         }
-        announced = nowAnnounced;
-        following = nowFollowing;
+        lastAnnouncementStored = announcementStored;
+        storeReachable = streamReachable;
     }
 
     /**
-     * Returns how many instances shares of a common bound are dealt out to.
+     * Returns the number of instances among which a shared limit is divided.
      *
-     * <p>Failure: while the store is away nobody's record is renewed, and each instance would take itself for the only one
-     * and the whole of each bound for its own. What was seen once is dealt to until this process ends.
+     * <p>Failure: while the store is unavailable no record is renewed, and each instance would consider itself the only
+     * one and take the whole of each limit. The maximum therefore never decreases while this process runs.
      *
-     * @return the most instances that were believed in at once, this one included; empty before the first full reading
+     * @return the maximum number of instances that were listed at the same time, including this one; empty before the
+     *     first snapshot
      */
     public OptionalInt mostSeenCount() {
-        return readOnce ? OptionalInt.of(mostSeenCount) : OptionalInt.empty();
+        return snapshotRead ? OptionalInt.of(mostSeenCount) : OptionalInt.empty();
     }
 
     @Override
@@ -165,9 +179,9 @@
         }
         Optional<PeerMember> member = record.value().flatMap(value -> decode(record.key(), value));
         if (member.isEmpty()) {
-            heard.remove(record.key());
+            announcements.remove(record.key());
         } else {
-            heard.put(record.key(), new Heard(member.get(), time.monotonicMillis()));
+            announcements.put(record.key(), new Announcement(member.get(), time.monotonicMillis()));
             mostSeenCount = Math.max(mostSeenCount, others().size() + 1);
         }
         LogEvent.of("member_heard")
@@ -181,29 +195,29 @@
 
     @Override
     public void readWhole(Set<String> keys, long _endOffset) {
-        heard.keySet().retainAll(keys);
-        readOnce = true;
+        announcements.keySet().retainAll(keys);
+        snapshotRead = true;
     }
 
     @Override
     public void regained() {
-        regular(announced, true);
+        updateStoreHealth(lastAnnouncementStored, true);
         LogEvent.of("store_regained").with("stream", TOPIC).info(log);
     }
 
     @Override
     public void lost(String reason) {
-        regular(announced, false);
+        updateStoreHealth(lastAnnouncementStored, false);
         LogEvent.of("store_lost").with("stream", TOPIC).with("reason", reason).warn(log);
     }
 
     private static Bytes encode(PeerMember member) {
-        return Packing.pack(member, (packer, said) -> {
+        return Packing.pack(member, (packer, value) -> {
             packer.packArrayHeader(FIELDS);
-            packer.packString(said.host());
-            packer.packInt(said.peerPort());
-            packer.packString(said.dataCentre());
-            packer.packDouble(said.linkMbps());
+            packer.packString(value.host());
+            packer.packInt(value.peerPort());
+            packer.packString(value.dataCentre());
+            packer.packDouble(value.linkMbps());
         });
     }
 
@@ -227,5 +241,5 @@
         }
     }
 
-    private record Heard(PeerMember member, long atMillis) {}
+    private record Announcement(PeerMember member, long receivedMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
+++ b/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
@@ -32,43 +32,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Messages between instances over TCP: a length of four bytes before each, one connection to each member, kept while it
- * is used. With a TLS context that asks for client certificates, both ends are authenticated before a byte is read.
+ * Sends messages between instances over TCP. Each message has a four-byte length prefix, and there is one connection
+ * per member, which stays open while it is in use. With a TLS context that requires client certificates, both ends are
+ * authenticated before a byte is read.
  */
 public final class NettyPeerTransport implements PeerTransport, AutoCloseable {
 
     private static final Logger log = LoggerFactory.getLogger(NettyPeerTransport.class);
 
-    private static final int LENGTH_BYTES = 4;
-    private static final int IDLE_SECONDS = 60;
-    /** Many ways between data centres; a member that was down is reached as soon again after it is back. */
-    private static final int CONNECT_MILLIS = 500;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int IDLE_TIMEOUT_SECONDS = 60;
+    /** Many round trips between data centres, yet short enough that a member is reached soon after it is back. */
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     /**
-     * Failure: a member loses power and starts again; until the old connection is found dead it hears nothing, and has
-     * nothing to serve by where the platform turns it away. A word is told several times a second, so a second without an
-     * acknowledgement is no slow link.
+     * The time without a TCP acknowledgement after which a connection is closed.
+     *
+     * <p>Failure: a member loses power and restarts. Until the old connection is found to be dead, the member receives
+     * no messages, and has no state to serve from if the platform rejects its calls. Messages are sent several times a
+     * second, so a second without an acknowledgement is not caused by a slow link.
      */
-    private static final int UNACKNOWLEDGED_MILLIS = 1_000;
+    private static final int UNACKNOWLEDGED_TIMEOUT_MILLIS = 1_000;
 
-    private static final int MAX_CONNECTIONS_IN = 1_024;
+    private static final int MAX_INBOUND_CONNECTIONS = 1_024;
 
     private final Transport sockets;
     private final int maxMessageBytes;
     private final Optional<SslContext> serverTls;
     private final Optional<SslContext> clientTls;
-    private final Map<PeerMember, ChannelFuture> connections = new ConcurrentHashMap<>();
-    private final Map<Channel, Boolean> accepted = new ConcurrentHashMap<>();
+    private final Map<PeerMember, ChannelFuture> outboundConnections = new ConcurrentHashMap<>();
+    private final Map<Channel, Boolean> inboundChannels = new ConcurrentHashMap<>();
     private Optional<Channel> listener = Optional.empty();
-    private Consumer<PeerMember> onConnected = _member -> {};
+    private Consumer<PeerMember> connectionListener = _member -> {};
 
     /**
      * Creates a transport.
      *
-     * @param sockets carries the connections, not null; its owner shuts it down
-     * @param maxMessageBytes the largest message that is sent or taken, in bytes
-     * @param serverTls the TLS of connections from members, empty for none, not null
-     * @param clientTls the TLS of connections to members, empty for none, not null
+     * @param sockets the socket transport, not null; its owner shuts it down
+     * @param maxMessageBytes the maximum size of a message that is sent or received, in bytes
+     * @param serverTls the TLS context of connections from members, empty for none, not null
+     * @param clientTls the TLS context of connections to members, empty for none, not null
      */
     public NettyPeerTransport(
             Transport sockets, int maxMessageBytes, Optional<SslContext> serverTls, Optional<SslContext> clientTls) {
@@ -79,14 +82,15 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts to listen for connections.
      *
-     * @param host the IP number to listen on, not null
+     * @param host the IP address to listen on, not null
      * @param port the port, zero for any free one
-     * @param receiver takes each message and says whether it was right; where it was not, the connection is closed
+     * @param messageHandler processes each message and returns whether it was accepted; if not, the connection is
+     *     closed
      * @return the port that it listens on
      */
-    public synchronized int listen(String host, int port, Predicate<Bytes> receiver) {
+    public synchronized int listen(String host, int port, Predicate<Bytes> messageHandler) {
         Channel channel = new ServerBootstrap()
                 .group(sockets.group())
                 .channel(sockets.serverChannel())
@@ -94,7 +98,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accept) {
-                        initAccepted(accept, receiver);
+                        initInboundChannel(accept, messageHandler);
                     }
                 })
                 .bind(host, port)
@@ -105,30 +109,33 @@
     }
 
     /**
-     * Starts to listen, and says when a connection to a member was opened.
+     * Starts to listen for connections, and reports each connection that is opened to a member.
      *
-     * @param address where to listen, not null
-     * @param receiver takes each message and says whether it was right; where it was not, the connection is closed
-     * @param connected hears of each new connection to a member, on the event loop, not null
+     * @param address the address to listen on, not null
+     * @param messageHandler processes each message and returns whether it was accepted; if not, the connection is
+     *     closed
+     * @param connectionListener called on the event loop for each new connection to a member, not null
      * @return the port that it listens on
      */
-    public int listen(InetSocketAddress address, Predicate<Bytes> receiver, Consumer<PeerMember> connected) {
-        onConnected = Objects.requireNonNull(connected, "connected");
-        return listen(address.getHostString(), address.getPort(), receiver);
+    public int listen(
+            InetSocketAddress address, Predicate<Bytes> messageHandler, Consumer<PeerMember> connectionListener) {
+        this.connectionListener = Objects.requireNonNull(connectionListener, "connectionListener");
+        return listen(address.getHostString(), address.getPort(), messageHandler);
     }
 
-    private void initAccepted(SocketChannel channel, Predicate<Bytes> receiver) {
-        if (accepted.size() >= MAX_CONNECTIONS_IN) {
-            outcomeUnused(channel.close());
+    private void initInboundChannel(SocketChannel channel, Predicate<Bytes> messageHandler) {
+        if (inboundChannels.size() >= MAX_INBOUND_CONNECTIONS) {
+            ignoreOutcome(channel.close());
             return;
         }
-        accepted.put(channel, Boolean.TRUE);
-        outcomeUnused(channel.closeFuture().addListener(_done -> accepted.remove(channel)));
+        inboundChannels.put(channel, Boolean.TRUE);
+        ignoreOutcome(channel.closeFuture().addListener(_done -> inboundChannels.remove(channel)));
         serverTls.ifPresent(tls -> channel.pipeline().addLast(tls.newHandler(channel.alloc())));
         channel.pipeline()
-                .addLast(new IdleStateHandler(2 * IDLE_SECONDS, 0, 0))
-                .addLast(new LengthFieldBasedFrameDecoder(maxMessageBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                .addLast(new Inbound(receiver));
+                .addLast(new IdleStateHandler(2 * IDLE_TIMEOUT_SECONDS, 0, 0))
+                .addLast(
+                        new LengthFieldBasedFrameDecoder(maxMessageBytes, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
+                .addLast(new InboundHandler(messageHandler));
     }
 
     @Override
@@ -136,25 +143,25 @@
         if (message.length() > maxMessageBytes) {
             return;
         }
-        ChannelFuture connection = connections.computeIfAbsent(member, this::connect);
-        outcomeUnused(connection.addListener(_connected -> {
+        ChannelFuture connection = outboundConnections.computeIfAbsent(member, this::connect);
+        ignoreOutcome(connection.addListener(_connected -> {
             if (!connection.isSuccess()) {
-                connections.remove(member, connection);
+                outboundConnections.remove(member, connection);
             } else if (connection.channel().isWritable()) {
-                // A member that reads slowly misses a round; queueing for it would only grow the heap.
-                outcomeUnused(connection.channel().writeAndFlush(Unpooled.wrappedBuffer(message.toByteArray())));
+                // A member that reads slowly misses a message; queueing for it would only grow the heap.
+                ignoreOutcome(connection.channel().writeAndFlush(Unpooled.wrappedBuffer(message.toByteArray())));
             }
         }));
     }
 
     private ChannelFuture connect(PeerMember member) {
         Bootstrap bootstrap = new Bootstrap();
-        // A connection that went silent would keep a member unheard for as long as bytes are written to it.
-        sockets.setUnacknowledgedTimeout(bootstrap, UNACKNOWLEDGED_MILLIS);
+        // Otherwise a dead connection would stay in use for as long as bytes are written to it.
+        sockets.setUnacknowledgedTimeout(bootstrap, UNACKNOWLEDGED_TIMEOUT_MILLIS);
         ChannelFuture connection = bootstrap
                 .group(sockets.group())
                 .channel(sockets.channel())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -162,17 +169,19 @@
                         clientTls.ifPresent(tls -> channel.pipeline()
                                 .addLast(tls.newHandler(channel.alloc(), member.host(), member.peerPort())));
                         channel.pipeline()
-                                .addLast(new IdleStateHandler(0, IDLE_SECONDS, 0))
-                                .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-                                .addLast(new Outbound());
+                                .addLast(new IdleStateHandler(0, IDLE_TIMEOUT_SECONDS, 0))
+                                .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
+                                .addLast(new OutboundHandler());
                     }
                 })
                 .connect(member.host(), member.peerPort());
-        outcomeUnused(
-                connection.channel().closeFuture().addListener(_closed -> connections.remove(member, connection)));
-        outcomeUnused(connection.addListener(_connected -> {
+        ignoreOutcome(connection
+                .channel()
+                .closeFuture()
+                .addListener(_closed -> outboundConnections.remove(member, connection)));
+        ignoreOutcome(connection.addListener(_connected -> {
             if (connection.isSuccess()) {
-                onConnected.accept(member);
+                connectionListener.accept(member);
             }
         }));
         return connection;
@@ -181,29 +190,31 @@
     @Override
     public synchronized void close() {
         listener.ifPresent(channel -> channel.close().syncUninterruptibly());
-        accepted.keySet().forEach(channel -> outcomeUnused(channel.close()));
-        connections
+        inboundChannels.keySet().forEach(channel -> ignoreOutcome(channel.close()));
+        outboundConnections
                 .values()
-                .forEach(connection -> outcomeUnused(connection.channel().close()));
+                .forEach(connection -> ignoreOutcome(connection.channel().close()));
     }
 
-    /** A failed write or close shows as a closed channel, which its own listener sees to. */
-    private static void outcomeUnused(Future<?> future) {
+    /**
+     * Ignores the result: a failed write or close shows as a closed channel, which is handled by the close listener.
+     */
+    private static void ignoreOutcome(Future<?> future) {
         Objects.requireNonNull(future, "future");
     }
 
     /** Closes a connection that is idle or broken; the next message opens another one. */
-    private static class Outbound extends SimpleChannelInboundHandler<ByteBuf> {
+    private static class OutboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf _message) {
-            outcomeUnused(context.close());
+            ignoreOutcome(context.close());
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof IdleStateEvent) {
-                outcomeUnused(context.close());
+                ignoreOutcome(context.close());
             }
         }
 
@@ -213,25 +224,25 @@
                     .with("remote", context.channel().remoteAddress())
                     .with("error", cause.toString())
                     .debug(log);
-            outcomeUnused(context.close());
+            ignoreOutcome(context.close());
         }
     }
 
-    private static final class Inbound extends Outbound {
+    private static final class InboundHandler extends OutboundHandler {
 
-        private final Predicate<Bytes> receiver;
+        private final Predicate<Bytes> messageHandler;
 
-        Inbound(Predicate<Bytes> receiver) {
-            this.receiver = receiver;
+        InboundHandler(Predicate<Bytes> messageHandler) {
+            this.messageHandler = messageHandler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf message) {
-            if (!receiver.test(Bytes.of(ByteBufUtil.getBytes(message)))) {
+            if (!messageHandler.test(Bytes.of(ByteBufUtil.getBytes(message)))) {
                 LogEvent.of("peer_message_refused")
                         .with("remote", context.channel().remoteAddress())
                         .warn(log);
-                outcomeUnused(context.close());
+                ignoreOutcome(context.close());
             }
         }
     }
--- a/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
@@ -22,34 +22,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The notice board of a fleet in which one instance of each data centre, its relay, passes on what the others say. Used
- * on one event loop alone.
+ * A bus for a fleet in which one instance of each data centre, its relay, forwards the updates of the others. Confined
+ * to one event loop.
  *
- * <p>Load: told by each to each, messages grow with the square of the fleet; passed on at random, word of what is under
- * way is older than the calls it is about. Here an instance sends one message a round to its relay and gets one back;
- * relays send theirs to each other. What one instance spends does not grow with the fleet, what a relay spends grows
- * with its data centre alone. A small fleet needs no relay for this: each tells each at once.
+ * <p>Load: if each instance sends to each other one, messages grow with the square of the fleet; with random gossip,
+ * load figures are older than the calls that they describe. Here an instance sends one message a round to its relay and
+ * gets one back, and the relays send theirs to each other. The traffic of an instance does not grow with the fleet, and
+ * that of a relay grows with its data centre only. A small fleet needs no relay: each instance sends to each other one
+ * directly.
  *
- * <p>Failure: the relay dies, freezes or is cut off, and nobody hears anything. Whoever has heard no relay before it in
- * the order of succession for a while acts as one, the next in order first; two that both act for a moment say the same
- * things twice. Nothing that must be agreed or kept goes this way.
+ * <p>Failure: the relay dies, freezes or is cut off, and no instance receives updates any more. An instance that has
+ * received no heartbeat from a predecessor in the succession order for a while becomes the relay, the next in order
+ * first; two that act as relay at the same time send the same updates twice. Whatever requires agreement or durability
+ * does not use this bus.
  */
 public final class RelayExchange implements PeerBoard {
 
     private static final Logger log = LoggerFactory.getLogger(RelayExchange.class);
 
-    /** A relay's word without news, and an instance's to its relay: two of them may be lost before it is missed. */
-    private static final int RELAY_MESSAGE_ROUNDS = 2;
+    /**
+     * The rounds between the heartbeats of a relay, and between the messages of an instance to its relay when it has no
+     * updates: two of these messages may be lost before it counts as missing.
+     */
+    private static final int RELAY_HEARTBEAT_ROUNDS = 2;
 
-    private static final int OWN_MESSAGE_ROUNDS = 3;
+    private static final int MEMBER_HEARTBEAT_ROUNDS = 3;
 
-    private static final int NEWCOMER_ROUNDS = 3;
+    private static final int STATE_REQUEST_ROUNDS = 3;
 
-    /** Who wants something asks again with its next reading. */
-    private static final long WANT_KEEP_MILLIS = 1_000;
+    /** An instance that lacks state repeats its request with its next read. */
+    private static final long STATE_REQUEST_TTL_MILLIS = 1_000;
 
-    /** What relays pass on to their own data centre and, where it comes from there, to the other relays. */
-    private static final Set<PeerTopic> TOLD_TO_ALL =
+    /**
+     * The topics that relays forward within their own data centre and, if the update comes from there, to the other
+     * relays.
+     */
+    private static final Set<PeerTopic> FLEET_WIDE_TOPICS =
             Set.of(PeerTopic.QUARANTINE, PeerTopic.LEAVING, PeerTopic.BROKEN_TARGET, PeerTopic.TARGET_LIMIT);
 
     private final PeerSettings settings;
@@ -57,33 +65,33 @@
     private final PeerTransport transport;
     private final Supplier<List<PeerMember>> members;
     private final PeerObserver observer;
-    private final CentreRelays relays;
-    private final ReplayGuard replays;
-    private final PeerClocks clocks;
-    private final LateMessages lateWords = new LateMessages();
-    private final Newcomers newcomers = new Newcomers();
+    private final RelayTracker relayTracker;
+    private final ReplayGuard replayGuard;
+    private final ClockOffsets clockOffsets;
+    private final LateMessages lateMessages = new LateMessages();
+    private final StateTransfers stateTransfers = new StateTransfers();
     private final PeerCodec codec;
-    private final PeerItemStore store = new PeerItemStore();
+    private final PeerEntryStore store = new PeerEntryStore();
     private final Map<PeerTopic, List<Consumer<PeerItem>>> listeners = new EnumMap<>(PeerTopic.class);
     private final PeerOutbox outbox;
-    private final Set<PeerMember> storeOwed = new LinkedHashSet<>();
-    private final List<Runnable> onRound = new ArrayList<>();
+    private final Set<PeerMember> pendingSnapshots = new LinkedHashSet<>();
+    private final List<Runnable> roundTasks = new ArrayList<>();
     private final long startedMillis;
     private long nextVersion = 1;
     private long nextNumber = 1;
     private long roundsCount;
-    private int wantsCount;
-    private long messageToRelayRound;
-    private boolean wasActing;
+    private int stateRequestCount;
+    private long lastRelayMessageRound;
+    private boolean wasRelay;
 
     /**
      * Creates an exchange; {@link #start()} makes it send.
      *
-     * @param settings what may be set; a fleet with no more others than neighbours needs no relays, not null
+     * @param settings the settings; a fleet with no more other instances than the fanout uses no relays, not null
      * @param time the clock and timers, not null
-     * @param transport carries messages, not null
-     * @param members the other instances as the platform lists them, asked for at each round, not null
-     * @param observer hears of traffic, not null
+     * @param transport sends messages, not null
+     * @param members returns the other instances as the platform lists them, queried in each round, not null
+     * @param observer is notified of the traffic, not null
      */
     public RelayExchange(
             PeerSettings settings,
@@ -96,9 +104,9 @@
         this.transport = Objects.requireNonNull(transport, "transport");
         this.members = Objects.requireNonNull(members, "members");
         this.observer = Objects.requireNonNull(observer, "observer");
-        this.relays = new CentreRelays(settings, time);
-        this.replays = new ReplayGuard(time);
-        this.clocks = new PeerClocks(time);
+        this.relayTracker = new RelayTracker(settings, time);
+        this.replayGuard = new ReplayGuard(time);
+        this.clockOffsets = new ClockOffsets(time);
         this.outbox = new PeerOutbox(time, settings.bytesPerSecond(), observer::onDropped);
         this.codec = new PeerCodec(settings.secret(), settings.maxMessageBytes());
         this.startedMillis = time.wallMillis();
@@ -113,199 +121,207 @@
     }
 
     /**
-     * Calls back at each round, before it is sent.
+     * Registers a task that runs in each round before its messages are sent.
      *
-     * @param task what to do, not null
+     * @param task the task, not null
      */
     public void eachRound(Runnable task) {
-        onRound.add(Objects.requireNonNull(task, "task"));
+        roundTasks.add(Objects.requireNonNull(task, "task"));
     }
 
     /**
-     * Says whether the fleet is so large that loads go by relays.
+     * Returns whether the fleet is so large that it uses relays.
      *
-     * @return false while each tells each
+     * @return false while each instance sends to each other one
      */
     public boolean byRelays() {
-        return relays.needed();
+        return relayTracker.usesRelays();
     }
 
     /**
-     * Says whether this instance is its data centre's relay now.
+     * Returns whether this instance is currently the relay of its data centre.
      *
-     * @return whether no instance before it was heard to be one of late
+     * @return whether no predecessor in the succession order has recently acted as the relay
      */
     public boolean acting() {
-        return relays.acting();
+        return relayTracker.isRelay();
     }
 
     /**
-     * Says whether a relay gives its sign of life in this round: what else is told to all then goes in the same message.
+     * Returns whether relays send their heartbeat in this round; other updates for all instances then go in the same
+     * message.
      *
      * @return whether this is such a round
      */
     public boolean relaysRound() {
-        return roundsCount % RELAY_MESSAGE_ROUNDS == 0;
+        return roundsCount % RELAY_HEARTBEAT_ROUNDS == 0;
     }
 
     /**
-     * Returns this instance's place in the order of succession.
+     * Returns this instance's position in the succession order.
      *
      * @return zero for the first
      */
     public int ownRank() {
-        return relays.ownRank();
+        return relayTracker.ownRank();
     }
 
     /**
-     * Says whether another instance of this data centre stands before this one.
+     * Returns whether another instance of this data centre precedes this one in the succession order.
      *
      * @param name its name, not null
-     * @return whether it does
+     * @return whether it is a predecessor
      */
     public boolean before(String name) {
-        return relays.before(name);
+        return relayTracker.isPredecessor(name);
     }
 
     /**
-     * Says whether a duty that one instance of each data centre does falls to this one.
+     * Returns whether a task that one instance of each data centre performs is assigned to this one.
      *
-     * @param key what the duty is about, not null
-     * @return whether no other instance that is believed alive ranks higher for it
+     * @param key the key of the task, not null
+     * @return whether no other instance that is considered alive ranks higher for it
      */
     public boolean fallsToOwn(String key) {
-        return relays.fallsToOwn(key);
+        return relayTracker.isAssignedToSelf(key);
     }
 
     /**
-     * Says whether a duty that one instance of the whole fleet does falls to this one: the one of the relays that ranks
-     * highest for it.
+     * Returns whether a task that one instance of the whole fleet performs is assigned to this one. It is assigned to
+     * the relay that ranks highest for it.
      *
-     * @param key what the duty is about, not null
-     * @return whether this instance acts as a relay, and no other relay that was heard of late ranks higher
+     * @param key the key of the task, not null
+     * @return whether this instance is a relay, and no other recently active relay ranks higher
      */
     public boolean fleetsDutyFallsToOwn(String key) {
-        return relays.fleetsDutyFallsToOwn(key);
+        return relayTracker.isFleetTaskAssignedToSelf(key);
     }
 
     /**
-     * Says whether an instance is one of this data centre.
+     * Returns whether an instance belongs to this data centre.
      *
      * @param name its name, not null
-     * @return whether it is this one, or is listed in this data centre
+     * @return whether it is this instance, or is listed in this data centre
      */
     public boolean ofOwnCentre(String name) {
-        return relays.ofOwnCentre(name);
+        return relayTracker.inOwnDataCentre(name);
     }
 
     /**
-     * Tells everything of a topic to each instance that this one has just been connected to: it may have started anew, and
-     * know nobody that it could ask.
+     * Registers the state of a topic for transfer to each instance that a connection has been opened to, since that
+     * instance may have restarted and may not know any other instance that it could ask.
      *
      * @param topic the topic, not null
-     * @param all what is to be told by key, asked for each time, not null
-     * @param keepMillis how long it may be of use
+     * @param entries returns the current payloads by key, called for each transfer, not null
+     * @param ttlMillis the time to live of the transferred entries
      */
-    public void tellNewcomers(PeerTopic topic, Supplier<Map<String, Bytes>> all, long keepMillis) {
-        newcomers.tell(topic, all, keepMillis);
+    public void tellNewcomers(PeerTopic topic, Supplier<Map<String, Bytes>> entries, long ttlMillis) {
+        stateTransfers.addSource(topic, entries, ttlMillis);
     }
 
     /**
-     * Hears of a new connection to another instance.
+     * Called when a connection to another instance was opened.
      *
      * @param member the instance, not null
      */
     public void connected(PeerMember member) {
         if (acting() || !byRelays()) {
-            newcomers.connected(member, roundsCount);
-            tellEverything(member);
+            stateTransfers.onConnected(member, roundsCount);
+            sendState(member);
         }
     }
 
     /**
-     * Asks others for all that they know: the platform turns this instance away, and it has nothing to serve by. The one
-     * that tells it, and of its data centre each time another one, since the relay may be turned away as well.
+     * Requests all state from other instances, because the platform rejects this instance's calls and it has no state
+     * to serve from. The request goes to the instance's relay or, from a relay, to those of the other data centres. It
+     * also goes to one other instance of the own data centre, a different one each time, since the relay may be
+     * rejected as well.
      */
     public void wantEverything() {
-        List<PeerEntry> want = List.of(own(PeerTopic.WANT, settings.instance(), Bytes.EMPTY, WANT_KEEP_MILLIS));
+        List<PeerEntry> request =
+                List.of(ownEntry(PeerTopic.WANT, settings.instance(), Bytes.EMPTY, STATE_REQUEST_TTL_MILLIS));
         send(
-                want,
+                request,
                 acting()
-                        ? relays.ofOtherCentres()
-                        : relays.ofOwnCentre().flatMap(relays::member).stream().toList());
-        List<PeerMember> centre = relays.centre();
-        if (!centre.isEmpty()) {
-            send(want, List.of(centre.get(wantsCount++ % centre.size())));
+                        ? relayTracker.inOtherDataCentres()
+                        : relayTracker.inOwnDataCentre().flatMap(relayTracker::findMember).stream()
+                                .toList());
+        List<PeerMember> localPeers = relayTracker.localPeers();
+        if (!localPeers.isEmpty()) {
+            send(request, List.of(localPeers.get(stateRequestCount++ % localPeers.size())));
         }
     }
 
-    /** Returns whether there was anything to tell newcomers. */
-    private boolean tellEverything(PeerMember member) {
-        storeOwed.add(member);
-        payOwedStores();
-        return newcomers.forEach((topic, key, payload, keepMillis) ->
-                send(List.of(own(topic, key, payload, keepMillis)), List.of(member)));
+    /** Sends all state to a member, and returns whether there was any state of the registered topics. */
+    private boolean sendState(PeerMember member) {
+        pendingSnapshots.add(member);
+        sendPendingSnapshots();
+        return stateTransfers.forEachEntry((topic, key, payload, ttlMillis) ->
+                send(List.of(ownEntry(topic, key, payload, ttlMillis)), List.of(member)));
     }
 
     /**
-     * Tells the own data centre at once: what the platform's bounds count for may not wait for a round.
+     * Sends an update to the own data centre immediately, for updates that the platform's limits depend on and that
+     * cannot wait for a round.
      *
      * @param topic the topic, not null
-     * @param key what it is about, not null
-     * @param payload what is told, not null
-     * @param keepMillis how long it may be of use
-     * @param abroad whether the relays of the other data centres are told too
+     * @param key the key within the topic, not null
+     * @param payload the content, not null
+     * @param ttlMillis the time to live at the recipients
+     * @param toOtherDataCentres whether the relays of the other data centres get the update too
      */
-    public void publishAtOnce(PeerTopic topic, String key, Bytes payload, long keepMillis, boolean abroad) {
-        List<PeerEntry> entries = List.of(own(topic, key, payload, keepMillis));
-        send(entries, relays.centre());
-        if (abroad && acting()) {
-            send(entries, relays.ofOtherCentres());
+    public void publishAtOnce(PeerTopic topic, String key, Bytes payload, long ttlMillis, boolean toOtherDataCentres) {
+        List<PeerEntry> entries = List.of(ownEntry(topic, key, payload, ttlMillis));
+        send(entries, relayTracker.localPeers());
+        if (toOtherDataCentres && acting()) {
+            send(entries, relayTracker.inOtherDataCentres());
         }
     }
 
     /**
-     * Tells newcomers what is known beside the streams, one after the other as the link has room.
+     * Sends the stored entries to members that have just started, one member after the other as the budget allows.
      *
-     * <p>Load: a whole data centre starts at once. Everything for everybody would fill a narrow link for seconds.
+     * <p>Load: when a whole data centre starts at once, sending everything to all members would saturate a narrow link
+     * for seconds.
      */
-    private void payOwedStores() {
-        Iterator<PeerMember> owed = storeOwed.iterator();
-        while (owed.hasNext()) {
-            List<PeerEntry> all = store.all(time.monotonicMillis(), settings.maxMessageBytes() / 2);
-            if (!outbox.hasRoomFor(all.stream().mapToLong(PeerCodec::sizeOf).sum())) {
+    private void sendPendingSnapshots() {
+        Iterator<PeerMember> recipients = pendingSnapshots.iterator();
+        while (recipients.hasNext()) {
+            List<PeerEntry> entries = store.snapshot(time.monotonicMillis(), settings.maxMessageBytes() / 2);
+            if (!outbox.hasBudgetFor(
+                    entries.stream().mapToLong(PeerCodec::sizeOf).sum())) {
                 return;
             }
-            PeerMember member = owed.next();
-            owed.remove();
-            send(all, List.of(member));
+            PeerMember member = recipients.next();
+            recipients.remove();
+            send(entries, List.of(member));
         }
     }
 
-    private PeerEntry own(PeerTopic topic, String key, Bytes payload, long keepMillis) {
+    private PeerEntry ownEntry(PeerTopic topic, String key, Bytes payload, long ttlMillis) {
         return new PeerEntry(
-                settings.instance(), startedMillis, topic.name(), key, nextVersion++, 0, keepMillis, payload);
+                settings.instance(), startedMillis, topic.name(), key, nextVersion++, 0, ttlMillis, payload);
     }
 
     @Override
-    public void publish(PeerTopic topic, String key, Bytes payload, long keepMillis) {
-        PeerEntry entry = own(topic, key, payload, keepMillis);
-        store.accept(entry, time.monotonicMillis(), 0);
+    public void publish(PeerTopic topic, String key, Bytes payload, long ttlMillis) {
+        PeerEntry entry = ownEntry(topic, key, payload, ttlMillis);
+        store.add(entry, time.monotonicMillis(), 0);
         if (topic == PeerTopic.KEPT_PARTS) {
-            outbox.add(acting() || !byRelays() ? Audience.OWN_CENTRE : Audience.OWN_RELAY, entry);
+            outbox.add(acting() || !byRelays() ? Audience.OWN_DATA_CENTRE : Audience.OWN_RELAY, entry);
         } else if (topic == PeerTopic.ALIVE) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
             outbox.add(Audience.OTHER_RELAYS, entry);
         } else if (topic == PeerTopic.CENTRE_LOAD) {
             outbox.add(Audience.OTHER_RELAYS, entry);
         } else if (topic == PeerTopic.FLEET_LOAD) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
         } else if (!byRelays()) {
             outbox.add(Audience.ALL, entry);
         } else if (!acting()) {
             outbox.add(Audience.OWN_RELAY, entry);
         } else if (topic != PeerTopic.LOAD) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
             outbox.add(Audience.OTHER_RELAYS, entry);
         }
     }
@@ -317,78 +333,86 @@
 
     private void runRound() {
         roundsCount++;
-        relays.look(members.get());
+        relayTracker.updateMembers(members.get());
         store.expire(time.monotonicMillis());
-        relays.forgetSilent();
-        onRound.forEach(Runnable::run);
-        newcomers.payOwed(relays::wasHeard, roundsCount, this::tellEverything);
-        boolean acts = acting();
-        if (acts != wasActing) {
-            wasActing = acts;
+        relayTracker.expireSilentMembers();
+        roundTasks.forEach(Runnable::run);
+        stateTransfers.retryPending(relayTracker::hasMessageFrom, roundsCount, this::sendState);
+        boolean isRelay = acting();
+        if (isRelay != wasRelay) {
+            wasRelay = isRelay;
             LogEvent.of("relay_changed")
-                    .with("acting", acts)
-                    .with("relay", relays.ofOwnCentre().orElseGet(settings::instance))
-                    .with("rank", relays.ownRank())
+                    .with("acting", isRelay)
+                    .with("relay", relayTracker.inOwnDataCentre().orElseGet(settings::instance))
+                    .with("rank", relayTracker.ownRank())
                     .info(log);
         }
-        if (acts && relaysRound()) {
-            sayWhoIsAlive();
+        if (isRelay && relaysRound()) {
+            publishHeartbeat();
         }
-        flush(acts);
+        flush(isRelay);
         time.schedule(settings.roundMillis(), this::runRound);
     }
 
-    private void flush(boolean acts) {
-        flush(Audience.ALL, relays.others());
-        flush(Audience.OTHER_RELAYS, relays.ofOtherCentres());
-        if (acts) {
-            // It was for a relay that has gone silent since.
-            outbox.move(Audience.OWN_RELAY, Audience.OWN_CENTRE);
+    private void flush(boolean isRelay) {
+        flush(Audience.ALL, relayTracker.others());
+        flush(Audience.OTHER_RELAYS, relayTracker.inOtherDataCentres());
+        if (isRelay) {
+            // These entries were queued for a relay that has since fallen silent.
+            outbox.move(Audience.OWN_RELAY, Audience.OWN_DATA_CENTRE);
         }
-        flush(Audience.OWN_CENTRE, relays.centre());
-        if (!acts) {
-            tellOwnRelay(relays.ofOwnCentre().flatMap(relays::member).stream().toList());
+        flush(Audience.OWN_DATA_CENTRE, relayTracker.localPeers());
+        if (!isRelay) {
+            sendToOwnRelay(relayTracker.inOwnDataCentre().flatMap(relayTracker::findMember).stream()
+                    .toList());
         }
-        payOwedStores();
+        sendPendingSnapshots();
     }
 
-    private void flush(Audience audience, List<PeerMember> to) {
-        if (to.isEmpty()) {
+    private void flush(Audience audience, List<PeerMember> recipients) {
+        if (recipients.isEmpty()) {
             outbox.clear(audience);
             return;
         }
-        List<PeerEntry> entries = outbox.take(audience, to.size());
+        List<PeerEntry> entries = outbox.take(audience, recipients.size());
         if (!entries.isEmpty()) {
-            send(entries, to);
+            send(entries, recipients);
         }
     }
 
-    private void tellOwnRelay(List<PeerMember> relay) {
+    private void sendToOwnRelay(List<PeerMember> relay) {
         List<PeerEntry> entries = outbox.take(Audience.OWN_RELAY, relay.size());
-        if (!entries.isEmpty() || roundsCount - messageToRelayRound >= OWN_MESSAGE_ROUNDS) {
-            messageToRelayRound = roundsCount;
+        if (!entries.isEmpty() || roundsCount - lastRelayMessageRound >= MEMBER_HEARTBEAT_ROUNDS) {
+            lastRelayMessageRound = roundsCount;
             send(entries, relay);
         }
     }
 
-    private void sayWhoIsAlive() {
-        if (relays.centre().isEmpty()) {
+    private void publishHeartbeat() {
+        if (relayTracker.localPeers().isEmpty()) {
             return;
         }
-        Set<String> alive = relays.aliveByHearing();
-        Map<String, Long> leads = new TreeMap<>(clocks.leadsMillis());
-        leads.keySet().removeIf(name -> relays.ofOwnCentre(name) && !alive.contains(name));
-        leads.put(settings.instance(), 0L);
-        publish(PeerTopic.ALIVE, settings.dataCentre(), new RelayHeartbeat(leads).encode(), relays.aliveMillis());
+        Set<String> alive = relayTracker.recentSenders();
+        Map<String, Long> offsets = new TreeMap<>(clockOffsets.offsetsMillis());
+        offsets.keySet().removeIf(name -> relayTracker.inOwnDataCentre(name) && !alive.contains(name));
+        offsets.put(settings.instance(), 0L);
+        publish(
+                PeerTopic.ALIVE,
+                settings.dataCentre(),
+                new RelayHeartbeat(offsets).encode(),
+                relayTracker.heartbeatTtlMillis());
     }
 
-    /** This process was suspended: what is known of the ways of messages is wrong by that time. */
+    /**
+     * Discards the clock offsets after this process was suspended, since transit times are wrong by the length of the
+     * suspension.
+     */
     public void suspended() {
-        clocks.forget();
+        clockOffsets.reset();
     }
 
-    private void send(List<PeerEntry> entries, List<PeerMember> to) {
-        if (to.isEmpty()) {
+    private void send(List<PeerEntry> entries, List<PeerMember> recipients) {
+        if (recipients.isEmpty()) {
             return;
         }
         Bytes encoded = codec.encode(new PeerMessage(
@@ -398,70 +422,72 @@
                 nextNumber++,
                 time.wallMillis(),
                 time.monotonicMillis(),
-                to.size() == 1 ? clocks.leadMillis(to.get(0).name()) : Optional.empty(),
-                roundsCount <= NEWCOMER_ROUNDS,
+                recipients.size() == 1
+                        ? clockOffsets.offsetMillis(recipients.get(0).name())
+                        : Optional.empty(),
+                roundsCount <= STATE_REQUEST_ROUNDS,
                 entries));
         for (PeerEntry entry : entries) {
-            PeerTopic.named(entry.topic())
-                    .ifPresent(topic -> observer.onTold(topic, PeerCodec.sizeOf(entry), to.size()));
+            PeerTopic.find(entry.topic())
+                    .ifPresent(topic -> observer.onTold(topic, PeerCodec.sizeOf(entry), recipients.size()));
         }
-        outbox.spent((long) encoded.length() * to.size());
-        for (PeerMember member : to) {
+        outbox.onSent((long) encoded.length() * recipients.size());
+        for (PeerMember member : recipients) {
             observer.onSent(encoded.length());
             transport.send(member, encoded);
         }
     }
 
     /**
-     * Takes a message from the transport.
+     * Processes a message from the transport.
      *
-     * @param received the message, not null
-     * @return whether it was taken; a connection that brings one that is refused is closed
+     * @param received the encoded message, not null
+     * @return whether it was accepted; a connection that delivers a refused message is closed
      */
     public boolean receive(Bytes received) {
-        boolean[] taken = new boolean[1];
+        boolean[] accepted = new boolean[1];
         codec.decode(
                 received,
                 message -> {
                     observer.onReceived(received.length());
-                    taken[0] = take(message);
+                    accepted[0] = process(message);
                 },
                 observer::onRefused);
-        return taken[0];
+        return accepted[0];
     }
 
-    private boolean take(PeerMessage message) {
-        if (replays.isReplayed(message)) {
+    private boolean process(PeerMessage message) {
+        if (replayGuard.isReplayed(message)) {
             observer.onRefused(PeerRefusal.REPLAYED);
             return false;
         }
-        relays.heard(message.sender());
-        clocks.heard(message);
-        Optional<RelayHeartbeat> aliveWord = aliveWord(message);
+        relayTracker.onMessageFrom(message.sender());
+        clockOffsets.onMessage(message);
+        Optional<RelayHeartbeat> heartbeat = heartbeatIn(message);
         if (message.leadMillis().isPresent()) {
-            clocks.told(message.sender(), message.startedMillis(), message.leadMillis());
+            clockOffsets.onReportedOffset(message.sender(), message.startedMillis(), message.leadMillis());
         } else {
-            aliveWord.ifPresent(word ->
-                    clocks.told(message.sender(), message.startedMillis(), word.leadMillis(settings.instance())));
+            heartbeat.ifPresent(relayHeartbeat -> clockOffsets.onReportedOffset(
+                    message.sender(), message.startedMillis(), relayHeartbeat.clockOffsetMillis(settings.instance())));
         }
-        OptionalLong wayMillis = clocks.wayMillis(message);
-        wayMillis.ifPresent(millis -> {
+        OptionalLong transitMillis = clockOffsets.transitMillis(message);
+        transitMillis.ifPresent(millis -> {
             observer.onWay(millis);
-            lateWords.came(message.sender(), millis);
+            lateMessages.onMessage(message.sender(), millis);
         });
         for (PeerEntry entry : message.items()) {
-            accept(entry, wayMillis, message.sender(), aliveWord);
+            accept(entry, transitMillis, message.sender(), heartbeat);
         }
-        if (newcomers.isFirstWord(message) && (acting() || !byRelays())) {
-            // Without the wish to be answered: two newcomers would send each other everything without end.
-            relays.member(message.sender()).ifPresent(storeOwed::add);
-            payOwedStores();
+        if (stateTransfers.isFirstStateRequest(message) && (acting() || !byRelays())) {
+            // The reply requests no state itself: two starting instances would send each other everything endlessly.
+            relayTracker.findMember(message.sender()).ifPresent(pendingSnapshots::add);
+            sendPendingSnapshots();
         }
         return true;
     }
 
-    /** What a relay says of itself and of the clocks of those that it hears, where the message has that. */
-    private Optional<RelayHeartbeat> aliveWord(PeerMessage message) {
+    /** Returns the sender's heartbeat as a relay with its clock offsets, if the message contains one. */
+    private Optional<RelayHeartbeat> heartbeatIn(PeerMessage message) {
         for (PeerEntry entry : message.items()) {
             if (entry.topic().equals(PeerTopic.ALIVE.name()) && entry.origin().equals(message.sender())) {
                 try {
@@ -477,48 +503,50 @@
         return Optional.empty();
     }
 
-    private void accept(PeerEntry came, OptionalLong wayMillis, String sender, Optional<RelayHeartbeat> aliveWord) {
-        PeerEntry entry = came.older(wayMillis.orElse(0));
-        Optional<PeerTopic> topic = PeerTopic.named(entry.topic());
+    private void accept(
+            PeerEntry received, OptionalLong transitMillis, String sender, Optional<RelayHeartbeat> heartbeat) {
+        PeerEntry entry = received.withAddedAge(transitMillis.orElse(0));
+        Optional<PeerTopic> topic = PeerTopic.find(entry.topic());
         if (topic.isEmpty()
                 || entry.origin().equals(settings.instance())
-                // What came late is old and still news; its age may be this instance's own way.
-                || !store.accept(came, time.monotonicMillis(), 0)) {
+                // A late entry is old but still new to this instance; its age may stem from this instance's own link.
+                || !store.add(received, time.monotonicMillis(), 0)) {
             return;
         }
         if (topic.get() == PeerTopic.ALIVE) {
-            aliveWord.ifPresent(word -> relays.heardAlive(entry, word, sender));
+            heartbeat.ifPresent(relayHeartbeat -> relayTracker.onHeartbeat(entry, relayHeartbeat, sender));
         }
         if (topic.get() == PeerTopic.WANT) {
-            relays.member(sender).ifPresent(this::tellEverything);
+            relayTracker.findMember(sender).ifPresent(this::sendState);
             return;
         }
         if (acting() && byRelays()) {
-            passOn(entry, topic.get(), sender);
+            forward(entry, topic.get(), sender);
         }
-        boolean ageProved = wayMillis.isPresent() && entry.origin().equals(sender);
-        PeerItem item = new PeerItem(
+        boolean ageBounded = transitMillis.isPresent() && entry.origin().equals(sender);
+        PeerItem update = new PeerItem(
                 entry.origin(),
                 topic.get(),
                 entry.key(),
                 entry.version(),
                 entry.payload(),
                 entry.ageMillis(),
-                ageProved);
-        listeners.get(topic.get()).forEach(listener -> listener.accept(item));
+                ageBounded);
+        listeners.get(topic.get()).forEach(listener -> listener.accept(update));
     }
 
-    private void passOn(PeerEntry entry, PeerTopic topic, String sender) {
-        boolean ours = relays.member(sender)
+    private void forward(PeerEntry entry, PeerTopic topic, String sender) {
+        boolean fromOwnDataCentre = relayTracker
+                .findMember(sender)
                 .filter(member -> member.dataCentre().equals(settings.dataCentre()))
                 .isPresent();
-        if (TOLD_TO_ALL.contains(topic)) {
-            outbox.add(Audience.OWN_CENTRE, entry);
-            if (ours) {
+        if (FLEET_WIDE_TOPICS.contains(topic)) {
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
+            if (fromOwnDataCentre) {
                 outbox.add(Audience.OTHER_RELAYS, entry);
             }
-        } else if (topic == PeerTopic.KEPT_PARTS && ours) {
-            outbox.add(Audience.OWN_CENTRE, entry);
+        } else if (topic == PeerTopic.KEPT_PARTS && fromOwnDataCentre) {
+            outbox.add(Audience.OWN_DATA_CENTRE, entry);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/dogwoodwinch/peer/RelayTracker.java
@@ -0,0 +1,256 @@
+package org.dogwoodwinch.peer;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.dogwoodwinch.time.TimeSource;
+
+/**
+ * Tracks the relay of each data centre and the live instances of the own one. Confined to one event loop.
+ *
+ * <p>Failure: the relay dies, freezes or is cut off, and no instance receives updates. An instance that has received no
+ * heartbeat from a predecessor in the succession order for a while takes over, the next in order first; two that act as
+ * relay at the same time send the same updates twice.
+ */
+final class RelayTracker {
+
+    /**
+     * The rounds after which a relay counts as failed: three lost heartbeats, or the length of a garbage collection
+     * pause.
+     */
+    private static final int RELAY_TIMEOUT_ROUNDS = 7;
+
+    /**
+     * The additional rounds that each further instance in the succession order waits, so that they take over one after
+     * the other.
+     */
+    private static final int STAGGER_ROUNDS = 1;
+
+    /**
+     * The position from which the delay no longer grows, so that successive failures of relays do not add up to
+     * seconds.
+     */
+    private static final int MAX_STAGGERS = 3;
+
+    /**
+     * The rounds without a message after which an instance is assigned no tasks; longer than a pause or a lost packet.
+     */
+    private static final int MEMBER_TIMEOUT_ROUNDS = 10;
+
+    private final PeerSettings settings;
+    private final TimeSource time;
+    private final SuccessionOrder succession;
+    private final TaskAssignment taskAssignment;
+    private final Map<String, Long> lastMessageMillis = new HashMap<>();
+    private final Map<String, Relay> relays = new HashMap<>();
+    private Set<String> reportedAlive = Set.of();
+    private long reportedAliveMillis = Long.MIN_VALUE;
+    private long firstRoundMillis = Long.MIN_VALUE;
+    private List<PeerMember> others = List.of();
+    private List<PeerMember> localPeers = List.of();
+    private int ownRank;
+
+    RelayTracker(PeerSettings settings, TimeSource time) {
+        this.settings = Objects.requireNonNull(settings, "settings");
+        this.time = Objects.requireNonNull(time, "time");
+        this.succession = new SuccessionOrder(settings.dataCentre(), settings.instance(), settings.linkMbps());
+        this.taskAssignment = new TaskAssignment(succession);
+    }
+
+    /**
+     * Updates the list of other instances. Called once per round, since the list is needed for each message and call,
+     * and changes within seconds.
+     */
+    void updateMembers(List<PeerMember> members) {
+        if (firstRoundMillis == Long.MIN_VALUE && !others.isEmpty()) {
+            firstRoundMillis = time.monotonicMillis();
+        }
+        others = List.copyOf(members);
+        succession.updateLinks(others);
+        localPeers = others.stream()
+                .filter(member -> member.dataCentre().equals(settings.dataCentre()))
+                .toList();
+        ownRank = succession.ownRank(localPeers);
+        taskAssignment.updateMembers(aliveMembers());
+    }
+
+    /** Removes the timestamps of instances that have been silent for the member time-out. */
+    void expireSilentMembers() {
+        lastMessageMillis.values().removeIf(atMillis -> !isRecent(atMillis, MEMBER_TIMEOUT_ROUNDS));
+    }
+
+    List<PeerMember> others() {
+        return others;
+    }
+
+    List<PeerMember> localPeers() {
+        return localPeers;
+    }
+
+    int ownRank() {
+        return ownRank;
+    }
+
+    Optional<PeerMember> findMember(String name) {
+        return others.stream().filter(member -> member.name().equals(name)).findFirst();
+    }
+
+    boolean inOwnDataCentre(String name) {
+        return name.equals(settings.instance())
+                || localPeers.stream().anyMatch(member -> member.name().equals(name));
+    }
+
+    boolean isPredecessor(String name) {
+        return succession.isPredecessor(name);
+    }
+
+    boolean isAssignedToSelf(String key) {
+        return taskAssignment.isAssignedToSelf(key);
+    }
+
+    /**
+     * Returns whether a task that one instance of the fleet performs is assigned to this one: it is a relay, and no
+     * recently active relay ranks higher.
+     */
+    boolean isFleetTaskAssignedToSelf(String key) {
+        List<String> activeRelays = relays.values().stream()
+                .filter(relay -> isRecent(relay.heartbeatMillis, RELAY_TIMEOUT_ROUNDS))
+                .map(Relay::name)
+                .toList();
+        return isRelay() && succession.isAssignedToSelf(key, activeRelays);
+    }
+
+    /** Returns whether the fleet is so large that it uses relays. */
+    boolean usesRelays() {
+        return others.size() > settings.fanout();
+    }
+
+    /** Returns whether this instance is the relay of its data centre. */
+    boolean isRelay() {
+        return inOwnDataCentre().isEmpty();
+    }
+
+    /** Returns the relay of this data centre, unless it is this instance. */
+    Optional<String> inOwnDataCentre() {
+        int timeoutRounds = RELAY_TIMEOUT_ROUNDS + STAGGER_ROUNDS * Math.min(MAX_STAGGERS, Math.max(0, ownRank - 1));
+        Relay relay = relays.get(settings.dataCentre());
+        if (relay == null || !succession.isPredecessor(relay.name)) {
+            return presumedRelay(timeoutRounds);
+        }
+        return isRecent(relay.heartbeatMillis, timeoutRounds) ? Optional.of(relay.name) : Optional.empty();
+    }
+
+    /**
+     * Returns the presumed relay while no heartbeat has been received yet: the first in order is given as much time as
+     * a relay that falls silent.
+     *
+     * <p>Load: when a whole fleet started at once, each instance considered itself the relay until it received a
+     * heartbeat, and opened a connection to each other instance of its data centre.
+     */
+    private Optional<String> presumedRelay(int timeoutRounds) {
+        return usesRelays() && isRecent(firstRoundMillis, timeoutRounds)
+                ? succession
+                        .first(settings.dataCentre(), localPeers)
+                        .map(PeerMember::name)
+                        .filter(succession::isPredecessor)
+                : Optional.empty();
+    }
+
+    /**
+     * Returns the relays of the other data centres; where no heartbeat has been received recently, the first in order
+     * is presumed.
+     */
+    List<PeerMember> inOtherDataCentres() {
+        Map<String, List<PeerMember>> membersByDataCentre = new HashMap<>();
+        for (PeerMember member : others) {
+            if (!member.dataCentre().equals(settings.dataCentre())) {
+                membersByDataCentre
+                        .computeIfAbsent(member.dataCentre(), _name -> new ArrayList<>())
+                        .add(member);
+            }
+        }
+        List<PeerMember> result = new ArrayList<>();
+        membersByDataCentre.forEach((dataCentre, candidates) -> {
+            Relay lastRelay = relays.get(dataCentre);
+            Optional<PeerMember> activeRelay =
+                    lastRelay == null || !isRecent(lastRelay.heartbeatMillis, RELAY_TIMEOUT_ROUNDS)
+                            ? Optional.empty()
+                            : candidates.stream()
+                                    .filter(member -> member.name().equals(lastRelay.name))
+                                    .findFirst();
+            activeRelay.or(() -> succession.first(dataCentre, candidates)).ifPresent(result::add);
+        });
+        return result;
+    }
+
+    /** Records that an instance sent a message. */
+    void onMessageFrom(String name) {
+        lastMessageMillis.put(name, time.monotonicMillis());
+    }
+
+    boolean hasMessageFrom(String name) {
+        return lastMessageMillis.containsKey(name);
+    }
+
+    /** Returns the time to live of a heartbeat's list of live instances. */
+    long heartbeatTtlMillis() {
+        return MEMBER_TIMEOUT_ROUNDS * settings.roundMillis();
+    }
+
+    /**
+     * Returns the live instances: those that the relay recently reported or, at a relay and without a recent report,
+     * the recent senders.
+     */
+    private Set<String> aliveMembers() {
+        if (!isRelay() && isRecent(reportedAliveMillis, MEMBER_TIMEOUT_ROUNDS)) {
+            return reportedAlive;
+        }
+        return recentSenders();
+    }
+
+    Set<String> recentSenders() {
+        Set<String> names = new HashSet<>();
+        for (PeerMember member : localPeers) {
+            Long atMillis = lastMessageMillis.get(member.name());
+            if (atMillis != null && isRecent(atMillis, MEMBER_TIMEOUT_ROUNDS)) {
+                names.add(member.name());
+            }
+        }
+        names.add(settings.instance());
+        return names;
+    }
+
+    /**
+     * Processes a relay's heartbeat with the live instances of its data centre. The first recently active relay in the
+     * succession order counts, however long its messages were in transit: the delay may be on this instance's own link,
+     * and must not make it start to send to all others.
+     */
+    void onHeartbeat(PeerEntry entry, RelayHeartbeat heartbeat, String sender) {
+        String dataCentre = entry.key();
+        Relay lastRelay = relays.get(dataCentre);
+        boolean isOutranked = lastRelay != null
+                && !lastRelay.name.equals(sender)
+                && isRecent(lastRelay.heartbeatMillis, RELAY_TIMEOUT_ROUNDS)
+                && succession.isPredecessor(dataCentre, lastRelay.name, sender);
+        if (!isOutranked && entry.origin().equals(sender)) {
+            relays.put(dataCentre, new Relay(sender, time.monotonicMillis()));
+        }
+        if (dataCentre.equals(settings.dataCentre()) && !isOutranked && succession.isPredecessor(sender)) {
+            reportedAlive =
+                    heartbeat.names().stream().filter(this::inOwnDataCentre).collect(Collectors.toUnmodifiableSet());
+            reportedAliveMillis = time.monotonicMillis();
+        }
+    }
+
+    private boolean isRecent(long atMillis, int rounds) {
+        return atMillis != Long.MIN_VALUE && time.monotonicMillis() - atMillis < rounds * settings.roundMillis();
+    }
+
+    private record Relay(String name, long heartbeatMillis) {}
+}
