--- a/src/main/java/org/dogwoodwinch/admission/LimitShareExchange.java
+++ b/src/main/java/org/dogwoodwinch/admission/LimitShareExchange.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeMap;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.TimeSource;
 
 /**
@@ -46,7 +46,7 @@
     private static final long GRANT_CAP_DIVISOR = 4;
 
     private final LimitShareSettings settings;
-    private final PeerBoard board;
+    private final PeerBus board;
     private final TimeSource time;
     private final long incarnation;
     private final GrantExpiryRule grantExpiryRule;
@@ -67,13 +67,13 @@
      * @param time the clock, not null
      * @param incarnation a number that grows with each start of this instance, such as the wall-clock time of the start
      */
-    public LimitShareExchange(LimitShareSettings settings, PeerBoard board, TimeSource time, long incarnation) {
+    public LimitShareExchange(LimitShareSettings settings, PeerBus board, TimeSource time, long incarnation) {
         this(settings, board, time, incarnation, GrantExpiryRule.FROM_BORROWER_STAMP, settings.restartWaitMillis());
     }
 
     LimitShareExchange(
             LimitShareSettings settings,
-            PeerBoard board,
+            PeerBus board,
             TimeSource time,
             long incarnation,
             GrantExpiryRule grantExpiryRule,
@@ -175,7 +175,7 @@
         return incarnations;
     }
 
-    private void onItem(PeerItem item) {
+    private void onItem(PeerUpdate item) {
         if (item.key().equals(MESSAGE_KEY)) {
             LimitShareMessageCodec.decode(item.payload()).ifPresent(message -> onMessage(message, item.ageMillis()));
         }
--- a/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
@@ -10,9 +10,9 @@
 import org.dogwoodwinch.catalogue.CatalogueDocument;
 import org.dogwoodwinch.catalogue.CatalogueHolder;
 import org.dogwoodwinch.catalogue.CatalogueRules;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
@@ -28,7 +28,7 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
-    private final PeerBoard board;
+    private final PeerBus board;
     private final CatalogueHolder holder;
     private final BooleanSupplier publishes;
     private final long gatherMillis;
@@ -45,7 +45,7 @@
      * @param publishes whether this instance is one of those that tell the others, not null
      * @param gatherMillis how long to collect before the newest is taken, in milliseconds
      */
-    CatalogueExchange(PeerBoard board, CatalogueHolder holder, BooleanSupplier publishes, long gatherMillis) {
+    CatalogueExchange(PeerBus board, CatalogueHolder holder, BooleanSupplier publishes, long gatherMillis) {
         this.board = Objects.requireNonNull(board, "board");
         this.holder = Objects.requireNonNull(holder, "holder");
         this.publishes = Objects.requireNonNull(publishes, "publishes");
@@ -85,7 +85,7 @@
         }
     }
 
-    private synchronized void onItem(PeerItem item) {
+    private synchronized void onItem(PeerUpdate item) {
         Catalogue offered;
         try {
             offered = MAPPER.readValue(item.payload().toByteArray(), CatalogueDocument.class)
--- a/src/main/java/org/dogwoodwinch/control/ControlServices.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlServices.java
@@ -6,7 +6,7 @@
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.external.WeightStore;
-import org.dogwoodwinch.peer.PeerBoard;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.target.TargetClients;
 
 /**
@@ -23,7 +23,7 @@
 public record ControlServices(
         LogService log,
         WeightStore weights,
-        PeerBoard board,
+        PeerBus board,
         BooleanSupplier publishesToPeers,
         TargetClients clients,
         FleetView fleet,
--- a/src/main/java/org/dogwoodwinch/control/DrainExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainExchange.java
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.TimeSource;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
@@ -35,7 +35,7 @@
     private static final long REPEAT_MILLIS = 2_000;
     private static final long KEEP_MILLIS = 8_000;
 
-    private final PeerBoard board;
+    private final PeerBus board;
     private final Function<String, DrainReport.Line> own;
     private final Supplier<Set<String>> outOfService;
     private final Supplier<Set<String>> others;
@@ -56,7 +56,7 @@
      * @param time gives the time and runs the timers, not null
      */
     public DrainExchange(
-            PeerBoard board,
+            PeerBus board,
             Function<String, DrainReport.Line> own,
             Supplier<Set<String>> outOfService,
             Supplier<Set<String>> others,
@@ -139,7 +139,7 @@
         return true;
     }
 
-    private synchronized void onItem(PeerItem item) {
+    private synchronized void onItem(PeerUpdate item) {
         try {
             DrainReport report = MAPPER.readValue(item.payload().toByteArray(), DrainReport.class);
             // Age is what matters: a report that wandered for long says nothing of now.
--- a/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
+++ b/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
@@ -9,8 +9,8 @@
 import org.dogwoodwinch.bytes.Packing;
 import org.dogwoodwinch.forwarding.TargetHealth;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
 import org.dogwoodwinch.relay.BreakOffs;
 import org.slf4j.Logger;
@@ -106,7 +106,7 @@
                 KEEP_MILLIS);
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         try {
             Word word = Packing.unpack(item.payload().toByteArray(), unpacker -> {
                 Packing.expectFields(unpacker, FIELDS);
@@ -123,7 +123,7 @@
         }
     }
 
-    private void apply(PeerItem item, long pauseMillis) {
+    private void apply(PeerUpdate item, long pauseMillis) {
         String targetId = item.key();
         if (pauseMillis <= 0) {
             probedFromHere.remove(targetId);
@@ -143,7 +143,7 @@
         }
     }
 
-    private static void log(PeerItem item, long pauseMillis) {
+    private static void log(PeerUpdate item, long pauseMillis) {
         LogEvent.of("broken_target_heard")
                 .with("target", item.key())
                 .with("pauseMillis", pauseMillis)
--- a/src/main/java/org/dogwoodwinch/daemon/ConfigurationReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ConfigurationReader.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.Objects;
 import java.util.Set;
-import org.dogwoodwinch.follow.FollowListener;
 import org.dogwoodwinch.follow.KeyedRecord;
+import org.dogwoodwinch.follow.StreamListener;
 import org.dogwoodwinch.forwarding.RouteTable;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.platform.ConfigurationDecoder;
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Puts each newer configuration in force; through an outage the last one stays. */
-final class ConfigurationReader implements FollowListener {
+final class ConfigurationReader implements StreamListener {
 
     private static final Logger log = LoggerFactory.getLogger(ConfigurationReader.class);
 
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void record(KeyedRecord record) {
+    public void onRecord(KeyedRecord record) {
         if (!record.key().equals(StoreClient.CONFIGURATION_KEY)
                 || record.value().isEmpty()) {
             return;
@@ -55,18 +55,18 @@
 
     /** A configuration is never dropped: the last one serves until a newer one comes. */
     @Override
-    public void readWhole(Set<String> _keys, long endOffset) {
+    public void onSnapshotComplete(Set<String> _keys, long endOffset) {
         LogEvent.of("configurations_read_whole").with("endOffset", endOffset).info(log);
     }
 
     @Override
-    public void regained() {
+    public void onReconnected() {
         metrics.showStore(true);
         LogEvent.of("store_regained").with("stream", "configuration").info(log);
     }
 
     @Override
-    public void lost(String reason) {
+    public void onDisconnected(String reason) {
         metrics.showStore(false);
         LogEvent.of("store_lost")
                 .with("stream", "configuration")
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -23,7 +23,7 @@
 import org.dogwoodwinch.external.http.HttpLogService;
 import org.dogwoodwinch.external.http.HttpWeightStore;
 import org.dogwoodwinch.metrics.Metrics;
-import org.dogwoodwinch.peer.PeerBoard;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.request.ClaimIndex;
 import org.dogwoodwinch.request.LogClaimStore;
 import org.dogwoodwinch.request.RequestCoordinator;
@@ -81,7 +81,7 @@
                 platform.instanceListPollMillis());
         TargetClients targets = new HttpTargetClients(clients, context.time(), PartSettings.timeouts(settings));
         this.peers = new PeerParts(settings, context, directory, metrics);
-        PeerBoard board = peers.board();
+        PeerBus board = peers.board();
         String name = settings.instance().name();
         LogService log = new HttpLogService(caller, platform.logUrl());
         this.control = new ControlNode(
@@ -129,7 +129,7 @@
         this.claims = new LogClaimStore(
                 log,
                 context.time(),
-                peers.exchange().writer(),
+                peers.exchange().incarnationId(),
                 settings.requests().claimTimeoutMillis(),
                 settings.requests().claimBatchMillis(),
                 new ClaimIndex(settings.requests().keyMemoryMillis(), MOST_KEYS),
--- a/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
@@ -7,8 +7,8 @@
 import org.dogwoodwinch.bytes.Packing;
 import org.dogwoodwinch.forwarding.TargetHealth;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -53,7 +53,7 @@
         exchange.publish(PeerTopic.LEAVING, engineId, word.encode(), KEEP_MILLIS);
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         try {
             Word word = Word.decode(item.payload());
             if (word.bornMillis != bornMillis.applyAsLong(item.key())) {
--- a/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.LongConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.dogwoodwinch.follow.FollowPolicy;
+import org.dogwoodwinch.follow.FollowerPolicy;
 import org.dogwoodwinch.follow.KeyedStream;
 import org.dogwoodwinch.follow.KeyedWriter;
 import org.dogwoodwinch.follow.ReplicaPolicy;
@@ -74,7 +74,7 @@
             UniformRandomProvider random,
             KeyedStream stream,
             KeyedWriter writer,
-            FollowPolicy follow,
+            FollowerPolicy follow,
             LoadTracker loads,
             ForwardingMetrics metrics) {
         this.settings = settings;
@@ -95,11 +95,11 @@
                 transport,
                 members::others,
                 new TrafficReport(metrics));
-        exchange.eachRound(() -> metrics.showInstances(sharersCount()));
+        exchange.beforeEachRound(() -> metrics.showInstances(sharersCount()));
         this.streams = new StreamSharing(exchange, time);
         this.follower = new StreamFollower(
                 streams.share(MemberList.TOPIC, stream, MEMBERS_TOLD),
-                new FollowPolicy(
+                new FollowerPolicy(
                         MEMBERS_WAIT_MILLIS,
                         MEMBERS_PAUSE_MILLIS,
                         follow.firstBackoffMillis(),
@@ -116,7 +116,7 @@
                 settings.peers().roundMillis());
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
         this.suspects = new SuspectRegistry(time, SUSPECT_MILLIS, QUARANTINE_MILLIS, suspicions);
-        suspicions.connect(suspects);
+        suspicions.subscribe(suspects);
     }
 
     private static int bytesPerSecond(ForwardingSettings settings) {
@@ -130,23 +130,23 @@
     int sharersCount() {
         return Math.max(
                 settings.forwarding().mostInstancesCount(),
-                members.mostSeenCount().orElse(1));
+                members.maxMemberCount().orElse(1));
     }
 
     /** The instances that share a target's connections. */
     int connectionSharersCount() {
         return ConnectionShares.sharingInstancesCount(
-                members.mostSeenCount(), settings.forwarding().mostInstancesCount());
+                members.maxMemberCount(), settings.forwarding().mostInstancesCount());
     }
 
     /** This instance's share of a common bound; nothing while it does not know the others. */
     double shareOf(double whole) {
-        return members.mostSeenCount().isPresent() ? whole / sharersCount() : 0;
+        return members.maxMemberCount().isPresent() ? whole / sharersCount() : 0;
     }
 
     /** The instances that count on each other, while this one is sure of it. */
     Optional<Set<String>> countedOn() {
-        return members.countedOn();
+        return members.assignmentMembers();
     }
 
     /** What is told between the instances of a data centre. */
@@ -170,7 +170,7 @@
      * @return this instance as the others reach it
      */
     PeerMember listen(InetSocketAddress address) {
-        int port = transport.listen(address, exchange::receive, exchange::connected);
+        int port = transport.listen(address, exchange::receive, exchange::onConnected);
         return new PeerMember(
                 settings.instance().name(),
                 address.getHostString(),
@@ -203,19 +203,19 @@
         }
 
         @Override
-        public void onTold(PeerTopic topic, int wordBytes, int receiversCount) {
+        public void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {
             counters.computeIfAbsent(
                             topic, each -> metrics.toldPeers(each.name().toLowerCase(Locale.ROOT)))
-                    .accept((long) wordBytes * receiversCount);
+                    .accept((long) entryBytes * recipientCount);
         }
 
         @Override
-        public void onWay(long wayMillis) {
+        public void onTransitTime(long wayMillis) {
             metrics.showPeerWay(wayMillis);
         }
 
         @Override
-        public void onDropped(PeerTopic topic) {
+        public void onEntryDropped(PeerTopic topic) {
             metrics.peerWordDropped(topic.name().toLowerCase(Locale.ROOT));
         }
 
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.dogwoodwinch.follow.FollowPolicy;
+import org.dogwoodwinch.follow.FollowerPolicy;
 import org.dogwoodwinch.follow.ReplicaPolicy;
 import org.dogwoodwinch.follow.StreamFollower;
 import org.dogwoodwinch.forwarding.EngineChooser;
@@ -146,7 +146,7 @@
                 caller,
                 Addresses.parse(settings.store().address()),
                 settings.store().timeoutMillis());
-        FollowPolicy follow = new FollowPolicy(
+        FollowerPolicy follow = new FollowerPolicy(
                 settings.store().waitMillis(),
                 settings.store().pauseMillis(),
                 FIRST_BACKOFF_MILLIS,
@@ -170,7 +170,7 @@
         brokenTargets.start();
         LimitSharing limitSharing = new LimitSharing(fleet.exchange(), limits, limitShares, this::bornMillis, time);
         limitSharing.start();
-        fleet.exchange().eachRound(() -> metrics.showLimited(limits.limitedCount()));
+        fleet.exchange().beforeEachRound(() -> metrics.showLimited(limits.limitedCount()));
         this.budget = new RetryBudget(
                 settings.retries().ratio(),
                 () -> fleet.shareOf(this.settings.retries().slackCount()),
@@ -220,7 +220,7 @@
                 engines,
                 parts,
                 this::modelEngines,
-                engineId -> fleet.exchange().fallsToOwn(engineId),
+                engineId -> fleet.exchange().isAssignedToSelf(engineId),
                 new KeptSharing(fleet.exchange(), parts, this::bornMillis, time),
                 time,
                 CACHE_ROUND_MILLIS);
@@ -233,8 +233,8 @@
                         service::modelServices,
                         service::switchMillis,
                         _service -> new StagePlanner(StagePlanPolicy.DEFAULT, rates),
-                        fleet.exchange()::acting,
-                        () -> fleet.exchange().fleetsDutyFallsToOwn(StageOrders.TOPIC),
+                        fleet.exchange()::isRelay,
+                        () -> fleet.exchange().isFleetTaskAssignedToSelf(StageOrders.TOPIC),
                         store.log(StageOrders.TOPIC),
                         engines,
                         enginesAway::tell),
@@ -286,7 +286,7 @@
 
     private void clocksJumped() {
         service.dropKeptConnections();
-        fleet.exchange().suspended();
+        fleet.exchange().onSuspension();
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
@@ -14,8 +14,8 @@
 import org.dogwoodwinch.bytes.Packing;
 import org.dogwoodwinch.forwarding.KvCacheIndex;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
 import org.dogwoodwinch.relay.CacheListener;
 import org.dogwoodwinch.time.TimeSource;
@@ -65,7 +65,7 @@
         this.time = Objects.requireNonNull(time, "time");
         exchange.subscribe(PeerTopic.KEPT_PARTS, this::heard);
         exchange.subscribe(PeerTopic.SHARED_PARTS, this::heardShared);
-        exchange.eachRound(this::round);
+        exchange.beforeEachRound(this::round);
     }
 
     @Override
@@ -118,7 +118,7 @@
      * it, and each of these calls would be sent where it is not kept.
      */
     private boolean worthAWord(String partId) {
-        return !exchange.byRelays() || parts.sharedSegments().isShared(partId);
+        return !exchange.usesRelays() || parts.sharedSegments().isShared(partId);
     }
 
     private void tell(String engineId, boolean whole, Map<String, Integer> kept) {
@@ -148,7 +148,7 @@
         exchange.publish(PeerTopic.SHARED_PARTS, Long.toString(newsCount++), word, NEWS_KEEP_MILLIS);
     }
 
-    private void heardShared(PeerItem item) {
+    private void heardShared(PeerUpdate item) {
         try {
             Packing.unpack(
                             item.payload().toByteArray(),
@@ -166,7 +166,7 @@
 
     private void learned(String partId) {
         tellWhereKept(partId);
-        if (exchange.byRelays() && exchange.acting()) {
+        if (exchange.usesRelays() && exchange.isRelay()) {
             learned.add(partId);
         }
     }
@@ -181,7 +181,7 @@
         });
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         if (engines.containsKey(item.key())) {
             // What this instance hears from the engine itself is newer.
             return;
@@ -199,7 +199,7 @@
                 parts.removeEngine(item.key());
             }
             word.tokens().forEach((part, tokens) -> {
-                if (exchange.byRelays()) {
+                if (exchange.usesRelays()) {
                     parts.sharedSegments().markShared(part);
                 }
                 parts.setCachedTokens(item.key(), part, Math.toIntExact(tokens));
--- a/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
@@ -13,8 +13,8 @@
 import org.dogwoodwinch.forwarding.RateLimitShares;
 import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
 import org.dogwoodwinch.relay.StatedLimits;
 import org.dogwoodwinch.time.TimeSource;
@@ -65,7 +65,7 @@
     /** Tells and hears from now on. */
     void start() {
         exchange.subscribe(PeerTopic.TARGET_LIMIT, this::heard);
-        exchange.eachRound(this::round);
+        exchange.beforeEachRound(this::round);
     }
 
     @Override
@@ -105,7 +105,7 @@
         exchange.publish(PeerTopic.TARGET_LIMIT, targetId, word.encode(), KEEP_MILLIS);
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         try {
             Word word = Word.decode(item.payload());
             if (word.bornMillis == bornMillis.applyAsLong(item.key())) {
--- a/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
@@ -11,8 +11,8 @@
 import org.dogwoodwinch.forwarding.LoadTracker;
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
 import org.dogwoodwinch.time.TimeSource;
 import org.slf4j.Logger;
@@ -74,7 +74,7 @@
         exchange.subscribe(PeerTopic.LOAD, this::heard);
         exchange.subscribe(PeerTopic.CENTRE_LOAD, this::heardCentre);
         exchange.subscribe(PeerTopic.FLEET_LOAD, this::heardFleet);
-        exchange.eachRound(this::round);
+        exchange.beforeEachRound(this::round);
     }
 
     private void round() {
@@ -84,7 +84,7 @@
         heardCentres.keySet().retainAll(heardAtMillis.keySet());
         loads.retainPeers(new HashSet<>(heardAtMillis.keySet()));
         Map<String, TargetLoad> own = loads.ownLoads();
-        if (exchange.byRelays() && exchange.acting()) {
+        if (exchange.usesRelays() && exchange.isRelay()) {
             tellSum(own);
         } else if (!own.isEmpty() || !toldNothing) {
             // An idle instance says so once.
@@ -107,7 +107,7 @@
      * them the same. That nothing is under way is told once; what is not told again is forgotten.
      */
     private void tellSum(Map<String, TargetLoad> own) {
-        if (!exchange.relaysRound()) {
+        if (!exchange.isHeartbeatRound()) {
             return;
         }
         Map<String, TargetLoad> sum = new HashMap<>(own);
@@ -136,7 +136,7 @@
         toldEmptyFleet = sum.isEmpty();
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         decode(item).ifPresent(word -> {
             heardWords.put(item.origin(), word);
             heardAtMillis.remove(FLEET);
@@ -145,15 +145,15 @@
     }
 
     /** Between relays; whoever is none any more hears no more of them, and forgets what it heard. */
-    private void heardCentre(PeerItem item) {
+    private void heardCentre(PeerUpdate item) {
         decode(item).ifPresent(word -> {
             heardCentres.put(CENTRE_PREFIX + item.key(), word.loads());
             heardFrom(CENTRE_PREFIX + item.key(), word.loads());
         });
     }
 
-    private void heardFleet(PeerItem item) {
-        if (exchange.acting() || !exchange.before(item.origin())) {
+    private void heardFleet(PeerUpdate item) {
+        if (exchange.isRelay() || !exchange.isPredecessor(item.origin())) {
             return;
         }
         decode(item).ifPresent(word -> {
@@ -183,7 +183,7 @@
         heardAtMillis.put(source, time.monotonicMillis());
     }
 
-    private static Optional<LoadReport> decode(PeerItem item) {
+    private static Optional<LoadReport> decode(PeerUpdate item) {
         try {
             return Optional.of(LoadReport.decode(item.payload()));
         } catch (IOException e) {
--- a/src/main/java/org/dogwoodwinch/daemon/PeerParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerParts.java
@@ -11,10 +11,10 @@
 import org.dogwoodwinch.http.TlsContexts;
 import org.dogwoodwinch.metrics.Metrics;
 import org.dogwoodwinch.net.Transport;
+import org.dogwoodwinch.peer.GossipExchange;
 import org.dogwoodwinch.peer.LeavingTargets;
 import org.dogwoodwinch.peer.NettyPeerTransport;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerExchange;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerMember;
 import org.dogwoodwinch.peer.PeerObserver;
 import org.dogwoodwinch.peer.PeerRefusal;
@@ -32,7 +32,7 @@
 
     private final PeerSettings settings;
     private final NettyPeerTransport transport;
-    private final PeerExchange exchange;
+    private final GossipExchange exchange;
     private final LeavingTargets leaving;
     private final PeerWatch watch;
     private final SuspectRegistry suspects;
@@ -55,7 +55,7 @@
                 this.settings.maxFrameBytes(),
                 serverTls(this.settings.tls()),
                 clientTls(this.settings.tls()));
-        this.exchange = new PeerExchange(
+        this.exchange = new GossipExchange(
                 exchangeSettings(settings),
                 context.time(),
                 context.newRandom(),
@@ -67,7 +67,7 @@
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
         this.suspects = new SuspectRegistry(
                 context.time(), SUSPECT_MILLIS, settings.requests().quarantineMillis(), suspicions);
-        suspicions.connect(suspects);
+        suspicions.subscribe(suspects);
     }
 
     /** Listens and begins the rounds. */
@@ -88,12 +88,12 @@
     }
 
     /** Returns the notice board. */
-    PeerBoard board() {
+    PeerBus board() {
         return exchange;
     }
 
     /** Returns the exchange, which knows which starts of instances are alive. */
-    PeerExchange exchange() {
+    GossipExchange exchange() {
         return exchange;
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/PeerWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerWatch.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.concurrent.ConcurrentHashMap;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.TimeSource;
 
 /** Notes when something of each other instance was last heard, by whatever way it came. Thread-safe. */
@@ -22,7 +22,7 @@
      * @param board the notice board, not null
      * @param time gives the time, not null
      */
-    PeerWatch(PeerBoard board, TimeSource time) {
+    PeerWatch(PeerBus board, TimeSource time) {
         this.time = Objects.requireNonNull(time, "time");
         board.subscribe(PeerTopic.MEMBER, this::heard);
         board.subscribe(PeerTopic.LOAD, this::heard);
@@ -39,7 +39,7 @@
         return atMillis == null ? NEVER : Math.max(0, time.monotonicMillis() - atMillis);
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         heardAtMillis.merge(item.origin(), time.monotonicMillis() - item.ageMillis(), Math::max);
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
@@ -180,7 +180,7 @@
                 if (lease.isValid(time.monotonicMillis() - sentMillis, time.wallMillis() - sentWallMillis)) {
                     order(planner, change, ordersCount, written.offset());
                 }
-            } else if (appended instanceof ConditionalLog.EndsElsewhere elsewhere) {
+            } else if (appended instanceof ConditionalLog.EndOffsetMismatch elsewhere) {
                 lease.recordForeignEnd(elsewhere.endOffset(), time.monotonicMillis());
             } else {
                 lease.recordUnknownOutcome(time.monotonicMillis());
--- a/src/main/java/org/dogwoodwinch/daemon/StreamSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StreamSharing.java
@@ -15,8 +15,8 @@
 import org.dogwoodwinch.follow.ReplicatedStream;
 import org.dogwoodwinch.follow.StreamUpdate;
 import org.dogwoodwinch.logging.LogEvent;
-import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
 import org.dogwoodwinch.time.TimeSource;
 import org.msgpack.core.MessagePacker;
@@ -40,7 +40,7 @@
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.time = Objects.requireNonNull(time, "time");
         exchange.subscribe(PeerTopic.STREAM, this::heard);
-        exchange.tellNewcomers(PeerTopic.STREAM, this::whole, KEEP_MILLIS);
+        exchange.addStateTransfer(PeerTopic.STREAM, this::whole, KEEP_MILLIS);
     }
 
     /**
@@ -68,13 +68,13 @@
             String name, KeyedStream platform, ReplicaPolicy policy, Function<KeyedRecord, Object> meaning) {
         ReplicatedStream.Publisher publisher = new ReplicatedStream.Publisher() {
             @Override
-            public void tell(StreamUpdate word, boolean ownReading) {
-                exchange.publishAtOnce(PeerTopic.STREAM, word.stream(), encode(word), KEEP_MILLIS, ownReading);
+            public void publish(StreamUpdate word, boolean ownReading) {
+                exchange.publishImmediately(PeerTopic.STREAM, word.stream(), encode(word), KEEP_MILLIS, ownReading);
             }
 
             @Override
-            public void want() {
-                exchange.wantEverything();
+            public void requestSnapshot() {
+                exchange.requestState();
             }
         };
         ReplicatedStream told =
@@ -86,11 +86,11 @@
     /** All that is known here, for an instance that has just been connected to and may know nothing. */
     private Map<String, Bytes> whole() {
         Map<String, Bytes> words = new HashMap<>();
-        streams.forEach((name, stream) -> stream.whole().ifPresent(word -> words.put(name, encode(word))));
+        streams.forEach((name, stream) -> stream.snapshot().ifPresent(word -> words.put(name, encode(word))));
         return words;
     }
 
-    private void heard(PeerItem item) {
+    private void heard(PeerUpdate item) {
         ReplicatedStream stream = streams.get(item.key());
         if (stream == null) {
             return;
@@ -98,11 +98,11 @@
         try {
             Word word = Packing.unpack(item.payload().toByteArray(), Word::read);
             StreamUpdate told =
-                    word.told(item.key(), item.ageProved() ? item.ageMillis() : StreamUpdate.UNKNOWN_AGE_MILLIS);
-            if (exchange.ofOwnCentre(item.origin())) {
-                stream.heard(told, exchange.before(item.origin()));
+                    word.told(item.key(), item.ageBounded() ? item.ageMillis() : StreamUpdate.UNKNOWN_AGE_MILLIS);
+            if (exchange.isInOwnDataCentre(item.origin())) {
+                stream.onUpdate(told, exchange.isPredecessor(item.origin()));
             } else {
-                stream.heardAbroad(told);
+                stream.onUpdateFromOtherDataCentre(told);
             }
         } catch (IOException e) {
             LogEvent.of("stream_word_not_understood")
@@ -122,7 +122,7 @@
             boolean whole, long firstOffset, long nextOffset, long contactAgeMillis, List<KeyedRecord> rows) {
 
         static void write(MessagePacker packer, StreamUpdate word) throws IOException {
-            packer.packBoolean(word.whole());
+            packer.packBoolean(word.isSnapshot());
             packer.packLong(word.firstOffset());
             packer.packLong(word.nextOffset());
             packer.packLong(word.contactAgeMillis());
--- a/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
@@ -5,8 +5,8 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.dogwoodwinch.follow.FollowListener;
 import org.dogwoodwinch.follow.KeyedRecord;
+import org.dogwoodwinch.follow.StreamListener;
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.TargetDirectory;
 import org.dogwoodwinch.logging.LogEvent;
@@ -25,7 +25,7 @@
  * that is read just after an outage counts only when it has stood for a while, within the time in which a target that is
  * really gone has to be left alone.
  */
-final class TargetsReader implements FollowListener {
+final class TargetsReader implements StreamListener {
 
     private static final Logger log = LoggerFactory.getLogger(TargetsReader.class);
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void record(KeyedRecord record) {
+    public void onRecord(KeyedRecord record) {
         Optional<Incarnation> stated = decode(record);
         if (stated.isEmpty() && lapsedInOutage(record.key())) {
             lapsed.add(record.key());
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void readWhole(Set<String> keys, long endOffset) {
+    public void onSnapshotComplete(Set<String> keys, long endOffset) {
         readOnce = true;
         if (time.monotonicMillis() - regainedAtMillis < lapseMillis) {
             time.schedule(lapseMillis, () -> retain(keys, endOffset));
@@ -173,14 +173,14 @@
     }
 
     @Override
-    public void regained() {
+    public void onReconnected() {
         reachable = true;
         regainedAtMillis = time.monotonicMillis();
         LogEvent.of("store_regained").with("stream", "targets").info(log);
     }
 
     @Override
-    public void lost(String reason) {
+    public void onDisconnected(String reason) {
         reachable = false;
         LogEvent.of("store_lost")
                 .with("stream", "targets")
--- a/src/main/java/org/dogwoodwinch/follow/ConditionalLog.java
+++ b/src/main/java/org/dogwoodwinch/follow/ConditionalLog.java
@@ -8,7 +8,7 @@
 public interface ConditionalLog {
 
     /** The result of an append. */
-    sealed interface Appended permits Written, EndsElsewhere, Unknown {}
+    sealed interface Appended permits Written, EndOffsetMismatch, Unknown {}
 
     /**
      * The record was written.
@@ -22,7 +22,7 @@
      *
      * @param endOffset the actual end offset of the log
      */
-    record EndsElsewhere(long endOffset) implements Appended {}
+    record EndOffsetMismatch(long endOffset) implements Appended {}
 
     /**
      * The outcome is unknown. The record may have been written already, or may still be written later if the log then
--- a/src/main/java/org/dogwoodwinch/follow/KeyedStream.java
+++ b/src/main/java/org/dogwoodwinch/follow/KeyedStream.java
@@ -13,7 +13,7 @@
      * @return a stage that completes with {@link ReadResult.Page} or {@link ReadResult.Unavailable}, never
      *     exceptionally
      */
-    CompletionStage<ReadResult> newest(Optional<String> afterKey);
+    CompletionStage<ReadResult> readSnapshotPage(Optional<String> afterKey);
 
     /**
      * Reads records in order, and waits until there is at least one.
--- a/src/main/java/org/dogwoodwinch/follow/ReadResult.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReadResult.java
@@ -10,10 +10,10 @@
      * One page with the newest record of each key. The pages of one read do not form a consistent snapshot.
      *
      * @param records the records, not null
-     * @param more whether there are keys after the last one of this page
+     * @param hasMore whether there are keys after the last one of this page
      * @param endOffset the end offset of the stream when the page was read
      */
-    record Page(List<KeyedRecord> records, boolean more, long endOffset) implements ReadResult {
+    record Page(List<KeyedRecord> records, boolean hasMore, long endOffset) implements ReadResult {
         /** Copies the records. */
         public Page {
             records = List.copyOf(records);
--- a/src/main/java/org/dogwoodwinch/follow/ReplicaPolicy.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicaPolicy.java
@@ -3,13 +3,13 @@
 /**
  * The time limits for relying on updates of another reader instead of reading from the platform.
  *
- * @param freshMillis the maximum age of the reader's last contact with the platform up to which its updates replace
+ * @param maxAgeMillis the maximum age of the reader's last contact with the platform up to which its updates replace
  *     reads of this instance; the sum of this bound, the staggered delay and one read has to stay below every limit
  *     that counts from an acknowledgement
- * @param staggerMillis the additional takeover delay for each further position in the succession order
- * @param mostStaggers the maximum number of such delays, regardless of the number of instances
+ * @param takeoverStaggerMillis the additional takeover delay for each further position in the succession order
+ * @param maxStaggers the maximum number of such delays, regardless of the number of instances
  */
-public record ReplicaPolicy(long freshMillis, long staggerMillis, int mostStaggers) {
+public record ReplicaPolicy(long maxAgeMillis, long takeoverStaggerMillis, int maxStaggers) {
 
     /**
      * Returns how long an instance waits before it takes over reading, in addition to the maximum age of updates.
@@ -18,6 +18,6 @@
      * @return the delay in milliseconds
      */
     public long takeoverDelayMillis(int rank) {
-        return staggerMillis * Math.min(Math.max(0, rank - 1), mostStaggers);
+        return takeoverStaggerMillis * Math.min(Math.max(0, rank - 1), maxStaggers);
     }
 }
--- a/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
+++ b/src/main/java/org/dogwoodwinch/follow/ReplicatedStream.java
@@ -114,14 +114,14 @@
          *     other data centres too; an update from another data centre goes to the own one only, since two data
          *     centres that both fail to read would otherwise forward it to each other endlessly
          */
-        void tell(StreamUpdate update, boolean ownReading);
+        void publish(StreamUpdate update, boolean ownReading);
 
         /** Requests snapshots from other instances, because the platform did not answer the initial snapshot read. */
-        void want();
+        void requestSnapshot();
     }
 
     @Override
-    public CompletionStage<ReadResult> newest(Optional<String> afterKey) {
+    public CompletionStage<ReadResult> readSnapshotPage(Optional<String> afterKey) {
         CompletableFuture<ReadResult> result = new CompletableFuture<>();
         if (afterKey.isEmpty()) {
             pendingSnapshotRead = Optional.of(result);
@@ -130,14 +130,14 @@
                 return result;
             }
         }
-        platform.newest(afterKey).thenAccept(page -> {
+        platform.readSnapshotPage(afterKey).thenAccept(page -> {
             if (!(page instanceof ReadResult.Unavailable)) {
                 lastContactMillis = time.monotonicMillis();
             }
             if (!result.isDone()) {
                 pendingSnapshotRead = Optional.empty();
                 if (page instanceof ReadResult.Unavailable) {
-                    publisher.want();
+                    publisher.requestSnapshot();
                 }
                 deliveredPage(afterKey, page);
                 result.complete(page);
@@ -168,9 +168,9 @@
      * @param update the update, not null
      * @param fromPredecessor whether the sender precedes this instance in the succession order
      */
-    public void heard(StreamUpdate update, boolean fromPredecessor) {
+    public void onUpdate(StreamUpdate update, boolean fromPredecessor) {
         if (fromPredecessor) {
-            long until = time.monotonicMillis() - update.contactAgeMillis() + policy.freshMillis();
+            long until = time.monotonicMillis() - update.contactAgeMillis() + policy.maxAgeMillis();
             otherReaderFreshUntilMillis = Math.max(otherReaderFreshUntilMillis, until);
         }
         apply(update);
@@ -182,12 +182,12 @@
      *
      * @param update the update, not null
      */
-    public void heardAbroad(StreamUpdate update) {
+    public void onUpdateFromOtherDataCentre(StreamUpdate update) {
         long currentAgeMillis = ageMillis();
-        boolean ownReadsFail = currentAgeMillis < 0 || currentAgeMillis > policy.freshMillis();
+        boolean ownReadsFail = currentAgeMillis < 0 || currentAgeMillis > policy.maxAgeMillis();
         apply(update);
-        if (ownReadsFail && !isCoveredByOtherReader() && !update.whole()) {
-            publisher.tell(update, false);
+        if (ownReadsFail && !isCoveredByOtherReader() && !update.isSnapshot()) {
+            publisher.publish(update, false);
         }
     }
 
@@ -196,7 +196,7 @@
      *
      * @return the newest record of each key, empty before the first complete snapshot
      */
-    public Optional<StreamUpdate> whole() {
+    public Optional<StreamUpdate> snapshot() {
         if (!snapshotDelivered) {
             return Optional.empty();
         }
@@ -221,15 +221,15 @@
         long nowMillis = time.monotonicMillis();
         long otherReaderContactMillis = otherReaderFreshUntilMillis == Long.MIN_VALUE
                 ? Long.MIN_VALUE
-                : otherReaderFreshUntilMillis - policy.freshMillis();
+                : otherReaderFreshUntilMillis - policy.maxAgeMillis();
         long lastAnyContactMillis = Math.max(lastContactMillis, otherReaderContactMillis);
         return lastAnyContactMillis == Long.MIN_VALUE ? -1 : Math.max(0, nowMillis - lastAnyContactMillis);
     }
 
     private void apply(StreamUpdate update) {
-        if (update.whole()) {
+        if (update.isSnapshot()) {
             receivedSnapshot = Optional.of(update);
-            receivedSnapshotUntilMillis = time.monotonicMillis() + policy.freshMillis();
+            receivedSnapshotUntilMillis = time.monotonicMillis() + policy.maxAgeMillis();
             if (pendingSnapshotRead.isPresent()) {
                 completeSnapshotRead(update);
             }
@@ -244,7 +244,7 @@
      * since its reply is about to arrive.
      */
     private void completeFromBacklog(PendingRead read) {
-        if (read.readingPlatform && lastContactMillis > time.monotonicMillis() - policy.freshMillis()) {
+        if (read.readingPlatform && lastContactMillis > time.monotonicMillis() - policy.maxAgeMillis()) {
             return;
         }
         Optional<ReadResult> known = readBacklog(read.fromOffset);
@@ -329,7 +329,7 @@
             unpublishedFromOffset = fromOffset;
         }
         boolean isHeartbeatDue = lastPublishMillis == Long.MIN_VALUE
-                || time.monotonicMillis() - lastPublishMillis >= policy.freshMillis() / HEARTBEATS_PER_MAX_AGE;
+                || time.monotonicMillis() - lastPublishMillis >= policy.maxAgeMillis() / HEARTBEATS_PER_MAX_AGE;
         if (!changed && !isHeartbeatDue) {
             return;
         }
@@ -339,7 +339,7 @@
                 .toList();
         lastPublishMillis = time.monotonicMillis();
         unpublishedFromOffset = -1;
-        publisher.tell(new StreamUpdate(name, false, records, firstOffset, nextOffset, 0), true);
+        publisher.publish(new StreamUpdate(name, false, records, firstOffset, nextOffset, 0), true);
     }
 
     private void addToBacklog(List<KeyedRecord> records, long firstOffset, long endOffset) {
@@ -398,7 +398,7 @@
             deliveredEndOffset = page.endOffset();
         }
         page.records().forEach(this::deliver);
-        snapshotDelivered = !page.more();
+        snapshotDelivered = !page.hasMore();
     }
 
     private void deliver(KeyedRecord record) {
--- a/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamFollower.java
@@ -17,8 +17,8 @@
 public final class StreamFollower {
 
     private final KeyedStream stream;
-    private final FollowPolicy policy;
-    private final FollowListener listener;
+    private final FollowerPolicy policy;
+    private final StreamListener listener;
     private final TimeSource time;
     private final UniformRandomProvider random;
     private Set<String> snapshotKeys = new HashSet<>();
@@ -39,8 +39,8 @@
      */
     public StreamFollower(
             KeyedStream stream,
-            FollowPolicy policy,
-            FollowListener listener,
+            FollowerPolicy policy,
+            StreamListener listener,
             TimeSource time,
             UniformRandomProvider random) {
         this.stream = Objects.requireNonNull(stream, "stream");
@@ -61,7 +61,7 @@
     }
 
     private void readPage() {
-        stream.newest(afterKey).thenAccept(this::onResult);
+        stream.readSnapshotPage(afterKey).thenAccept(this::onResult);
     }
 
     private void readNext() {
@@ -69,7 +69,7 @@
             readPage();
             return;
         }
-        stream.read(nextOffset, policy.waitMillis()).thenAccept(this::onResult);
+        stream.read(nextOffset, policy.longPollMillis()).thenAccept(this::onResult);
     }
 
     private void onResult(ReadResult result) {
@@ -82,14 +82,14 @@
         }
         if (consecutiveFailures > 0) {
             consecutiveFailures = 0;
-            listener.regained();
+            listener.onReconnected();
         }
         if (result instanceof ReadResult.Page page) {
             onPage(page);
         } else if (result instanceof ReadResult.Batch batch) {
-            batch.records().forEach(listener::record);
+            batch.records().forEach(listener::onRecord);
             nextOffset = Math.max(nextOffset, batch.nextOffset());
-            time.schedule(policy.pauseMillis(), this::readNextUnlessStopped);
+            time.schedule(policy.pollIntervalMillis(), this::readNextUnlessStopped);
         } else {
             nextOffset = -1;
             readPage();
@@ -104,15 +104,15 @@
         for (KeyedRecord record : page.records()) {
             snapshotKeys.add(record.key());
             afterKey = Optional.of(record.key());
-            listener.record(record);
+            listener.onRecord(record);
         }
-        if (page.more() && !page.records().isEmpty()) {
+        if (page.hasMore() && !page.records().isEmpty()) {
             readPage();
             return;
         }
         afterKey = Optional.empty();
         nextOffset = snapshotEndOffset;
-        listener.readWhole(Set.copyOf(snapshotKeys), snapshotEndOffset);
+        listener.onSnapshotComplete(Set.copyOf(snapshotKeys), snapshotEndOffset);
         readNext();
     }
 
@@ -122,7 +122,7 @@
      */
     private void backOff(String reason) {
         if (consecutiveFailures == 0) {
-            listener.lost(reason);
+            listener.onDisconnected(reason);
         }
         long exponentialMillis = policy.firstBackoffMillis() << Math.min(consecutiveFailures, 10);
         long maxPauseMillis = Math.min(policy.maxBackoffMillis(), exponentialMillis);
--- a/src/main/java/org/dogwoodwinch/follow/FollowListener.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamListener.java
@@ -6,14 +6,14 @@
  * Receives the records and connection changes of a followed stream. Calls arrive in an order in which each record can
  * be applied as it comes.
  */
-public interface FollowListener {
+public interface StreamListener {
 
     /**
      * Called for each record that was read. The same record can arrive twice, and so can an older record of its key.
      *
      * @param record the record, not null
      */
-    void record(KeyedRecord record);
+    void onRecord(KeyedRecord record);
 
     /**
      * Called when a snapshot read completes. A key that is not listed and whose records lie before the end offset no
@@ -22,15 +22,15 @@
      * @param keys all keys in the snapshot, not null
      * @param endOffset the end offset of the stream when the snapshot read began
      */
-    void readWhole(Set<String> keys, long endOffset);
+    void onSnapshotComplete(Set<String> keys, long endOffset);
 
     /** Called when a read succeeds after a series of failed reads. */
-    void regained();
+    void onReconnected();
 
     /**
      * Called for the first failed read of a series.
      *
      * @param reason the cause of the failure, not null
      */
-    void lost(String reason);
+    void onDisconnected(String reason);
 }
--- a/src/main/java/org/dogwoodwinch/follow/StreamUpdate.java
+++ b/src/main/java/org/dogwoodwinch/follow/StreamUpdate.java
@@ -7,7 +7,7 @@
  * An update that an instance which reads a stream sends to the other instances of its data centre.
  *
  * @param stream the stream's name, not null
- * @param whole whether the records are a snapshot with the newest record of each key, instead of those from the first
+ * @param isSnapshot whether the records are a snapshot with the newest record of each key, instead of those from the first
  *     offset on
  * @param records the records in order, not null; unless this is a snapshot, records that leave their key's state
  *     unchanged are omitted
@@ -17,7 +17,7 @@
  */
 public record StreamUpdate(
         String stream,
-        boolean whole,
+        boolean isSnapshot,
         List<KeyedRecord> records,
         long firstOffset,
         long nextOffset,
--- a/src/main/java/org/dogwoodwinch/measure/capacity/ControlFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/ControlFleet.java
@@ -14,9 +14,9 @@
 import org.dogwoodwinch.control.ControlPolicies;
 import org.dogwoodwinch.control.ControlServices;
 import org.dogwoodwinch.control.ControlSettings;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
 import org.dogwoodwinch.target.EngineClient;
@@ -125,14 +125,14 @@
         }
     }
 
-    private enum SilentBoard implements PeerBoard {
+    private enum SilentBoard implements PeerBus {
         INSTANCE;
 
         @Override
         public void publish(PeerTopic _topic, String _key, Bytes _payload, long _keepMillis) {}
 
         @Override
-        public void subscribe(PeerTopic _topic, Consumer<PeerItem> _listener) {}
+        public void subscribe(PeerTopic _topic, Consumer<PeerUpdate> _listener) {}
     }
 
     /** Without planned changes no engine is called. */
--- a/src/main/java/org/dogwoodwinch/measure/capacity/PeerProbe.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/PeerProbe.java
@@ -10,7 +10,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.measure.MeasurementTable;
-import org.dogwoodwinch.peer.PeerExchange;
+import org.dogwoodwinch.peer.GossipExchange;
 import org.dogwoodwinch.peer.PeerMember;
 import org.dogwoodwinch.peer.PeerObserver;
 import org.dogwoodwinch.peer.PeerSettings;
@@ -132,7 +132,7 @@
     private static final class Run {
 
         private final VirtualTimeSource time = new VirtualTimeSource(1_700_000_000_000L);
-        private final Map<String, PeerExchange> exchanges = new HashMap<>();
+        private final Map<String, GossipExchange> exchanges = new HashMap<>();
         private final List<PeerMember> members = new ArrayList<>();
         private final Set<String> informed = new HashSet<>();
         private final int count;
@@ -185,7 +185,7 @@
                     receivedBytes += messageBytes;
                 }
             };
-            PeerExchange exchange = new PeerExchange(
+            GossipExchange exchange = new GossipExchange(
                     PeerSettings.defaults(member.name(), member.dataCentre(), "secret"),
                     time,
                     RandomSource.XO_RO_SHI_RO_128_PP.create(number),
@@ -200,7 +200,7 @@
             time.schedule(number * 11L % LOAD_EVERY_MILLIS, () -> tellLoad(exchange));
         }
 
-        private void tellLoad(PeerExchange exchange) {
+        private void tellLoad(GossipExchange exchange) {
             exchange.publish(PeerTopic.LOAD, "load", Bytes.of(new byte[LOAD_BYTES]), KEEP_MILLIS);
             time.schedule(LOAD_EVERY_MILLIS, () -> tellLoad(exchange));
         }
--- a/src/main/java/org/dogwoodwinch/measure/requests/PeerTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/PeerTrial.java
@@ -5,7 +5,7 @@
 import java.util.Collections;
 import java.util.List;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.peer.PeerExchange;
+import org.dogwoodwinch.peer.GossipExchange;
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
@@ -27,7 +27,7 @@
         publish(peers, time, WARM_UP_SECONDS);
         List<Long> heardMillis = new ArrayList<>();
         long saidMillis = time.monotonicMillis();
-        for (PeerExchange each : peers.exchanges().subList(1, members)) {
+        for (GossipExchange each : peers.exchanges().subList(1, members)) {
             each.subscribe(PeerTopic.QUARANTINE, _item -> heardMillis.add(time.monotonicMillis() - saidMillis));
         }
         peers.exchanges().get(0).publish(PeerTopic.QUARANTINE, "word", Bytes.of(new byte[48]), 600_000);
@@ -44,7 +44,7 @@
 
     private static void publish(TrialPeers peers, VirtualTimeSource time, int seconds) {
         for (int second = 0; second < seconds; second++) {
-            for (PeerExchange each : peers.exchanges()) {
+            for (GossipExchange each : peers.exchanges()) {
                 each.publish(PeerTopic.LOAD, "sent", Bytes.of(new byte[LOAD_BYTES]), 5_000);
                 if (second % 2 == 0) {
                     each.publish(PeerTopic.DEMAND, "demand", Bytes.of(new byte[DEMAND_BYTES]), 10_000);
--- a/src/main/java/org/dogwoodwinch/measure/requests/PoisonTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/PoisonTrial.java
@@ -5,7 +5,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
-import org.dogwoodwinch.peer.PeerExchange;
+import org.dogwoodwinch.peer.GossipExchange;
 import org.dogwoodwinch.peer.SuspicionExchange;
 import org.dogwoodwinch.request.Quarantine;
 import org.dogwoodwinch.request.RefusalReason;
@@ -66,12 +66,12 @@
                 missed);
     }
 
-    private static SuspectRegistry book(VirtualTimeSource time, PeerExchange exchange) {
+    private static SuspectRegistry book(VirtualTimeSource time, GossipExchange exchange) {
         RequestSettings settings = RequestSettings.DEFAULT;
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
         SuspectRegistry book =
                 new SuspectRegistry(time, settings.suspicionMillis(), settings.quarantineMillis(), suspicions);
-        suspicions.connect(book);
+        suspicions.subscribe(book);
         return book;
     }
 
--- a/src/main/java/org/dogwoodwinch/measure/requests/TrialPeers.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/TrialPeers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.peer.PeerExchange;
+import org.dogwoodwinch.peer.GossipExchange;
 import org.dogwoodwinch.peer.PeerMember;
 import org.dogwoodwinch.peer.PeerObserver;
 import org.dogwoodwinch.peer.PeerSettings;
@@ -17,7 +17,7 @@
 
     private final TimeSource time;
     private final List<PeerMember> members = new ArrayList<>();
-    private final List<PeerExchange> exchanges = new ArrayList<>();
+    private final List<GossipExchange> exchanges = new ArrayList<>();
     private long sentBytes;
 
     TrialPeers(int count, TimeSource time, long seed) {
@@ -28,7 +28,7 @@
         }
         for (int i = 0; i < count; i++) {
             PeerMember member = members.get(i);
-            exchanges.add(new PeerExchange(
+            exchanges.add(new GossipExchange(
                     PeerSettings.defaults(member.name(), member.dataCentre(), "trial"),
                     time,
                     RandomSource.XO_RO_SHI_RO_128_PP.create(seed + i),
@@ -36,7 +36,7 @@
                     () -> members,
                     PeerObserver.NONE));
         }
-        exchanges.forEach(PeerExchange::start);
+        exchanges.forEach(GossipExchange::start);
     }
 
     private void carry(PeerMember member, Bytes message) {
@@ -44,7 +44,7 @@
         time.schedule(1, () -> exchanges.get(member.peerPort()).receive(message));
     }
 
-    List<PeerExchange> exchanges() {
+    List<GossipExchange> exchanges() {
         return exchanges;
     }
 
--- a/src/main/java/org/dogwoodwinch/peer/PeerExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/GossipExchange.java
@@ -20,7 +20,7 @@
  * <p>Whatever requires agreement or durability goes through the log instead. Losing all messages causes stale load
  * figures and delays reports of leaving targets and quarantines, but never a wrong order or a second run. Thread-safe.
  */
-public final class PeerExchange implements PeerBoard {
+public final class GossipExchange implements PeerBus {
 
     /**
      * The fleet size above which load figures stay within a data centre, since the figures of each instance about each
@@ -40,7 +40,7 @@
     private final PeerObserver observer;
     private final PeerCodec codec;
     private final PeerEntryStore store = new PeerEntryStore();
-    private final Map<PeerTopic, List<Consumer<PeerItem>>> listeners = new EnumMap<>(PeerTopic.class);
+    private final Map<PeerTopic, List<Consumer<PeerUpdate>>> listeners = new EnumMap<>(PeerTopic.class);
     private final ReplayGuard replayGuard;
     private final long startedMillis;
     private long nextVersion = 1;
@@ -60,7 +60,7 @@
      * @param members returns the other instances as the platform lists them, queried in each round, not null
      * @param observer is notified of the traffic, not null
      */
-    public PeerExchange(
+    public GossipExchange(
             PeerSettings settings,
             TimeSource time,
             UniformRandomProvider random,
@@ -97,24 +97,24 @@
      *
      * @return the instance's name and the time of its start
      */
-    public String writer() {
+    public String incarnationId() {
         return incarnationIdOf(settings.instance(), startedMillis);
     }
 
     /**
      * Returns whether an incarnation of an instance is alive.
      *
-     * @param writer its identifier as returned by {@link #writer()}, not null
+     * @param incarnationId its identifier as returned by {@link #incarnationId()}, not null
      * @return true if its last heartbeat has not expired
      */
-    public synchronized boolean isAlive(String writer) {
+    public synchronized boolean isAlive(String incarnationId) {
         store.expire(time.monotonicMillis());
-        int separator = writer.lastIndexOf('~');
-        String instance = writer.substring(0, Math.max(0, separator));
-        return writer.equals(writer())
+        int separator = incarnationId.lastIndexOf('~');
+        String instance = incarnationId.substring(0, Math.max(0, separator));
+        return incarnationId.equals(incarnationId())
                 || store.find(instance, PeerTopic.MEMBER, instance)
                         .filter(entry -> incarnationIdOf(entry.origin(), entry.startedMillis())
-                                .equals(writer))
+                                .equals(incarnationId))
                         .isPresent();
     }
 
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public void subscribe(PeerTopic topic, Consumer<PeerItem> listener) {
+    public void subscribe(PeerTopic topic, Consumer<PeerUpdate> listener) {
         listeners.get(topic).add(listener);
     }
 
@@ -140,7 +140,7 @@
      *
      * @return the count
      */
-    public synchronized int items() {
+    public synchronized int entryCount() {
         return store.size();
     }
 
@@ -251,7 +251,7 @@
     }
 
     private boolean process(PeerMessage message) {
-        List<PeerItem> updates = new ArrayList<>();
+        List<PeerUpdate> updates = new ArrayList<>();
         Optional<Outgoing> reply = Optional.empty();
         synchronized (this) {
             if (replayGuard.isReplayed(message)) {
@@ -268,7 +268,7 @@
         return true;
     }
 
-    private Optional<PeerItem> accept(PeerEntry entry) {
+    private Optional<PeerUpdate> accept(PeerEntry entry) {
         Optional<PeerTopic> topic = PeerTopic.find(entry.topic());
         if (topic.isEmpty() || entry.origin().equals(settings.instance())) {
             return Optional.empty();
@@ -279,7 +279,7 @@
         if (!isCatalogue && !store.add(entry, time.monotonicMillis(), forwardLimit())) {
             return Optional.empty();
         }
-        return Optional.of(new PeerItem(
+        return Optional.of(new PeerUpdate(
                 entry.origin(), topic.get(), entry.key(), entry.version(), entry.payload(), entry.ageMillis()));
     }
 
--- a/src/main/java/org/dogwoodwinch/peer/LeavingTargets.java
+++ b/src/main/java/org/dogwoodwinch/peer/LeavingTargets.java
@@ -20,7 +20,7 @@
 
     private static final int MAX_TARGETS = 10_000;
 
-    private final PeerBoard bus;
+    private final PeerBus bus;
     private final long ttlMillis;
     private final Cache<String, Boolean> leaving;
 
@@ -31,7 +31,7 @@
      * @param time the clock, not null
      * @param ttlMillis how long a target counts as leaving after the last refusal or report, in milliseconds
      */
-    public LeavingTargets(PeerBoard bus, TimeSource time, long ttlMillis) {
+    public LeavingTargets(PeerBus bus, TimeSource time, long ttlMillis) {
         this.bus = Objects.requireNonNull(bus, "bus");
         this.ttlMillis = ttlMillis;
         Ticker ticker = time::monotonicNanos;
--- a/src/main/java/org/dogwoodwinch/peer/MemberList.java
+++ b/src/main/java/org/dogwoodwinch/peer/MemberList.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.bytes.Packing;
-import org.dogwoodwinch.follow.FollowListener;
 import org.dogwoodwinch.follow.KeyedRecord;
 import org.dogwoodwinch.follow.KeyedWriter;
+import org.dogwoodwinch.follow.StreamListener;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.time.TimeSource;
 import org.slf4j.Logger;
@@ -26,7 +26,7 @@
  * <p>Each instance renews its record at intervals, and deletes it when it stops. An instance that was killed stays
  * listed until its record has not been renewed for several intervals; this costs failed connections and nothing else.
  */
-public final class MemberList implements FollowListener {
+public final class MemberList implements StreamListener {
 
     /** The stream's name in the store. */
     public static final String TOPIC = "keyed.instances";
@@ -58,7 +58,7 @@
     private boolean storeReachable = true;
     private long lastAnnouncementMillis;
     private long storeHealthySinceMillis;
-    private int mostSeenCount = 1;
+    private int maxMemberCount = 1;
 
     /**
      * Creates a list without members.
@@ -132,7 +132,7 @@
      * @return their names, including this instance's; empty if this instance cannot be sure that the others count it as
      *     a member
      */
-    public Optional<Set<String>> countedOn() {
+    public Optional<Set<String>> assignmentMembers() {
         long nowMillis = time.monotonicMillis();
         if (!snapshotRead
                 || leaving
@@ -168,12 +168,12 @@
      * @return the maximum number of instances that were listed at the same time, including this one; empty before the
      *     first snapshot
      */
-    public OptionalInt mostSeenCount() {
-        return snapshotRead ? OptionalInt.of(mostSeenCount) : OptionalInt.empty();
+    public OptionalInt maxMemberCount() {
+        return snapshotRead ? OptionalInt.of(maxMemberCount) : OptionalInt.empty();
     }
 
     @Override
-    public void record(KeyedRecord record) {
+    public void onRecord(KeyedRecord record) {
         if (record.key().equals(ownName)) {
             return;
         }
@@ -182,7 +182,7 @@
             announcements.remove(record.key());
         } else {
             announcements.put(record.key(), new Announcement(member.get(), time.monotonicMillis()));
-            mostSeenCount = Math.max(mostSeenCount, others().size() + 1);
+            maxMemberCount = Math.max(maxMemberCount, others().size() + 1);
         }
         LogEvent.of("member_heard")
                 .with("member", record.key())
@@ -194,19 +194,19 @@
     }
 
     @Override
-    public void readWhole(Set<String> keys, long _endOffset) {
+    public void onSnapshotComplete(Set<String> keys, long _endOffset) {
         announcements.keySet().retainAll(keys);
         snapshotRead = true;
     }
 
     @Override
-    public void regained() {
+    public void onReconnected() {
         updateStoreHealth(lastAnnouncementStored, true);
         LogEvent.of("store_regained").with("stream", TOPIC).info(log);
     }
 
     @Override
-    public void lost(String reason) {
+    public void onDisconnected(String reason) {
         updateStoreHealth(lastAnnouncementStored, false);
         LogEvent.of("store_lost").with("stream", TOPIC).with("reason", reason).warn(log);
     }
--- a/src/main/java/org/dogwoodwinch/peer/PeerBoard.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerBus.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /** The publish/subscribe bus between the instances of the fleet. */
-public interface PeerBoard {
+public interface PeerBus {
 
     /**
      * Publishes an update of this instance, which replaces its previous one of the same topic and key.
@@ -22,5 +22,5 @@
      * @param topic the topic, not null
      * @param listener receives the updates, not null
      */
-    void subscribe(PeerTopic topic, Consumer<PeerItem> listener);
+    void subscribe(PeerTopic topic, Consumer<PeerUpdate> listener);
 }
--- a/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerObserver.java
@@ -17,24 +17,24 @@
      * Called when an entry was put into a message.
      *
      * @param topic the entry's topic, not null
-     * @param wordBytes its approximate encoded size, in bytes
-     * @param receiversCount the number of instances that the message goes to
+     * @param entryBytes its approximate encoded size, in bytes
+     * @param recipientCount the number of instances that the message goes to
      */
-    default void onTold(PeerTopic topic, int wordBytes, int receiversCount) {}
+    default void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {}
 
     /**
      * Called when a queued entry was dropped before it was sent, because other entries used up the bandwidth budget.
      *
      * @param topic the entry's topic, not null
      */
-    default void onDropped(PeerTopic topic) {}
+    default void onEntryDropped(PeerTopic topic) {}
 
     /**
      * Called when the transit time of a received message is known.
      *
      * @param transitMillis an upper bound of the time between writing and reading the message, in milliseconds
      */
-    default void onWay(long transitMillis) {}
+    default void onTransitTime(long transitMillis) {}
 
     /**
      * Called when a message was received and decoded.
--- a/src/main/java/org/dogwoodwinch/peer/PeerItem.java
+++ b/src/main/java/org/dogwoodwinch/peer/PeerUpdate.java
@@ -14,13 +14,13 @@
  * @param payload the content, in MessagePack, not null
  * @param ageMillis its age on arrival, in milliseconds: the time that instances held it plus, where known, the transit
  *     time of the last message
- * @param ageProved whether its true age does not exceed {@code ageMillis}, regardless of delays in transit
+ * @param ageBounded whether its true age does not exceed {@code ageMillis}, regardless of delays in transit
  */
-public record PeerItem(
-        String origin, PeerTopic topic, String key, long version, Bytes payload, long ageMillis, boolean ageProved) {
+public record PeerUpdate(
+        String origin, PeerTopic topic, String key, long version, Bytes payload, long ageMillis, boolean ageBounded) {
 
     /** Checks that no component is null. */
-    public PeerItem {
+    public PeerUpdate {
         Objects.requireNonNull(origin, "origin");
         Objects.requireNonNull(topic, "topic");
         Objects.requireNonNull(key, "key");
@@ -37,7 +37,7 @@
      * @param payload the content, in MessagePack, not null
      * @param ageMillis the time that instances held it, in milliseconds
      */
-    public PeerItem(String origin, PeerTopic topic, String key, long version, Bytes payload, long ageMillis) {
+    public PeerUpdate(String origin, PeerTopic topic, String key, long version, Bytes payload, long ageMillis) {
         this(origin, topic, key, version, payload, ageMillis, false);
     }
 }
--- a/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/RelayExchange.java
@@ -36,7 +36,7 @@
  * first; two that act as relay at the same time send the same updates twice. Whatever requires agreement or durability
  * does not use this bus.
  */
-public final class RelayExchange implements PeerBoard {
+public final class RelayExchange implements PeerBus {
 
     private static final Logger log = LoggerFactory.getLogger(RelayExchange.class);
 
@@ -72,7 +72,7 @@
     private final StateTransfers stateTransfers = new StateTransfers();
     private final PeerCodec codec;
     private final PeerEntryStore store = new PeerEntryStore();
-    private final Map<PeerTopic, List<Consumer<PeerItem>>> listeners = new EnumMap<>(PeerTopic.class);
+    private final Map<PeerTopic, List<Consumer<PeerUpdate>>> listeners = new EnumMap<>(PeerTopic.class);
     private final PeerOutbox outbox;
     private final Set<PeerMember> pendingSnapshots = new LinkedHashSet<>();
     private final List<Runnable> roundTasks = new ArrayList<>();
@@ -107,7 +107,7 @@
         this.relayTracker = new RelayTracker(settings, time);
         this.replayGuard = new ReplayGuard(time);
         this.clockOffsets = new ClockOffsets(time);
-        this.outbox = new PeerOutbox(time, settings.bytesPerSecond(), observer::onDropped);
+        this.outbox = new PeerOutbox(time, settings.bytesPerSecond(), observer::onEntryDropped);
         this.codec = new PeerCodec(settings.secret(), settings.maxMessageBytes());
         this.startedMillis = time.wallMillis();
         for (PeerTopic topic : PeerTopic.values()) {
@@ -125,7 +125,7 @@
      *
      * @param task the task, not null
      */
-    public void eachRound(Runnable task) {
+    public void beforeEachRound(Runnable task) {
         roundTasks.add(Objects.requireNonNull(task, "task"));
     }
 
@@ -134,7 +134,7 @@
      *
      * @return false while each instance sends to each other one
      */
-    public boolean byRelays() {
+    public boolean usesRelays() {
         return relayTracker.usesRelays();
     }
 
@@ -143,7 +143,7 @@
      *
      * @return whether no predecessor in the succession order has recently acted as the relay
      */
-    public boolean acting() {
+    public boolean isRelay() {
         return relayTracker.isRelay();
     }
 
@@ -153,7 +153,7 @@
      *
      * @return whether this is such a round
      */
-    public boolean relaysRound() {
+    public boolean isHeartbeatRound() {
         return roundsCount % RELAY_HEARTBEAT_ROUNDS == 0;
     }
 
@@ -172,7 +172,7 @@
      * @param name its name, not null
      * @return whether it is a predecessor
      */
-    public boolean before(String name) {
+    public boolean isPredecessor(String name) {
         return relayTracker.isPredecessor(name);
     }
 
@@ -182,7 +182,7 @@
      * @param key the key of the task, not null
      * @return whether no other instance that is considered alive ranks higher for it
      */
-    public boolean fallsToOwn(String key) {
+    public boolean isAssignedToSelf(String key) {
         return relayTracker.isAssignedToSelf(key);
     }
 
@@ -193,7 +193,7 @@
      * @param key the key of the task, not null
      * @return whether this instance is a relay, and no other recently active relay ranks higher
      */
-    public boolean fleetsDutyFallsToOwn(String key) {
+    public boolean isFleetTaskAssignedToSelf(String key) {
         return relayTracker.isFleetTaskAssignedToSelf(key);
     }
 
@@ -203,7 +203,7 @@
      * @param name its name, not null
      * @return whether it is this instance, or is listed in this data centre
      */
-    public boolean ofOwnCentre(String name) {
+    public boolean isInOwnDataCentre(String name) {
         return relayTracker.inOwnDataCentre(name);
     }
 
@@ -215,7 +215,7 @@
      * @param entries returns the current payloads by key, called for each transfer, not null
      * @param ttlMillis the time to live of the transferred entries
      */
-    public void tellNewcomers(PeerTopic topic, Supplier<Map<String, Bytes>> entries, long ttlMillis) {
+    public void addStateTransfer(PeerTopic topic, Supplier<Map<String, Bytes>> entries, long ttlMillis) {
         stateTransfers.addSource(topic, entries, ttlMillis);
     }
 
@@ -224,8 +224,8 @@
      *
      * @param member the instance, not null
      */
-    public void connected(PeerMember member) {
-        if (acting() || !byRelays()) {
+    public void onConnected(PeerMember member) {
+        if (isRelay() || !usesRelays()) {
             stateTransfers.onConnected(member, roundsCount);
             sendState(member);
         }
@@ -237,12 +237,12 @@
      * also goes to one other instance of the own data centre, a different one each time, since the relay may be
      * rejected as well.
      */
-    public void wantEverything() {
+    public void requestState() {
         List<PeerEntry> request =
                 List.of(ownEntry(PeerTopic.WANT, settings.instance(), Bytes.EMPTY, STATE_REQUEST_TTL_MILLIS));
         send(
                 request,
-                acting()
+                isRelay()
                         ? relayTracker.inOtherDataCentres()
                         : relayTracker.inOwnDataCentre().flatMap(relayTracker::findMember).stream()
                                 .toList());
@@ -270,10 +270,11 @@
      * @param ttlMillis the time to live at the recipients
      * @param toOtherDataCentres whether the relays of the other data centres get the update too
      */
-    public void publishAtOnce(PeerTopic topic, String key, Bytes payload, long ttlMillis, boolean toOtherDataCentres) {
+    public void publishImmediately(
+            PeerTopic topic, String key, Bytes payload, long ttlMillis, boolean toOtherDataCentres) {
         List<PeerEntry> entries = List.of(ownEntry(topic, key, payload, ttlMillis));
         send(entries, relayTracker.localPeers());
-        if (toOtherDataCentres && acting()) {
+        if (toOtherDataCentres && isRelay()) {
             send(entries, relayTracker.inOtherDataCentres());
         }
     }
@@ -308,7 +309,7 @@
         PeerEntry entry = ownEntry(topic, key, payload, ttlMillis);
         store.add(entry, time.monotonicMillis(), 0);
         if (topic == PeerTopic.KEPT_PARTS) {
-            outbox.add(acting() || !byRelays() ? Audience.OWN_DATA_CENTRE : Audience.OWN_RELAY, entry);
+            outbox.add(isRelay() || !usesRelays() ? Audience.OWN_DATA_CENTRE : Audience.OWN_RELAY, entry);
         } else if (topic == PeerTopic.ALIVE) {
             outbox.add(Audience.OWN_DATA_CENTRE, entry);
             outbox.add(Audience.OTHER_RELAYS, entry);
@@ -316,9 +317,9 @@
             outbox.add(Audience.OTHER_RELAYS, entry);
         } else if (topic == PeerTopic.FLEET_LOAD) {
             outbox.add(Audience.OWN_DATA_CENTRE, entry);
-        } else if (!byRelays()) {
+        } else if (!usesRelays()) {
             outbox.add(Audience.ALL, entry);
-        } else if (!acting()) {
+        } else if (!isRelay()) {
             outbox.add(Audience.OWN_RELAY, entry);
         } else if (topic != PeerTopic.LOAD) {
             outbox.add(Audience.OWN_DATA_CENTRE, entry);
@@ -327,7 +328,7 @@
     }
 
     @Override
-    public void subscribe(PeerTopic topic, Consumer<PeerItem> listener) {
+    public void subscribe(PeerTopic topic, Consumer<PeerUpdate> listener) {
         listeners.get(topic).add(listener);
     }
 
@@ -338,7 +339,7 @@
         relayTracker.expireSilentMembers();
         roundTasks.forEach(Runnable::run);
         stateTransfers.retryPending(relayTracker::hasMessageFrom, roundsCount, this::sendState);
-        boolean isRelay = acting();
+        boolean isRelay = isRelay();
         if (isRelay != wasRelay) {
             wasRelay = isRelay;
             LogEvent.of("relay_changed")
@@ -347,7 +348,7 @@
                     .with("rank", relayTracker.ownRank())
                     .info(log);
         }
-        if (isRelay && relaysRound()) {
+        if (isRelay && isHeartbeatRound()) {
             publishHeartbeat();
         }
         flush(isRelay);
@@ -407,7 +408,7 @@
      * Discards the clock offsets after this process was suspended, since transit times are wrong by the length of the
      * suspension.
      */
-    public void suspended() {
+    public void onSuspension() {
         clockOffsets.reset();
     }
 
@@ -429,7 +430,7 @@
                 entries));
         for (PeerEntry entry : entries) {
             PeerTopic.find(entry.topic())
-                    .ifPresent(topic -> observer.onTold(topic, PeerCodec.sizeOf(entry), recipients.size()));
+                    .ifPresent(topic -> observer.onEntrySent(topic, PeerCodec.sizeOf(entry), recipients.size()));
         }
         outbox.onSent((long) encoded.length() * recipients.size());
         for (PeerMember member : recipients) {
@@ -472,13 +473,13 @@
         }
         OptionalLong transitMillis = clockOffsets.transitMillis(message);
         transitMillis.ifPresent(millis -> {
-            observer.onWay(millis);
+            observer.onTransitTime(millis);
             lateMessages.onMessage(message.sender(), millis);
         });
         for (PeerEntry entry : message.items()) {
             accept(entry, transitMillis, message.sender(), heartbeat);
         }
-        if (stateTransfers.isFirstStateRequest(message) && (acting() || !byRelays())) {
+        if (stateTransfers.isFirstStateRequest(message) && (isRelay() || !usesRelays())) {
             // The reply requests no state itself: two starting instances would send each other everything endlessly.
             relayTracker.findMember(message.sender()).ifPresent(pendingSnapshots::add);
             sendPendingSnapshots();
@@ -520,11 +521,11 @@
             relayTracker.findMember(sender).ifPresent(this::sendState);
             return;
         }
-        if (acting() && byRelays()) {
+        if (isRelay() && usesRelays()) {
             forward(entry, topic.get(), sender);
         }
         boolean ageBounded = transitMillis.isPresent() && entry.origin().equals(sender);
-        PeerItem update = new PeerItem(
+        PeerUpdate update = new PeerUpdate(
                 entry.origin(),
                 topic.get(),
                 entry.key(),
--- a/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
+++ b/src/main/java/org/dogwoodwinch/peer/SuspicionExchange.java
@@ -20,14 +20,14 @@
     private static final String TRIAL_PREFIX = "trial-";
     private static final long MIN_TTL_MILLIS = 60_000;
 
-    private final PeerBoard bus;
+    private final PeerBus bus;
 
     /**
      * Creates an exchange that publishes suspicions.
      *
      * @param bus the publish/subscribe bus, not null
      */
-    public SuspicionExchange(PeerBoard bus) {
+    public SuspicionExchange(PeerBus bus) {
         this.bus = Objects.requireNonNull(bus, "bus");
     }
 
@@ -36,7 +36,7 @@
      *
      * @param suspects the book, not null
      */
-    public void connect(SuspectRegistry suspects) {
+    public void subscribe(SuspectRegistry suspects) {
         bus.subscribe(
                 PeerTopic.QUARANTINE,
                 update -> decode(update.payload())
--- a/src/main/java/org/dogwoodwinch/platform/StoreClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/StoreClient.java
@@ -71,7 +71,7 @@
     public KeyedStream keyed(String topic) {
         return new KeyedStream() {
             @Override
-            public CompletionStage<ReadResult> newest(Optional<String> afterKey) {
+            public CompletionStage<ReadResult> readSnapshotPage(Optional<String> afterKey) {
                 QueryStringEncoder uri = of("/log-newest", topic);
                 afterKey.ifPresent(key -> uri.addParam("after", key));
                 return get(uri, timeoutMillis).thenApply(StoreClient::page);
@@ -136,7 +136,7 @@
                 return new ConditionalLog.Written(root.path("offset").asLong());
             }
             if (answered.status() == PRECONDITION_FAILED && root.path("end").isIntegralNumber()) {
-                return new ConditionalLog.EndsElsewhere(root.path("end").asLong());
+                return new ConditionalLog.EndOffsetMismatch(root.path("end").asLong());
             }
             return new ConditionalLog.Unknown("status " + answered.status());
         } catch (IOException e) {
--- a/src/main/java/org/dogwoodwinch/replay/ReplayBoard.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayBoard.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.TimeSource;
 
 /** A peer board that brings each item to all other instances after a fixed delay, as a few rounds of exchange would. */
@@ -22,22 +22,22 @@
         this.time = time;
     }
 
-    PeerBoard of(String instance) {
-        return new PeerBoard() {
+    PeerBus of(String instance) {
+        return new PeerBus() {
             @Override
             public void publish(PeerTopic topic, String key, Bytes payload, long _keepMillis) {
-                PeerItem item = new PeerItem(instance, topic, key, nextVersion++, payload, DELAY_MILLIS);
+                PeerUpdate item = new PeerUpdate(instance, topic, key, nextVersion++, payload, DELAY_MILLIS);
                 time.schedule(DELAY_MILLIS, () -> deliver(item));
             }
 
             @Override
-            public void subscribe(PeerTopic topic, Consumer<PeerItem> listener) {
+            public void subscribe(PeerTopic topic, Consumer<PeerUpdate> listener) {
                 subscriptions.add(new Subscription(instance, topic, listener));
             }
         };
     }
 
-    private void deliver(PeerItem item) {
+    private void deliver(PeerUpdate item) {
         for (Subscription each : subscriptions) {
             if (each.topic() == item.topic() && !each.instance().equals(item.origin())) {
                 each.listener().accept(item);
@@ -45,5 +45,5 @@
         }
     }
 
-    private record Subscription(String instance, PeerTopic topic, Consumer<PeerItem> listener) {}
+    private record Subscription(String instance, PeerTopic topic, Consumer<PeerUpdate> listener) {}
 }
--- a/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
@@ -15,7 +15,7 @@
 import org.dogwoodwinch.catalogue.Catalogue;
 import org.dogwoodwinch.catalogue.CatalogueView;
 import org.dogwoodwinch.external.ListedInstance;
-import org.dogwoodwinch.peer.PeerBoard;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.routing.FleetCapacityEstimator;
 import org.dogwoodwinch.routing.FleetView;
@@ -48,7 +48,7 @@
         this.reportLagMillis = header.reportLagMillis();
         this.time = world.time();
         this.fleet = new FleetView(time);
-        PeerBoard board = world.board().of("instance-" + index);
+        PeerBus board = world.board().of("instance-" + index);
         if (policy.routing() == ReplayPolicy.Routing.ESTIMATING) {
             long seed = header.seed() * 1_000 + index;
             router = new LoadAwareRouter(
@@ -74,7 +74,7 @@
         return admission;
     }
 
-    private AdmissionController admission(TraceHeader header, ReplayPolicy policy, PeerBoard board) {
+    private AdmissionController admission(TraceHeader header, ReplayPolicy policy, PeerBus board) {
         CatalogueView noLimits = new CatalogueView() {
             @Override
             public Optional<Catalogue> current() {
--- a/src/main/java/org/dogwoodwinch/routing/PeerLoadExchange.java
+++ b/src/main/java/org/dogwoodwinch/routing/PeerLoadExchange.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.TimeSource;
 
 /**
@@ -23,7 +23,7 @@
     private static final long ITEM_TTL_MILLIS = 15_000;
 
     private final FleetView fleet;
-    private final PeerBoard board;
+    private final PeerBus board;
     private final TimeSource time;
     private final long incarnation;
     private final long intervalMillis;
@@ -38,7 +38,7 @@
      * @param incarnation a number that differs after a restart of this instance
      * @param intervalMillis the time between publications, in milliseconds, more than zero
      */
-    public PeerLoadExchange(FleetView fleet, PeerBoard board, TimeSource time, long incarnation, long intervalMillis) {
+    public PeerLoadExchange(FleetView fleet, PeerBus board, TimeSource time, long incarnation, long intervalMillis) {
         this.fleet = Objects.requireNonNull(fleet, "fleet");
         this.board = Objects.requireNonNull(board, "board");
         this.time = Objects.requireNonNull(time, "time");
@@ -88,13 +88,13 @@
                 state.outstandingDecodeTokens());
     }
 
-    private void onItem(PeerItem item) {
+    private void onItem(PeerUpdate item) {
         if (item.key().equals(ITEM_KEY)) {
             PeerLoadCodec.decode(item.payload()).ifPresent(load -> applyPeerLoad(item, load));
         }
     }
 
-    private void applyPeerLoad(PeerItem item, PeerLoad load) {
+    private void applyPeerLoad(PeerUpdate item, PeerLoad load) {
         synchronized (fleet) {
             fleet.peerContact().recordMessage(time.wallMillis());
             PeerTotals peerTotals = peers.get(item.origin());
--- a/src/test/java/org/dogwoodwinch/admission/LimitShareSimulation.java
+++ b/src/test/java/org/dogwoodwinch/admission/LimitShareSimulation.java
@@ -7,9 +7,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /**
@@ -129,7 +129,7 @@
         }
     }
 
-    private final class SimulatedInstance implements PeerBoard {
+    private final class SimulatedInstance implements PeerBus {
 
         private final int index;
         private LimitShareExchange exchange;
@@ -200,7 +200,7 @@
         }
 
         @Override
-        public void subscribe(PeerTopic _topic, Consumer<PeerItem> _listener) {}
+        public void subscribe(PeerTopic _topic, Consumer<PeerUpdate> _listener) {}
     }
 
     private record UnitInUse(LimitAllocation.AcquiredUnit unit, long untilMillis) {}
@@ -210,13 +210,13 @@
         private final int receiverIndex;
         private final long sentMillis;
         private final long dueMillis;
-        private final PeerItem item;
+        private final PeerUpdate item;
 
         MessageInTransit(int receiverIndex, long sentMillis, long dueMillis, Bytes payload) {
             this.receiverIndex = receiverIndex;
             this.sentMillis = sentMillis;
             this.dueMillis = dueMillis;
-            this.item = new PeerItem("peer", PeerTopic.DEMAND, "shares", sentMillis, payload, 0);
+            this.item = new PeerUpdate("peer", PeerTopic.DEMAND, "shares", sentMillis, payload, 0);
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
@@ -18,9 +18,9 @@
 import org.dogwoodwinch.catalogue.Limits;
 import org.dogwoodwinch.catalogue.Owner;
 import org.dogwoodwinch.catalogue.WorkClass;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.request.Operation;
 import org.dogwoodwinch.request.Refusal;
@@ -199,12 +199,12 @@
             @Override
             public void onChange(Consumer<Catalogue> _listener) {}
         };
-        PeerBoard boardWithoutPeers = new PeerBoard() {
+        PeerBus boardWithoutPeers = new PeerBus() {
             @Override
             public void publish(PeerTopic _topic, String _key, Bytes _payload, long _keepMillis) {}
 
             @Override
-            public void subscribe(PeerTopic _topic, Consumer<PeerItem> _listener) {}
+            public void subscribe(PeerTopic _topic, Consumer<PeerUpdate> _listener) {}
         };
         return new QueueingAdmissionController(
                 AdmissionPolicy.STANDARD,
--- a/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.catalogue.CatalogueCodec;
 import org.dogwoodwinch.catalogue.SampleCatalogues;
 import org.dogwoodwinch.controllog.FollowerSettings;
-import org.dogwoodwinch.peer.PeerBoard;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
 import org.dogwoodwinch.time.VirtualTimeSource;
@@ -116,7 +116,7 @@
         return node(name, board);
     }
 
-    private ControlNode node(String name, PeerBoard itsBoard) {
+    private ControlNode node(String name, PeerBus itsBoard) {
         ControlSettings settings = new ControlSettings(
                 name, new FollowerSettings("control", 100, 1_000, 100, 1_000), 200, RETENTION_MILLIS / 4, 1_000, 2_000);
         return ControlSamples.node(settings, log, itsBoard, time);
--- a/src/test/java/org/dogwoodwinch/control/ControlSamples.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSamples.java
@@ -6,7 +6,7 @@
 import org.dogwoodwinch.authority.FleetView;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.external.LogService;
-import org.dogwoodwinch.peer.PeerBoard;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
 import org.dogwoodwinch.target.EngineClient;
@@ -35,7 +35,7 @@
         return node;
     }
 
-    static ControlNode node(ControlSettings settings, LogService log, PeerBoard board, TimeSource time) {
+    static ControlNode node(ControlSettings settings, LogService log, PeerBus board, TimeSource time) {
         ControlServices services = new ControlServices(
                 log,
                 () -> CompletableFuture.completedFuture(6),
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
@@ -13,9 +13,9 @@
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.catalogue.WorkClass;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.routing.Route;
 import org.dogwoodwinch.routing.RouteQuery;
 import org.dogwoodwinch.routing.Router;
@@ -30,7 +30,7 @@
     private static final Target ENGINE = new Target("engine-1", "127.0.0.1", 1, "kochi", "reading");
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final List<Consumer<PeerItem>> listeners = new ArrayList<>();
+    private final List<Consumer<PeerUpdate>> listeners = new ArrayList<>();
     private final Member first = new Member("entry-1", "entry-2");
     private final Member second = new Member("entry-2", "entry-1");
 
@@ -86,7 +86,7 @@
     }
 
     /** One instance with a board that reaches the other one unless it is cut off. */
-    private final class Member implements PeerBoard {
+    private final class Member implements PeerBus {
 
         private final String name;
         private final Set<String> marked = new HashSet<>();
@@ -103,12 +103,12 @@
         @Override
         public void publish(PeerTopic topic, String key, Bytes payload, long _keepMillis) {
             if (!cut) {
-                listeners.forEach(listener -> listener.accept(new PeerItem(name, topic, key, 1, payload, 10)));
+                listeners.forEach(listener -> listener.accept(new PeerUpdate(name, topic, key, 1, payload, 10)));
             }
         }
 
         @Override
-        public void subscribe(PeerTopic _topic, Consumer<PeerItem> listener) {
+        public void subscribe(PeerTopic _topic, Consumer<PeerUpdate> listener) {
             listeners.add(listener);
         }
     }
--- a/src/test/java/org/dogwoodwinch/control/SharedBoard.java
+++ b/src/test/java/org/dogwoodwinch/control/SharedBoard.java
@@ -4,24 +4,24 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 
 /** A board that delivers every item to every subscriber at once. */
-final class SharedBoard implements PeerBoard {
+final class SharedBoard implements PeerBus {
 
-    private final List<Consumer<PeerItem>> listeners = new ArrayList<>();
+    private final List<Consumer<PeerUpdate>> listeners = new ArrayList<>();
     private long version;
 
     @Override
     public void publish(PeerTopic topic, String key, Bytes payload, long _keepMillis) {
-        PeerItem item = new PeerItem("peer", topic, key, ++version, payload, 0);
+        PeerUpdate item = new PeerUpdate("peer", topic, key, ++version, payload, 0);
         List.copyOf(listeners).forEach(listener -> listener.accept(item));
     }
 
     @Override
-    public void subscribe(PeerTopic _topic, Consumer<PeerItem> listener) {
+    public void subscribe(PeerTopic _topic, Consumer<PeerUpdate> listener) {
         listeners.add(listener);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/FullLinkTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/FullLinkTest.java
@@ -183,7 +183,7 @@
     /** The engine tells a change to the instance of each data centre that watches it. */
     private void changed(String engine, String part, int tokens) {
         for (int i = 0; i < fleet.members.size(); i++) {
-            if (fleet.members.get(i).exchange.fallsToOwn(engine)) {
+            if (fleet.members.get(i).exchange.isAssignedToSelf(engine)) {
                 indexes.get(i).setCachedTokens(engine, part, tokens);
                 sharings.get(i).changed(engine, part, tokens);
             }
--- a/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
@@ -149,7 +149,7 @@
     /** The engine tells a change to the instance that watches it. */
     private void changed(String engine, String part, int tokens) {
         for (int i = 0; i < MEMBERS_COUNT; i++) {
-            if (fleet.members.get(i).exchange.fallsToOwn(engine)) {
+            if (fleet.members.get(i).exchange.isAssignedToSelf(engine)) {
                 indexes.get(i).setCachedTokens(engine, part, tokens);
                 sharings.get(i).changed(engine, part, tokens);
             }
--- a/src/test/java/org/dogwoodwinch/daemon/LateWaysTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/LateWaysTest.java
@@ -37,7 +37,7 @@
         fleet.time.advanceMillis(5_000);
         // Instances' rounds are not in step.
         fleet.members.stream()
-                .filter(member -> member.dataCentre.equals("dc0") && member != late && member.exchange.acting())
+                .filter(member -> member.dataCentre.equals("dc0") && member != late && member.exchange.isRelay())
                 .forEach(next -> next.waitMillisAt = _nowMillis -> ROUND_MILLIS);
         fleet.time.advanceMillis(5_000);
 
@@ -46,7 +46,7 @@
         for (int i = 0; i < 40; i++) {
             fleet.time.advanceMillis(ROUND_MILLIS / 2);
             acting.add(fleet.members.stream()
-                    .filter(member -> member.dataCentre.equals("dc0") && member.exchange.acting())
+                    .filter(member -> member.dataCentre.equals("dc0") && member.exchange.isRelay())
                     .count());
         }
 
@@ -67,7 +67,7 @@
         boolean acted = false;
         for (int i = 0; i < 60; i++) {
             fleet.time.advanceMillis(ROUND_MILLIS / 2);
-            acted |= narrow.exchange.acting();
+            acted |= narrow.exchange.isRelay();
         }
 
         assertFalse(acted, "sent " + (narrow.sentBytes - before) + " bytes in 4.5 s");
@@ -138,7 +138,7 @@
 
     private static RelayFleet.Member follower(RelayFleet fleet, String dataCentre) {
         return fleet.members.stream()
-                .filter(member -> member.dataCentre.equals(dataCentre) && !member.exchange.acting())
+                .filter(member -> member.dataCentre.equals(dataCentre) && !member.exchange.isRelay())
                 .reduce((_one, other) -> other)
                 .orElseThrow();
     }
--- a/src/test/java/org/dogwoodwinch/daemon/RelayFleet.java
+++ b/src/test/java/org/dogwoodwinch/daemon/RelayFleet.java
@@ -16,13 +16,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.bytes.Bytes;
-import org.dogwoodwinch.follow.FollowListener;
-import org.dogwoodwinch.follow.FollowPolicy;
+import org.dogwoodwinch.follow.FollowerPolicy;
 import org.dogwoodwinch.follow.KeyedRecord;
 import org.dogwoodwinch.follow.KeyedStream;
 import org.dogwoodwinch.follow.ReadResult;
 import org.dogwoodwinch.follow.ReplicaPolicy;
 import org.dogwoodwinch.follow.StreamFollower;
+import org.dogwoodwinch.follow.StreamListener;
 import org.dogwoodwinch.peer.PeerMember;
 import org.dogwoodwinch.peer.PeerObserver;
 import org.dogwoodwinch.peer.PeerSettings;
@@ -40,7 +40,7 @@
     /** A fifth of a link of 7 Mbit/s. */
     private static final int LINK_SHARE_BYTES_PER_SECOND = 175_000;
 
-    private static final FollowPolicy FOLLOW = new FollowPolicy(600, 100, 50, 500);
+    private static final FollowerPolicy FOLLOW = new FollowerPolicy(600, 100, 50, 500);
     private static final ReplicaPolicy TOLD = new ReplicaPolicy(1_100, 75, 3);
 
     final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
@@ -85,7 +85,7 @@
     /** The instance that reads for its data centre. */
     Member relay(String dataCentre) {
         return members.stream()
-                .filter(member -> member.dataCentre.equals(dataCentre) && member.exchange.acting())
+                .filter(member -> member.dataCentre.equals(dataCentre) && member.exchange.isRelay())
                 .findFirst()
                 .orElseThrow();
     }
@@ -193,7 +193,7 @@
                 return;
             }
             if (connectedTo.add(to.name())) {
-                exchange.connected(to);
+                exchange.onConnected(to);
             }
             messagesCount++;
             messageBytes += message.length();
@@ -230,8 +230,8 @@
         }
 
         @Override
-        public void onTold(PeerTopic topic, int wordBytes, int receiversCount) {
-            bytes.merge(topic, (long) wordBytes * receiversCount, Long::sum);
+        public void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {
+            bytes.merge(topic, (long) entryBytes * recipientCount, Long::sum);
         }
     }
 
@@ -244,7 +244,7 @@
         }
 
         @Override
-        public CompletionStage<ReadResult> newest(Optional<String> _afterKey) {
+        public CompletionStage<ReadResult> readSnapshotPage(Optional<String> _afterKey) {
             return call(0, () -> new ReadResult.Page(List.of(), false, 0));
         }
 
@@ -290,7 +290,7 @@
         }
     }
 
-    private final class Applied implements FollowListener {
+    private final class Applied implements StreamListener {
 
         private final Member member;
 
@@ -299,17 +299,17 @@
         }
 
         @Override
-        public void record(KeyedRecord record) {
+        public void onRecord(KeyedRecord record) {
             member.appliedAtMillis.putIfAbsent(record.offset(), time.monotonicMillis());
         }
 
         @Override
-        public void readWhole(Set<String> _keys, long _endOffset) {}
+        public void onSnapshotComplete(Set<String> _keys, long _endOffset) {}
 
         @Override
-        public void regained() {}
+        public void onReconnected() {}
 
         @Override
-        public void lost(String _reason) {}
+        public void onDisconnected(String _reason) {}
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -97,7 +97,7 @@
                     storeRecords.add(time.monotonicMillis());
                     appended = new ConditionalLog.Written(end);
                 } else {
-                    appended = new ConditionalLog.EndsElsewhere(storeRecords.size());
+                    appended = new ConditionalLog.EndOffsetMismatch(storeRecords.size());
                 }
                 if (lost) {
                     time.schedule(700, () -> result.complete(new ConditionalLog.Unknown("timeout")));
--- a/src/test/java/org/dogwoodwinch/daemon/StreamSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StreamSharingTest.java
@@ -119,13 +119,13 @@
         first.dead(true);
         fleet.time.advanceMillis(2_000);
         long acting = fleet.members.stream()
-                .filter(member -> member != first && member.dataCentre.equals("dc0") && member.exchange.acting())
+                .filter(member -> member != first && member.dataCentre.equals("dc0") && member.exchange.isRelay())
                 .count();
         assertEquals(1, acting);
         assertNotEquals(
                 first.name,
                 fleet.members.stream()
-                        .filter(member -> member != first && member.exchange.acting())
+                        .filter(member -> member != first && member.exchange.isRelay())
                         .findFirst()
                         .orElseThrow()
                         .name);
@@ -177,7 +177,7 @@
             if (failing && random.nextInt(3) == 0) {
                 heal(member);
                 soundSinceMillis.put(member.name, fleet.time.monotonicMillis());
-            } else if (!failing && random.nextInt(member.exchange.acting() ? 3 : 12) == 0) {
+            } else if (!failing && random.nextInt(member.exchange.isRelay() ? 3 : 12) == 0) {
                 harm(member, random.nextInt(5));
                 soundSinceMillis.put(member.name, Long.MAX_VALUE);
             }
--- a/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
@@ -73,18 +73,18 @@
     private void entry(String id, String state) {
         String json = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"dc\",\"version\":\"v1\",\"slots\":6,"
                 + "\"state\":\"" + state + "\",\"coldLeftMs\":0,\"seq\":4}";
-        reader.record(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
+        reader.onRecord(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
     }
 
     private void entryBorn(String id, String address, long bornMillis) {
         String json =
                 "{\"service\":\"s\",\"address\":\"" + address + "\",\"zone\":\"dc\",\"version\":\"v1\",\"slots\":6,"
                         + "\"state\":\"ready\",\"coldLeftMs\":0,\"seq\":4,\"born\":" + bornMillis + "}";
-        reader.record(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
+        reader.onRecord(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
     }
 
     private void removed(String id) {
-        reader.record(new KeyedRecord(id, offset++, Optional.empty()));
+        reader.onRecord(new KeyedRecord(id, offset++, Optional.empty()));
     }
 
     private List<String> ready() {
@@ -115,9 +115,9 @@
     void whatLapsedInAnOutageIsGoneOnlyWhenItDoesNotComeBack() {
         entry("a", "ready");
         entry("b", "ready");
-        reader.lost("timeout");
+        reader.onDisconnected("timeout");
         time.advanceMillis(5_000);
-        reader.regained();
+        reader.onReconnected();
         removed("a");
         removed("b");
         assertEquals(List.of("a", "b"), ready());
@@ -134,11 +134,11 @@
     void aFullReadingAfterAnOutageIsBelievedAfterAWhile() {
         entry("a", "ready");
         entry("b", "ready");
-        reader.lost("timeout");
+        reader.onDisconnected("timeout");
         time.advanceMillis(5_000);
-        reader.regained();
+        reader.onReconnected();
         offset = 20;
-        reader.readWhole(Set.of(), 20);
+        reader.onSnapshotComplete(Set.of(), 20);
         assertEquals(List.of("a", "b"), ready());
 
         entry("a", "ready");
@@ -152,8 +152,8 @@
     void aLeavingTargetIsGoneAtOnce() {
         entry("a", "ready");
         entry("a", "draining");
-        reader.lost("timeout");
-        reader.regained();
+        reader.onDisconnected("timeout");
+        reader.onReconnected();
         removed("a");
 
         assertTrue(directory.find("a").isEmpty());
--- a/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
@@ -42,7 +42,7 @@
     void anInstanceThatIsTurnedAwayKnowsWhatItsNeighboursKnow() {
         RelayFleet fleet = settled(24, 3, 11);
         RelayFleet.Member started = fleet.members.stream()
-                .filter(member -> !member.exchange.acting())
+                .filter(member -> !member.exchange.isRelay())
                 .findFirst()
                 .orElseThrow();
         started.storeCut = true;
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
@@ -23,9 +23,9 @@
 import org.dogwoodwinch.external.ReadResult;
 import org.dogwoodwinch.history.CatalogueEvent;
 import org.dogwoodwinch.history.FleetEvent;
-import org.dogwoodwinch.peer.PeerBoard;
-import org.dogwoodwinch.peer.PeerItem;
+import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
+import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.request.CallerRequest;
 import org.dogwoodwinch.request.ClaimIndex;
 import org.dogwoodwinch.request.LogClaimStore;
@@ -227,12 +227,12 @@
         }
     }
 
-    private static final class NoBoard implements PeerBoard {
+    private static final class NoBoard implements PeerBus {
 
         @Override
         public void publish(PeerTopic _topic, String _key, Bytes _payload, long _keepMillis) {}
 
         @Override
-        public void subscribe(PeerTopic _topic, Consumer<PeerItem> _listener) {}
+        public void subscribe(PeerTopic _topic, Consumer<PeerUpdate> _listener) {}
     }
 }
--- a/src/test/java/org/dogwoodwinch/follow/ReplicatedStreamAgeTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/ReplicatedStreamAgeTest.java
@@ -18,7 +18,7 @@
     void snapshotOfUnknownAgeIsNotPublishedAsFresh() {
         KeyedStream unresponsivePlatform = new KeyedStream() {
             @Override
-            public CompletionStage<ReadResult> newest(Optional<String> _afterKey) {
+            public CompletionStage<ReadResult> readSnapshotPage(Optional<String> _afterKey) {
                 return new CompletableFuture<>();
             }
 
@@ -29,10 +29,10 @@
         };
         ReplicatedStream.Publisher publisher = new ReplicatedStream.Publisher() {
             @Override
-            public void tell(StreamUpdate _update, boolean _ownReading) {}
+            public void publish(StreamUpdate _update, boolean _ownReading) {}
 
             @Override
-            public void want() {}
+            public void requestSnapshot() {}
         };
         ReplicatedStream stream = new ReplicatedStream(
                 "s",
@@ -42,11 +42,12 @@
                 () -> 0,
                 publisher,
                 record -> record);
-        assertTrue(!stream.newest(Optional.empty()).toCompletableFuture().isDone());
+        assertTrue(
+                !stream.readSnapshotPage(Optional.empty()).toCompletableFuture().isDone());
 
-        stream.heardAbroad(new StreamUpdate("s", true, List.of(), 5, 5, UNKNOWN_AGE_MILLIS));
+        stream.onUpdateFromOtherDataCentre(new StreamUpdate("s", true, List.of(), 5, 5, UNKNOWN_AGE_MILLIS));
 
-        long publishedAgeMillis = stream.whole().orElseThrow().contactAgeMillis();
+        long publishedAgeMillis = stream.snapshot().orElseThrow().contactAgeMillis();
         assertTrue(publishedAgeMillis >= UNKNOWN_AGE_MILLIS, "published as " + publishedAgeMillis + " ms old");
     }
 }
--- a/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
+++ b/src/test/java/org/dogwoodwinch/follow/StreamFollowerTest.java
@@ -25,7 +25,7 @@
     private final StreamFollower follower = new StreamFollower(
             new KeyedStream() {
                 @Override
-                public CompletionStage<ReadResult> newest(Optional<String> afterKey) {
+                public CompletionStage<ReadResult> readSnapshotPage(Optional<String> afterKey) {
                     return startRead("newest " + afterKey.orElse(""));
                 }
 
@@ -34,7 +34,7 @@
                     return startRead("read " + fromOffset);
                 }
             },
-            new FollowPolicy(1_000, 100, 50, 400),
+            new FollowerPolicy(1_000, 100, 50, 400),
             new Listener(),
             time,
             RandomSource.XO_RO_SHI_RO_128_PP.create(3));
@@ -128,24 +128,24 @@
         assertEquals(1, calls.size());
     }
 
-    private final class Listener implements FollowListener {
+    private final class Listener implements StreamListener {
         @Override
-        public void record(KeyedRecord record) {
+        public void onRecord(KeyedRecord record) {
             events.add(record.key() + "@" + record.offset());
         }
 
         @Override
-        public void readWhole(Set<String> keys, long endOffset) {
+        public void onSnapshotComplete(Set<String> keys, long endOffset) {
             events.add("snapshot " + new TreeSet<>(keys) + " to " + endOffset);
         }
 
         @Override
-        public void regained() {
+        public void onReconnected() {
             events.add("reconnected");
         }
 
         @Override
-        public void lost(String _reason) {
+        public void onDisconnected(String _reason) {
             events.add("disconnected");
         }
     }
--- a/src/test/java/org/dogwoodwinch/peer/PeerExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/GossipExchangeTest.java
@@ -12,13 +12,13 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class PeerExchangeTest {
+class GossipExchangeTest {
 
     private static final int MEMBERS = 12;
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     private final List<PeerMember> members = new ArrayList<>();
-    private final List<PeerExchange> exchanges = new ArrayList<>();
+    private final List<GossipExchange> exchanges = new ArrayList<>();
     private final List<PeerRefusal> refusals = new ArrayList<>();
     private final List<Bytes> sent = new ArrayList<>();
 
@@ -40,14 +40,14 @@
     @Test
     void ageAccumulatesAndOldEntriesExpire() {
         startAll();
-        List<PeerItem> received = new ArrayList<>();
+        List<PeerUpdate> received = new ArrayList<>();
         exchanges.get(1).subscribe(PeerTopic.LEAVING, received::add);
         exchanges.get(0).publish(PeerTopic.LEAVING, "engine", Bytes.EMPTY, 30_000);
         time.advanceMillis(10_000);
         assertTrue(received.get(0).ageMillis() > 0 && received.get(0).ageMillis() < 10_000);
-        int countBefore = exchanges.get(1).items();
+        int countBefore = exchanges.get(1).entryCount();
         time.advanceMillis(30_000);
-        assertEquals(countBefore - 1, exchanges.get(1).items());
+        assertEquals(countBefore - 1, exchanges.get(1).entryCount());
     }
 
     /** Guards against an instance that starts during a log outage and gets no catalogue from the other instances. */
@@ -56,8 +56,8 @@
         startAll();
         exchanges.forEach(each -> each.publish(PeerTopic.CATALOGUE, "catalogue", Bytes.ofUtf8("c"), 3_600_000));
         time.advanceMillis(10_000);
-        PeerExchange startingInstance = start(MEMBERS);
-        List<PeerItem> received = new ArrayList<>();
+        GossipExchange startingInstance = start(MEMBERS);
+        List<PeerUpdate> received = new ArrayList<>();
         startingInstance.subscribe(PeerTopic.CATALOGUE, received::add);
         time.advanceMillis(2_000);
         assertFalse(received.isEmpty());
@@ -67,7 +67,7 @@
     void isAliveUntilHeartbeatExpires() {
         startAll();
         time.advanceMillis(5_000);
-        String incarnationId = exchanges.get(1).writer();
+        String incarnationId = exchanges.get(1).incarnationId();
         assertTrue(exchanges.get(0).isAlive(incarnationId));
         exchanges.get(1).stop();
         time.advanceMillis(10_000);
@@ -79,7 +79,7 @@
     void refusesInvalidMessages() {
         startAll();
         time.advanceMillis(1_000);
-        PeerExchange receiver = exchanges.get(0);
+        GossipExchange receiver = exchanges.get(0);
         Bytes valid = new PeerCodec("secret", 1_048_576)
                 .encode(new PeerMessage(
                         PeerMessage.VERSION, "x", 1, 1, time.wallMillis(), 0, Optional.empty(), false, List.of()));
@@ -115,7 +115,7 @@
     @Test
     void staysWithinBudget() {
         startAll();
-        List<PeerItem> urgentUpdates = new ArrayList<>();
+        List<PeerUpdate> urgentUpdates = new ArrayList<>();
         exchanges.get(MEMBERS - 1).subscribe(PeerTopic.QUARANTINE, urgentUpdates::add);
         sent.clear();
         for (int second = 0; second < 20; second++) {
@@ -140,10 +140,10 @@
         time.advanceMillis(5_000);
     }
 
-    private PeerExchange start(int index) {
+    private GossipExchange start(int index) {
         String name = "entry-" + index;
         members.add(new PeerMember(name, "127.0.0.1", index, "kakkanad"));
-        PeerExchange exchange = new PeerExchange(
+        GossipExchange exchange = new GossipExchange(
                 PeerSettings.defaults(name, "kakkanad", "secret"),
                 time,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(index),
--- a/src/test/java/org/dogwoodwinch/peer/MemberListTest.java
+++ b/src/test/java/org/dogwoodwinch/peer/MemberListTest.java
@@ -28,7 +28,7 @@
     private void announce(String name) {
         MemberList other = new MemberList(name, writer, time, RENEW_MILLIS);
         other.start(new PeerMember(name, "10.0.0.1", 7_000, "dc"));
-        members.record(new KeyedRecord(name, nextOffset++, writer.lastValue));
+        members.onRecord(new KeyedRecord(name, nextOffset++, writer.lastValue));
     }
 
     private List<String> names() {
@@ -49,7 +49,7 @@
     @Test
     void leavingMemberIsRemoved() {
         announce("i1");
-        members.record(new KeyedRecord("i1", nextOffset++, Optional.empty()));
+        members.onRecord(new KeyedRecord("i1", nextOffset++, Optional.empty()));
 
         assertEquals(List.of(), names());
     }
@@ -57,7 +57,7 @@
     @Test
     void malformedRecordIsIgnored() {
         Bytes malformed = Bytes.of("?".getBytes(StandardCharsets.UTF_8));
-        members.record(new KeyedRecord("i1", nextOffset++, Optional.of(malformed)));
+        members.onRecord(new KeyedRecord("i1", nextOffset++, Optional.of(malformed)));
 
         assertEquals(List.of(), names());
     }
@@ -67,9 +67,9 @@
     void countIsUnknownBeforeFirstSnapshot() {
         announce("i1");
 
-        assertEquals(OptionalInt.empty(), members.mostSeenCount());
-        members.readWhole(Set.of("i1"), 1);
-        assertEquals(OptionalInt.of(2), members.mostSeenCount());
+        assertEquals(OptionalInt.empty(), members.maxMemberCount());
+        members.onSnapshotComplete(Set.of("i1"), 1);
+        assertEquals(OptionalInt.of(2), members.maxMemberCount());
     }
 
     /** Guards against each of 58 instances taking the whole slack of the retry budget after a store outage. */
@@ -80,13 +80,13 @@
             announce("i" + i);
             keys.add("i" + i);
         }
-        members.readWhole(keys, nextOffset);
+        members.onSnapshotComplete(keys, nextOffset);
 
         time.advanceMillis(60_000);
 
         assertEquals(List.of(), names());
         announce("i1");
-        assertEquals(OptionalInt.of(58), members.mostSeenCount());
+        assertEquals(OptionalInt.of(58), members.maxMemberCount());
     }
 
     /**
@@ -98,16 +98,16 @@
         startWith("i1", "i2");
 
         writer.accepts = false;
-        members.lost("timeout");
+        members.onDisconnected("timeout");
         time.advanceMillis(29_999 - RENEW_MILLIS);
-        assertEquals(Optional.of(Set.of("i0", "i1", "i2")), members.countedOn());
+        assertEquals(Optional.of(Set.of("i0", "i1", "i2")), members.assignmentMembers());
         time.advanceMillis(45_000);
-        assertEquals(Optional.empty(), members.countedOn(), "the other instances have expired this one");
+        assertEquals(Optional.empty(), members.assignmentMembers(), "the other instances have expired this one");
 
         writer.accepts = true;
-        members.regained();
+        members.onReconnected();
         time.advanceMillis(RENEW_MILLIS);
-        assertEquals(Optional.of(Set.of("i0", "i1", "i2")), members.countedOn());
+        assertEquals(Optional.of(Set.of("i0", "i1", "i2")), members.assignmentMembers());
     }
 
     @Test
@@ -118,7 +118,7 @@
             announce("i1");
         }
 
-        assertEquals(Optional.of(Set.of("i0", "i1")), members.countedOn());
+        assertEquals(Optional.of(Set.of("i0", "i1")), members.assignmentMembers());
     }
 
     @Test
@@ -126,25 +126,25 @@
         startWith("i1");
         members.leave();
 
-        assertEquals(Optional.empty(), members.countedOn());
+        assertEquals(Optional.empty(), members.assignmentMembers());
     }
 
     @Test
     void noAssignmentMembersBeforeOwnRecordIsStored() {
         writer.accepts = false;
         startWith("i1");
-        assertEquals(Optional.empty(), members.countedOn());
+        assertEquals(Optional.empty(), members.assignmentMembers());
 
         writer.accepts = true;
         time.advanceMillis(RENEW_MILLIS);
-        assertEquals(Optional.of(Set.of("i0", "i1")), members.countedOn());
+        assertEquals(Optional.of(Set.of("i0", "i1")), members.assignmentMembers());
     }
 
     private void startWith(String... others) {
         for (String other : others) {
             announce(other);
         }
-        members.readWhole(Set.of(others), nextOffset);
+        members.onSnapshotComplete(Set.of(others), nextOffset);
         members.start(new PeerMember("i0", "10.0.0.1", 7_000, "dc"));
     }
 
