--- a/src/main/java/org/dogwoodwinch/authority/AuthorityAgent.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityAgent.java
@@ -23,20 +23,20 @@
 
     private final String holder;
     private final OrderPolicy policy;
-    private final RecordIds ids;
+    private final RecordIdGenerator ids;
     private final FleetView fleet;
     private final Predicate<String> checksFencing;
-    private final LeaseKeeper leases;
-    private final EngineStates states = new EngineStates();
-    private final LoadBudget budget = new LoadBudget();
-    private final PlanDesk plans;
+    private final LeaseManager leaseManager;
+    private final EngineStateCache engineStates = new EngineStateCache();
+    private final WeightLoadLimiter loadLimiter = new WeightLoadLimiter();
+    private final PlanExecutor planExecutor;
     private static final StateChart<OrderState, OrderEvent, OrderAction> ORDER_CHART =
             new ChartReader<>(OrderState.class, OrderEvent.class, OrderAction.class).readResource("order.json");
     private final Map<String, OrderDriver> drivers = new TreeMap<>();
-    private final Map<String, HeldSince> heldSince = new HashMap<>();
-    private long rateAskedMillis = Long.MIN_VALUE / 2;
-    private List<Target> lastEngines = List.of();
-    private SortedMap<String, List<Target>> lastByGroup = new TreeMap<>();
+    private final Map<String, HoldStart> holdStarts = new HashMap<>();
+    private long lastRateReadMillis = Long.MIN_VALUE / 2;
+    private List<Target> groupedEngines = List.of();
+    private SortedMap<String, List<Target>> enginesByGroup = new TreeMap<>();
 
     /**
      * Creates an agent that holds nothing.
@@ -54,7 +54,7 @@
             String holder,
             LeasePolicy leasePolicy,
             OrderPolicy policy,
-            RecordIds ids,
+            RecordIdGenerator ids,
             FleetView fleet,
             TargetActivity activity,
             Predicate<String> checksFencing) {
@@ -63,39 +63,40 @@
         this.ids = Objects.requireNonNull(ids, "ids");
         this.fleet = Objects.requireNonNull(fleet, "fleet");
         this.checksFencing = Objects.requireNonNull(checksFencing, "checksFencing");
-        this.leases = new LeaseKeeper(holder, leasePolicy, ids);
-        this.plans = new PlanDesk(policy, ids, activity, states, budget);
+        this.leaseManager = new LeaseManager(holder, leasePolicy, ids);
+        this.planExecutor = new PlanExecutor(policy, ids, activity, engineStates, loadLimiter);
     }
 
     /**
      * Hears that a record was folded.
      *
-     * @param fold the state after it, not null
+     * @param authority the state after it, not null
      * @param offset its offset
      * @param record the record, not null
      */
-    public void onFolded(AuthorityFold fold, long offset, AuthorityRecord record) {
-        leases.onReadBack(fold.leases(), offset, record.id());
+    public void onFolded(AuthorityFold authority, long offset, AuthorityRecord record) {
+        leaseManager.onReadBack(authority.leases(), offset, record.id());
     }
 
     /**
      * Decides what to do now.
      *
-     * @param fold the state as far as it was read, not null
-     * @param logOut whether the log does not answer
+     * @param authority the state as far as it was read, not null
+     * @param logUnavailable whether the log does not answer
      * @param nowMillis the monotonic time in milliseconds
      * @return the actions, to be carried out at once and in order
      */
-    public List<AuthorityAction> decide(AuthorityFold fold, boolean logOut, long nowMillis) {
-        SortedMap<String, List<Target>> engines = enginesByGroup();
+    public List<AuthorityAction> decide(AuthorityFold authority, boolean logUnavailable, long nowMillis) {
+        SortedMap<String, List<Target>> engines = groupEngines();
         List<AuthorityAction> actions = new ArrayList<>();
-        leases.decide(fold.leases(), engines.keySet(), fleet::claimRank, logOut, nowMillis)
+        leaseManager
+                .decide(authority.leases(), engines.keySet(), fleet::claimRank, logUnavailable, nowMillis)
                 .forEach(record -> actions.add(new AuthorityAction.Append(record)));
-        budget.observe(fold.engines(), nowMillis);
-        plans.forgetFinished(fold);
-        dropDrivers(fold, nowMillis);
-        engines.forEach((group, members) ->
-                held(fold, group, members, nowMillis).ifPresent(held -> decideGroup(fold, held, nowMillis, actions)));
+        loadLimiter.recordEndedLoads(authority.engines(), nowMillis);
+        planExecutor.removeFinished(authority);
+        removeObsoleteDrivers(authority, nowMillis);
+        engines.forEach((group, members) -> findHeldGroup(authority, group, members, nowMillis)
+                .ifPresent(held -> decideGroup(authority, held, nowMillis, actions)));
         return actions;
     }
 
@@ -103,18 +104,21 @@
      * Asks again, immediately before an order is written, whether this instance still may send it. A pause between the
      * decision and the write would otherwise send an order whose lease has lapsed meanwhile.
      *
-     * @param fold the state as far as it was read, not null
+     * @param authority the state as far as it was read, not null
      * @param send what is about to be sent, not null
      * @param nowMillis the monotonic time in milliseconds
      * @return whether the order is still open and the lease covers its timeout
      */
-    public boolean maySend(AuthorityFold fold, AuthorityAction.SendOrder send, long nowMillis) {
-        boolean open = fold.engines()
+    public boolean maySend(AuthorityFold authority, AuthorityAction.SendOrder send, long nowMillis) {
+        boolean open = authority
+                .engines()
                 .engine(send.engine())
                 .filter(entry -> entry.state() == EngineEntry.State.OPEN
                         && entry.orderId().equals(send.order().orderId()))
                 .isPresent();
-        return open && leases.remainingMillis(fold.leases(), send.group(), nowMillis) >= policy.orderTimeoutMillis();
+        return open
+                && leaseManager.remainingMillis(authority.leases(), send.group(), nowMillis)
+                        >= policy.orderTimeoutMillis();
     }
 
     /**
@@ -140,7 +144,7 @@
      * @param nowMillis the monotonic time in milliseconds
      */
     public void onEngineState(String engine, EngineState state, long nowMillis) {
-        states.put(engine, state, nowMillis);
+        engineStates.put(engine, state, nowMillis);
         OrderDriver driver = drivers.get(engine);
         if (driver != null) {
             driver.onState(state, nowMillis);
@@ -154,136 +158,144 @@
      * @param nowMillis the monotonic time in milliseconds
      */
     public void onWeightRate(int allowedPerMinute, long nowMillis) {
-        budget.onRate(allowedPerMinute, nowMillis);
+        loadLimiter.updateRate(allowedPerMinute, nowMillis);
     }
 
     /**
      * Gives all groups back for a planned stop, so that successors need not wait out the term.
      *
-     * @param fold the state as far as it was read, not null
+     * @param authority the state as far as it was read, not null
      * @return the record to append; empty where nothing is held, or while an order is out whose answer is not in
      */
-    public Optional<AuthorityRecord> release(AuthorityFold fold) {
+    public Optional<AuthorityRecord> release(AuthorityFold authority) {
         boolean sending = drivers.values().stream().anyMatch(OrderDriver::isSending);
         drivers.clear();
-        return sending ? Optional.empty() : leases.release(fold.leases());
+        return sending ? Optional.empty() : leaseManager.release(authority.leases());
     }
 
     /**
      * Returns the groups that this instance may act for.
      *
-     * @param fold the state as far as it was read, not null
+     * @param authority the state as far as it was read, not null
      * @param nowMillis the monotonic time in milliseconds
      * @return the groups whose lease is live, in order of name
      */
-    public List<String> liveGroups(AuthorityFold fold, long nowMillis) {
-        return fold.leases().leases().keySet().stream()
-                .filter(group -> leases.remainingMillis(fold.leases(), group, nowMillis) > 0)
+    public List<String> liveGroups(AuthorityFold authority, long nowMillis) {
+        return authority.leases().leases().keySet().stream()
+                .filter(group -> leaseManager.remainingMillis(authority.leases(), group, nowMillis) > 0)
                 .toList();
     }
 
-    private void decideGroup(AuthorityFold fold, HeldGroup held, long nowMillis, List<AuthorityAction> actions) {
+    private void decideGroup(AuthorityFold authority, HeldGroup held, long nowMillis, List<AuthorityAction> actions) {
         boolean anyOpen = false;
-        for (Map.Entry<String, EngineEntry> entry : fold.engines().engines().entrySet()) {
+        for (Map.Entry<String, EngineEntry> entry :
+                authority.engines().engines().entrySet()) {
             if (!entry.getValue().group().equals(held.group())) {
                 continue;
             }
             if (entry.getValue().state() == EngineEntry.State.OPEN) {
                 anyOpen = true;
-                actions.addAll(driver(entry.getKey(), entry.getValue(), nowMillis)
-                        .decide(holder, held.epoch(), held.leaseMillis(), nowMillis));
+                actions.addAll(driverFor(entry.getKey(), entry.getValue(), nowMillis)
+                        .decide(holder, held.epoch(), held.leaseRemainingMillis(), nowMillis));
             } else {
-                reassert(fold, held, entry.getKey(), entry.getValue(), nowMillis, actions);
+                reassert(authority, held, entry.getKey(), entry.getValue(), nowMillis, actions);
             }
         }
         // What the log has decided comes first: a new order beside an open one could meet it on the engine.
         if (!anyOpen) {
-            askForRate(fold, nowMillis, actions);
-            actions.addAll(plans.decide(fold, held, nowMillis));
+            readWeightRateIfNeeded(authority, nowMillis, actions);
+            actions.addAll(planExecutor.decide(authority, held, nowMillis));
         }
     }
 
     private void reassert(
-            AuthorityFold fold,
+            AuthorityFold authority,
             HeldGroup held,
             String engine,
             EngineEntry entry,
             long nowMillis,
             List<AuthorityAction> actions) {
-        if (entry.state() != EngineEntry.State.APPLIED || !held.has(engine)) {
+        if (entry.state() != EngineEntry.State.APPLIED || !held.hasEngine(engine)) {
             return;
         }
-        Optional<EngineState> told = states.get(engine, policy.reassertMillis(), nowMillis);
-        boolean differs = told.isPresent()
-                && told.get().ready()
-                && !OrderDriver.runsOrder(entry, told.get(), checksFencing(held.group()), policy.tokenRule());
-        boolean loads = differs && PlanDesk.loadsWeights(told.get().configuration(), entry.configuration());
+        Optional<EngineState> reported = engineStates.get(engine, policy.reassertMillis(), nowMillis);
+        boolean differs = reported.isPresent()
+                && reported.get().ready()
+                && !OrderDriver.isOrderApplied(entry, reported.get(), checksFencing(held.group()), policy.tokenRule());
+        boolean loadsWeights =
+                differs && PlanExecutor.loadsWeights(reported.get().configuration(), entry.configuration());
         if (differs
-                && held.heldMillis() >= policy.successorWaitMillis()
-                && (!loads || budget.allows(fold.engines(), nowMillis))) {
-            states.forget(engine);
-            actions.add(plans.intent(fold, held, engine, "", entry.configuration(), loads));
-        } else if (states.takeDue(engine, policy.reassertMillis(), nowMillis)) {
+                && held.heldForMillis() >= policy.successorWaitMillis()
+                && (!loadsWeights || loadLimiter.isLoadAllowed(authority.engines(), nowMillis))) {
+            engineStates.invalidate(engine);
+            actions.add(planExecutor.newIntent(authority, held, engine, "", entry.configuration(), loadsWeights));
+        } else if (engineStates.tryStartRead(engine, policy.reassertMillis(), nowMillis)) {
             actions.add(new AuthorityAction.ReadState(engine));
         }
     }
 
-    private void askForRate(AuthorityFold fold, long nowMillis, List<AuthorityAction> actions) {
-        boolean anyPlan = fold.plans().plans().stream().anyMatch(PlanRecord::isActive);
-        if (anyPlan && budget.needsRate(nowMillis) && nowMillis - rateAskedMillis >= policy.retryMillis()) {
-            rateAskedMillis = nowMillis;
+    private void readWeightRateIfNeeded(AuthorityFold authority, long nowMillis, List<AuthorityAction> actions) {
+        boolean anyActivePlan = authority.plans().plans().stream().anyMatch(PlanRecord::isActive);
+        if (anyActivePlan
+                && loadLimiter.isRateStale(nowMillis)
+                && nowMillis - lastRateReadMillis >= policy.retryMillis()) {
+            lastRateReadMillis = nowMillis;
             actions.add(new AuthorityAction.ReadWeightRate());
         }
     }
 
-    private OrderDriver driver(String engine, EngineEntry entry, long nowMillis) {
+    private OrderDriver driverFor(String engine, EngineEntry entry, long nowMillis) {
         return drivers.computeIfAbsent(
                 engine,
                 _engine -> new OrderDriver(
                         ORDER_CHART, policy, ids, engine, entry, checksFencing(entry.group()), nowMillis));
     }
 
-    private void dropDrivers(AuthorityFold fold, long nowMillis) {
-        drivers.entrySet().removeIf(each -> {
-            Optional<EngineEntry> entry = fold.engines().engine(each.getKey());
+    private void removeObsoleteDrivers(AuthorityFold authority, long nowMillis) {
+        drivers.entrySet().removeIf(driverEntry -> {
+            Optional<EngineEntry> entry = authority.engines().engine(driverEntry.getKey());
             return entry.isEmpty()
                     || entry.get().state() != EngineEntry.State.OPEN
-                    || entry.get().intent() != each.getValue().intent()
-                    || leases.remainingMillis(fold.leases(), entry.get().group(), nowMillis) <= 0;
+                    || entry.get().intent() != driverEntry.getValue().intent()
+                    || leaseManager.remainingMillis(
+                                    authority.leases(), entry.get().group(), nowMillis)
+                            <= 0;
         });
     }
 
-    private Optional<HeldGroup> held(AuthorityFold fold, String group, List<Target> engines, long nowMillis) {
-        long leaseMillis = leases.remainingMillis(fold.leases(), group, nowMillis);
-        Optional<GroupLease> lease = fold.leases().lease(group);
-        if (leaseMillis <= 0 || lease.isEmpty()) {
+    private Optional<HeldGroup> findHeldGroup(
+            AuthorityFold authority, String group, List<Target> engines, long nowMillis) {
+        long leaseRemainingMillis = leaseManager.remainingMillis(authority.leases(), group, nowMillis);
+        Optional<GroupLease> lease = authority.leases().lease(group);
+        if (leaseRemainingMillis <= 0 || lease.isEmpty()) {
             return Optional.empty();
         }
         long epoch = lease.get().epoch();
-        HeldSince since = heldSince.get(group);
-        if (since == null || since.epoch() != epoch) {
-            since = new HeldSince(epoch, nowMillis);
-            heldSince.put(group, since);
+        HoldStart start = holdStarts.get(group);
+        if (start == null || start.epoch() != epoch) {
+            start = new HoldStart(epoch, nowMillis);
+            holdStarts.put(group, start);
         }
-        return Optional.of(new HeldGroup(group, holder, epoch, leaseMillis, nowMillis - since.sinceMillis(), engines));
+        return Optional.of(
+                new HeldGroup(group, holder, epoch, leaseRemainingMillis, nowMillis - start.startMillis(), engines));
     }
 
     /** Decisions come many times a second and the list changes seldom; comparing a list with itself costs nothing. */
-    private SortedMap<String, List<Target>> enginesByGroup() {
+    private SortedMap<String, List<Target>> groupEngines() {
         List<Target> engines = fleet.engines();
-        if (!engines.equals(lastEngines)) {
+        if (!engines.equals(groupedEngines)) {
             SortedMap<String, List<Target>> byGroup = new TreeMap<>();
             engines.forEach(engine -> byGroup.computeIfAbsent(EngineGroups.keyOf(engine), _key -> new ArrayList<>())
                     .add(engine));
-            lastEngines = List.copyOf(engines);
-            lastByGroup = byGroup;
+            groupedEngines = List.copyOf(engines);
+            enginesByGroup = byGroup;
         }
-        return lastByGroup;
+        return enginesByGroup;
     }
 
     private boolean checksFencing(String group) {
         return checksFencing.test(group.substring(0, group.lastIndexOf('@')));
     }
 
-    private record HeldSince(long epoch, long sinceMillis) {}
+    private record HoldStart(long epoch, long startMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/authority/AuthorityFold.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityFold.java
@@ -46,19 +46,19 @@
             return leases.apply(release);
         }
         if (record instanceof AuthorityRecord.OrderIntent intent) {
-            return applyIntent(offset, intent);
+            return applyOrderIntent(offset, intent);
         }
         if (record instanceof AuthorityRecord.OrderSettled settled) {
-            return applySettled(offset, settled);
+            return applyOrderSettled(offset, settled);
         }
         if (record instanceof AuthorityRecord.PlanRequested request) {
             return plans.apply(offset, request);
         }
         if (record instanceof AuthorityRecord.PlanMoved moved) {
-            return applyMoved(offset, moved);
+            return applyPlanMoved(offset, moved);
         }
         AuthorityRecord.PlanCancelled cancelled = (AuthorityRecord.PlanCancelled) record;
-        return plans.move(offset, cancelled.planId(), PlanEvent.CANCEL, "cancelled by " + cancelled.author());
+        return plans.applyEvent(offset, cancelled.planId(), PlanEvent.CANCEL, "cancelled by " + cancelled.author());
     }
 
     /**
@@ -96,7 +96,7 @@
     public AuthoritySnapshot snapshot() {
         return new AuthoritySnapshot(
                 leases.leases(),
-                leases.renewals(),
+                leases.lastRenewals(),
                 engines.engines(),
                 engines.loadCount(),
                 List.copyOf(plans.plans()),
@@ -104,25 +104,25 @@
                 plans.forgottenThrough());
     }
 
-    private Optional<String> applyIntent(long offset, AuthorityRecord.OrderIntent intent) {
+    private Optional<String> applyOrderIntent(long offset, AuthorityRecord.OrderIntent intent) {
         if (!leases.isHeld(intent.group(), intent.holder(), intent.epoch())) {
             return NOT_HELD;
         }
-        Optional<String> fault = engines.check(intent);
-        if (fault.isPresent()) {
-            return fault;
+        Optional<String> rejection = engines.findRejection(intent);
+        if (rejection.isPresent()) {
+            return rejection;
         }
         if (!intent.planId().isEmpty()) {
-            Optional<String> refused = plans.move(offset, intent.planId(), PlanEvent.ORDER, "");
-            if (refused.isPresent()) {
-                return refused;
+            Optional<String> planRejection = plans.applyEvent(offset, intent.planId(), PlanEvent.ORDER, "");
+            if (planRejection.isPresent()) {
+                return planRejection;
             }
         }
         engines.apply(offset, intent);
         return Optional.empty();
     }
 
-    private Optional<String> applySettled(long offset, AuthorityRecord.OrderSettled settled) {
+    private Optional<String> applyOrderSettled(long offset, AuthorityRecord.OrderSettled settled) {
         Optional<EngineEntry> open = engines.engine(settled.engine());
         if (open.isEmpty() || !leases.isHeld(open.get().group(), settled.holder(), settled.epoch())) {
             return NOT_HELD;
@@ -132,24 +132,25 @@
             return Optional.of("the order is not open");
         }
         String planId = entry.get().planId();
-        plans.plan(planId).ifPresent(plan -> plans.move(offset, planId, eventOf(plan, settled), settled.detail()));
+        plans.plan(planId)
+                .ifPresent(plan -> plans.applyEvent(offset, planId, settledEvent(plan, settled), settled.detail()));
         return Optional.empty();
     }
 
-    private Optional<String> applyMoved(long offset, AuthorityRecord.PlanMoved moved) {
+    private Optional<String> applyPlanMoved(long offset, AuthorityRecord.PlanMoved moved) {
         Optional<PlanRecord> plan = plans.plan(moved.planId());
         if (plan.isEmpty() || !leases.isHeld(plan.get().change().group(), moved.holder(), moved.epoch())) {
             return NOT_HELD;
         }
-        Optional<String> refused = plans.move(offset, moved.planId(), moved.event(), moved.detail());
+        Optional<String> rejection = plans.applyEvent(offset, moved.planId(), moved.event(), moved.detail());
         PlannedChange change = plan.get().change();
-        if (refused.isEmpty() && moved.event() == PlanEvent.FINISH && change.kind() != PlannedChange.Kind.DRAIN) {
-            engines.forget(change.engine());
+        if (rejection.isEmpty() && moved.event() == PlanEvent.FINISH && change.kind() != PlannedChange.Kind.DRAIN) {
+            engines.remove(change.engine());
         }
-        return refused;
+        return rejection;
     }
 
-    private static PlanEvent eventOf(PlanRecord plan, AuthorityRecord.OrderSettled settled) {
+    private static PlanEvent settledEvent(PlanRecord plan, AuthorityRecord.OrderSettled settled) {
         if (!settled.applied()) {
             return PlanEvent.REFUSED;
         }
--- a/src/main/java/org/dogwoodwinch/authority/ClaimOrder.java
+++ b/src/main/java/org/dogwoodwinch/authority/ClaimOrder.java
@@ -34,27 +34,27 @@
      * Returns an instance's place in the order.
      *
      * @param group the group, as {@link EngineGroups#keyOf} names it, not null
-     * @param own the instance, not null
-     * @param members all live instances, with or without the instance itself, not null
+     * @param self the instance, not null
+     * @param candidates all live instances, with or without the instance itself, not null
      * @return how many others come before it
      */
-    public static int rank(String group, Member own, Collection<Member> members) {
+    public static int rank(String group, Member self, Collection<Member> candidates) {
         String dataCentre = group.substring(group.lastIndexOf('@') + 1);
-        return (int) members.stream()
-                .filter(other -> !other.name().equals(own.name()) && isBefore(other, own, dataCentre))
+        return (int) candidates.stream()
+                .filter(other -> !other.name().equals(self.name()) && isBefore(other, self, dataCentre))
                 .count();
     }
 
-    private static boolean isBefore(Member other, Member own, String dataCentre) {
-        boolean otherIsNear = other.dataCentre().equals(dataCentre);
-        boolean ownIsNear = own.dataCentre().equals(dataCentre);
-        if (otherIsNear != ownIsNear) {
-            return otherIsNear;
+    private static boolean isBefore(Member other, Member self, String dataCentre) {
+        boolean otherIsLocal = other.dataCentre().equals(dataCentre);
+        boolean selfIsLocal = self.dataCentre().equals(dataCentre);
+        if (otherIsLocal != selfIsLocal) {
+            return otherIsLocal;
         }
-        return weight(dataCentre, other.name()) > weight(dataCentre, own.name());
+        return hash(dataCentre, other.name()) > hash(dataCentre, self.name());
     }
 
-    private static long weight(String dataCentre, String name) {
+    private static long hash(String dataCentre, String name) {
         return Hashing.murmur3_128()
                 .hashString(dataCentre + "/" + name, StandardCharsets.UTF_8)
                 .asLong();
--- a/src/main/java/org/dogwoodwinch/authority/EngineEntry.java
+++ b/src/main/java/org/dogwoodwinch/authority/EngineEntry.java
@@ -54,7 +54,7 @@
         return loadSequence >= 0;
     }
 
-    EngineEntry settled(boolean applied, String newDetail) {
+    EngineEntry withOutcome(boolean applied, String newDetail) {
         return new EngineEntry(
                 group,
                 intent,
--- a/src/main/java/org/dogwoodwinch/authority/EngineStates.java
+++ b/src/main/java/org/dogwoodwinch/authority/EngineStateCache.java
@@ -6,10 +6,10 @@
 import org.dogwoodwinch.target.EngineState;
 
 /** What engines said of themselves of late, and when they were asked. Not thread-safe. */
-final class EngineStates {
+final class EngineStateCache {
 
-    private final Map<String, Known> known = new HashMap<>();
-    private final Map<String, Long> askedMillis = new HashMap<>();
+    private final Map<String, CachedState> statesByEngine = new HashMap<>();
+    private final Map<String, Long> lastReadMillis = new HashMap<>();
 
     /**
      * Notes an engine's state.
@@ -19,7 +19,7 @@
      * @param nowMillis the monotonic time in milliseconds
      */
     void put(String engine, EngineState state, long nowMillis) {
-        known.put(engine, new Known(state, nowMillis));
+        statesByEngine.put(engine, new CachedState(state, nowMillis));
     }
 
     /**
@@ -31,9 +31,9 @@
      * @return the state, or empty
      */
     Optional<EngineState> get(String engine, long maxAgeMillis, long nowMillis) {
-        return Optional.ofNullable(known.get(engine))
+        return Optional.ofNullable(statesByEngine.get(engine))
                 .filter(each -> nowMillis - each.readMillis() <= maxAgeMillis)
-                .map(Known::state);
+                .map(CachedState::state);
     }
 
     /**
@@ -41,25 +41,25 @@
      *
      * @param engine the engine, not null
      */
-    void forget(String engine) {
-        known.remove(engine);
+    void invalidate(String engine) {
+        statesByEngine.remove(engine);
     }
 
     /**
      * Asks whether to ask an engine now; after true it says false until the wait is over.
      *
      * @param engine the engine, not null
-     * @param everyMillis the wait
+     * @param intervalMillis the wait
      * @param nowMillis the monotonic time in milliseconds
      * @return whether to ask
      */
-    boolean takeDue(String engine, long everyMillis, long nowMillis) {
-        if (nowMillis - askedMillis.getOrDefault(engine, Long.MIN_VALUE / 2) < everyMillis) {
+    boolean tryStartRead(String engine, long intervalMillis, long nowMillis) {
+        if (nowMillis - lastReadMillis.getOrDefault(engine, Long.MIN_VALUE / 2) < intervalMillis) {
             return false;
         }
-        askedMillis.put(engine, nowMillis);
+        lastReadMillis.put(engine, nowMillis);
         return true;
     }
 
-    private record Known(EngineState state, long readMillis) {}
+    private record CachedState(EngineState state, long readMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/authority/EngineTable.java
+++ b/src/main/java/org/dogwoodwinch/authority/EngineTable.java
@@ -37,7 +37,7 @@
      * @param intent the intent, not null
      * @return the reason, or empty where it may be applied
      */
-    Optional<String> check(AuthorityRecord.OrderIntent intent) {
+    Optional<String> findRejection(AuthorityRecord.OrderIntent intent) {
         EngineEntry last = engines.get(intent.engine());
         if (last != null && last.state() == EngineEntry.State.OPEN) {
             return Optional.of("another order is open");
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Reads an intent that {@link #check} found sound.
+     * Reads an intent that {@link #findRejection} found sound.
      *
      * @param offset its offset
      * @param intent the intent, not null
@@ -85,9 +85,9 @@
         if (last == null || last.intent() != settled.intent() || last.state() != EngineEntry.State.OPEN) {
             return Optional.empty();
         }
-        EngineEntry next = last.settled(settled.applied(), settled.detail());
-        engines.put(settled.engine(), next);
-        return Optional.of(next);
+        EngineEntry updated = last.withOutcome(settled.applied(), settled.detail());
+        engines.put(settled.engine(), updated);
+        return Optional.of(updated);
     }
 
     /**
@@ -95,7 +95,7 @@
      *
      * @param engine the engine, not null
      */
-    void forget(String engine) {
+    void remove(String engine) {
         engines.remove(engine);
     }
 
--- a/src/main/java/org/dogwoodwinch/authority/HeldGroup.java
+++ b/src/main/java/org/dogwoodwinch/authority/HeldGroup.java
@@ -10,11 +10,12 @@
  * @param group the group, not null
  * @param holder this process, not null
  * @param epoch the epoch of its lease
- * @param leaseMillis how much of the lease is left
- * @param heldMillis how long ago the claim was read back
+ * @param leaseRemainingMillis how much of the lease is left
+ * @param heldForMillis how long ago the claim was read back
  * @param engines the group's engines, not null
  */
-record HeldGroup(String group, String holder, long epoch, long leaseMillis, long heldMillis, List<Target> engines) {
+record HeldGroup(
+        String group, String holder, long epoch, long leaseRemainingMillis, long heldForMillis, List<Target> engines) {
 
     /** Checks and copies the parts. */
     HeldGroup {
@@ -23,7 +24,7 @@
         engines = List.copyOf(engines);
     }
 
-    boolean has(String engine) {
-        return engines.stream().anyMatch(each -> each.name().equals(engine));
+    boolean hasEngine(String engine) {
+        return engines.stream().anyMatch(candidate -> candidate.name().equals(engine));
     }
 }
--- a/src/main/java/org/dogwoodwinch/authority/LeaseKeeper.java
+++ b/src/main/java/org/dogwoodwinch/authority/LeaseManager.java
@@ -20,7 +20,7 @@
  * less a margin; a claimant counts from when it read that renewal, which is later, plus a margin. Neither looks at the
  * other's clock, and a claim that a renewal outran is void by log order.
  */
-final class LeaseKeeper {
+final class LeaseManager {
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -28,11 +28,11 @@
             new ChartReader<>(LeaseState.class, LeaseEvent.class, LeaseAction.class).readResource("lease.json");
     private final String holder;
     private final LeasePolicy policy;
-    private final RecordIds ids;
-    private final Map<String, Watched> groups = new TreeMap<>();
+    private final RecordIdGenerator ids;
+    private final Map<String, TrackedGroup> trackedGroups = new TreeMap<>();
     private final Map<String, Long> sentMillisById = new HashMap<>();
-    private long liveSinceMillis = NEVER;
-    private long renewedMillis = NEVER;
+    private long confirmedRenewalSentMillis = NEVER;
+    private long lastRenewalSentMillis = NEVER;
 
     /**
      * Creates a keeper that holds nothing.
@@ -42,7 +42,7 @@
      * @param policy the times, not null
      * @param ids names the records, not null
      */
-    LeaseKeeper(String holder, LeasePolicy policy, RecordIds ids) {
+    LeaseManager(String holder, LeasePolicy policy, RecordIdGenerator ids) {
         this.holder = Objects.requireNonNull(holder, "holder");
         this.policy = Objects.requireNonNull(policy, "policy");
         this.ids = Objects.requireNonNull(ids, "ids");
@@ -58,7 +58,7 @@
     void onReadBack(LeaseTable table, long offset, String recordId) {
         Long sentMillis = sentMillisById.remove(recordId);
         if (sentMillis != null && table.lastRenewal(holder) == offset) {
-            liveSinceMillis = Math.max(liveSinceMillis, sentMillis);
+            confirmedRenewalSentMillis = Math.max(confirmedRenewalSentMillis, sentMillis);
         }
     }
 
@@ -66,23 +66,27 @@
      * Looks at the leases and decides what to append.
      *
      * @param table the leases as far as they were read, not null
-     * @param wanted the groups that there are, not null
-     * @param rankOf this instance's place in the order of claims for a group, from zero, not null
-     * @param logOut whether the log does not answer
+     * @param listedGroups the groups that there are, not null
+     * @param claimRank this instance's place in the order of claims for a group, from zero, not null
+     * @param logUnavailable whether the log does not answer
      * @param nowMillis the monotonic time in milliseconds
      * @return the records, whose sending must follow at once
      */
     List<AuthorityRecord> decide(
-            LeaseTable table, Collection<String> wanted, ToIntFunction<String> rankOf, boolean logOut, long nowMillis) {
-        groups.keySet().retainAll(wanted);
-        wanted.forEach(group -> observe(table, group, logOut, nowMillis));
+            LeaseTable table,
+            Collection<String> listedGroups,
+            ToIntFunction<String> claimRank,
+            boolean logUnavailable,
+            long nowMillis) {
+        trackedGroups.keySet().retainAll(listedGroups);
+        listedGroups.forEach(group -> observe(table, group, logUnavailable, nowMillis));
         List<AuthorityRecord> records = new ArrayList<>();
-        renewal(table, nowMillis).ifPresent(records::add);
-        if (!logOut) {
-            records.addAll(claims(table, rankOf, nowMillis));
+        newRenewalIfDue(table, nowMillis).ifPresent(records::add);
+        if (!logUnavailable) {
+            records.addAll(newClaimsIfDue(table, claimRank, nowMillis));
         }
         records.forEach(record -> sentMillisById.put(record.id(), nowMillis));
-        sentMillisById.values().removeIf(sent -> nowMillis - sent > policy.claimantMillis() * 2);
+        sentMillisById.values().removeIf(sent -> nowMillis - sent > policy.claimantWaitMillis() * 2);
         return records;
     }
 
@@ -98,7 +102,7 @@
         boolean held = table.lease(group)
                 .filter(lease -> lease.holder().equals(holder))
                 .isPresent();
-        return held ? liveSinceMillis + policy.holderMillis() - nowMillis : 0;
+        return held ? confirmedRenewalSentMillis + policy.holderValidityMillis() - nowMillis : 0;
     }
 
     /**
@@ -114,84 +118,87 @@
                 epochs.put(group, lease.epoch());
             }
         });
-        liveSinceMillis = NEVER;
+        confirmedRenewalSentMillis = NEVER;
         return epochs.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new AuthorityRecord.LeaseRelease(ids.next(), holder, epochs));
     }
 
-    private void observe(LeaseTable table, String group, boolean logOut, long nowMillis) {
-        Watched watched = groups.computeIfAbsent(group, _group -> new Watched(CHART.initial()));
+    private void observe(LeaseTable table, String group, boolean logUnavailable, long nowMillis) {
+        TrackedGroup tracked = trackedGroups.computeIfAbsent(group, _group -> new TrackedGroup(CHART.initial()));
         Optional<GroupLease> lease = table.lease(group);
-        String owner = lease.map(GroupLease::holder).orElse("");
-        long renewal = table.lastRenewal(owner);
-        if (!owner.equals(watched.owner) || renewal != watched.renewal || watched.state == LeaseState.UNSEEN) {
-            watched.owner = owner;
-            watched.renewal = renewal;
-            LeaseEvent event = owner.isEmpty() ? LeaseEvent.FREE : LeaseEvent.OTHERS;
-            fire(watched, owner.equals(holder) ? LeaseEvent.OURS : event, nowMillis);
+        String currentHolder = lease.map(GroupLease::holder).orElse("");
+        long lastRenewal = table.lastRenewal(currentHolder);
+        if (!currentHolder.equals(tracked.holder)
+                || lastRenewal != tracked.lastRenewal
+                || tracked.state == LeaseState.UNSEEN) {
+            tracked.holder = currentHolder;
+            tracked.lastRenewal = lastRenewal;
+            LeaseEvent event = currentHolder.isEmpty() ? LeaseEvent.FREE : LeaseEvent.OTHERS;
+            applyEvent(tracked, currentHolder.equals(holder) ? LeaseEvent.OURS : event, nowMillis);
         }
-        if (logOut) {
+        if (logUnavailable) {
             // Time without reading proves nothing: the holder may have renewed meanwhile. Counting it would make every
             // outage end in a change of all holders.
-            fire(watched, LeaseEvent.LOG_OUT, nowMillis);
+            applyEvent(tracked, LeaseEvent.LOG_OUT, nowMillis);
         }
     }
 
-    private Optional<AuthorityRecord> renewal(LeaseTable table, long nowMillis) {
-        if (table.lastRenewal(holder) == LeaseTable.NO_RENEWAL || nowMillis - renewedMillis < policy.renewMillis()) {
+    private Optional<AuthorityRecord> newRenewalIfDue(LeaseTable table, long nowMillis) {
+        if (table.lastRenewal(holder) == LeaseTable.NO_RENEWAL
+                || nowMillis - lastRenewalSentMillis < policy.renewMillis()) {
             return Optional.empty();
         }
-        renewedMillis = nowMillis;
+        lastRenewalSentMillis = nowMillis;
         return Optional.of(new AuthorityRecord.LeaseRenewal(ids.next(), holder));
     }
 
-    private List<AuthorityRecord> claims(LeaseTable table, ToIntFunction<String> rankOf, long nowMillis) {
-        Map<String, List<String>> groupsByOwner = new TreeMap<>();
-        groups.forEach((group, watched) -> {
-            if (isOver(watched, group, rankOf, nowMillis)) {
-                fire(watched, LeaseEvent.LEASE_OVER, nowMillis);
+    private List<AuthorityRecord> newClaimsIfDue(LeaseTable table, ToIntFunction<String> claimRank, long nowMillis) {
+        Map<String, List<String>> groupsByHolder = new TreeMap<>();
+        trackedGroups.forEach((group, tracked) -> {
+            if (isClaimDue(tracked, group, claimRank, nowMillis)) {
+                applyEvent(tracked, LeaseEvent.LEASE_OVER, nowMillis);
             }
-            if (watched.state == LeaseState.CLAIMING && nowMillis - watched.claimedMillis >= policy.renewMillis()) {
-                watched.claimedMillis = nowMillis;
-                groupsByOwner
-                        .computeIfAbsent(watched.owner, _owner -> new ArrayList<>())
+            if (tracked.state == LeaseState.CLAIMING && nowMillis - tracked.lastClaimMillis >= policy.renewMillis()) {
+                tracked.lastClaimMillis = nowMillis;
+                groupsByHolder
+                        .computeIfAbsent(tracked.holder, _holder -> new ArrayList<>())
                         .add(group);
             }
         });
         List<AuthorityRecord> records = new ArrayList<>();
-        groupsByOwner.forEach((owner, claimed) -> records.add(
-                new AuthorityRecord.LeaseClaim(ids.next(), holder, owner, table.lastRenewal(owner), claimed)));
+        groupsByHolder.forEach((currentHolder, claimedGroups) -> records.add(new AuthorityRecord.LeaseClaim(
+                ids.next(), holder, currentHolder, table.lastRenewal(currentHolder), claimedGroups)));
         return records;
     }
 
     /** The place in the order of claims is asked for last: it costs a hash for each instance, and mostly is not wanted. */
-    private boolean isOver(Watched watched, String group, ToIntFunction<String> rankOf, long nowMillis) {
-        if (watched.state != LeaseState.OPEN && watched.state != LeaseState.FOLLOWING) {
+    private boolean isClaimDue(TrackedGroup tracked, String group, ToIntFunction<String> claimRank, long nowMillis) {
+        if (tracked.state != LeaseState.OPEN && tracked.state != LeaseState.FOLLOWING) {
             return false;
         }
-        long waitMillis = watched.owner.isEmpty() ? 0 : policy.claimantMillis();
-        long waitedMillis = nowMillis - watched.countedFromMillis - waitMillis;
-        return waitedMillis >= 0 && waitedMillis >= rankOf.applyAsInt(group) * policy.staggerMillis();
+        long requiredWaitMillis = tracked.holder.isEmpty() ? 0 : policy.claimantWaitMillis();
+        long waitedMillis = nowMillis - tracked.waitStartMillis - requiredWaitMillis;
+        return waitedMillis >= 0 && waitedMillis >= claimRank.applyAsInt(group) * policy.staggerMillis();
     }
 
-    private void fire(Watched watched, LeaseEvent event, long nowMillis) {
-        CHART.next(watched.state, event).ifPresent(step -> {
-            watched.state = step.to();
-            step.action().ifPresent(_action -> watched.countedFromMillis = nowMillis);
+    private void applyEvent(TrackedGroup tracked, LeaseEvent event, long nowMillis) {
+        CHART.next(tracked.state, event).ifPresent(step -> {
+            tracked.state = step.to();
+            step.action().ifPresent(_action -> tracked.waitStartMillis = nowMillis);
         });
     }
 
     /** One group as it was last seen. */
-    private static final class Watched {
+    private static final class TrackedGroup {
 
         private LeaseState state;
-        private String owner = "";
-        private long renewal = LeaseTable.NO_RENEWAL;
-        private long countedFromMillis;
-        private long claimedMillis = NEVER;
+        private String holder = "";
+        private long lastRenewal = LeaseTable.NO_RENEWAL;
+        private long waitStartMillis;
+        private long lastClaimMillis = NEVER;
 
-        Watched(LeaseState state) {
+        TrackedGroup(LeaseState state) {
             this.state = state;
         }
     }
--- a/src/main/java/org/dogwoodwinch/authority/LeasePolicy.java
+++ b/src/main/java/org/dogwoodwinch/authority/LeasePolicy.java
@@ -19,7 +19,7 @@
      *
      * @return milliseconds
      */
-    public long holderMillis() {
+    public long holderValidityMillis() {
         return termMillis - marginMillis;
     }
 
@@ -28,7 +28,7 @@
      *
      * @return milliseconds
      */
-    public long claimantMillis() {
+    public long claimantWaitMillis() {
         return termMillis + marginMillis;
     }
 }
--- a/src/main/java/org/dogwoodwinch/authority/LeaseTable.java
+++ b/src/main/java/org/dogwoodwinch/authority/LeaseTable.java
@@ -18,7 +18,7 @@
     public static final long NO_RENEWAL = -1;
 
     private final SortedMap<String, GroupLease> leases;
-    private final SortedMap<String, Long> renewals;
+    private final SortedMap<String, Long> lastRenewals;
 
     /**
      * Creates the table as it was left.
@@ -28,7 +28,7 @@
      */
     public LeaseTable(Map<String, GroupLease> leases, Map<String, Long> renewals) {
         this.leases = new TreeMap<>(leases);
-        this.renewals = new TreeMap<>(renewals);
+        this.lastRenewals = new TreeMap<>(renewals);
     }
 
     /**
@@ -39,10 +39,10 @@
      * @return why it is void, or empty
      */
     Optional<String> apply(long offset, AuthorityRecord.LeaseRenewal renewal) {
-        if (!renewals.containsKey(renewal.holder())) {
+        if (!lastRenewals.containsKey(renewal.holder())) {
             return Optional.of("the holder holds nothing");
         }
-        renewals.put(renewal.holder(), offset);
+        lastRenewals.put(renewal.holder(), offset);
         return Optional.empty();
     }
 
@@ -54,18 +54,18 @@
      * @return why it is void for all its groups, or empty
      */
     Optional<String> apply(long offset, AuthorityRecord.LeaseClaim claim) {
-        boolean any = false;
+        boolean anyApplied = false;
         for (String group : claim.groups()) {
-            if (isOpenTo(claim, group)) {
+            if (isClaimable(claim, group)) {
                 leases.put(group, new GroupLease(claim.holder(), offset));
-                any = true;
+                anyApplied = true;
             }
         }
-        if (!any) {
+        if (!anyApplied) {
             return Optional.of("renewed, or claimed by another, before");
         }
-        renewals.put(claim.holder(), offset);
-        forgetIdleHolders();
+        lastRenewals.put(claim.holder(), offset);
+        removeIdleHolders();
         return Optional.empty();
     }
 
@@ -76,12 +76,12 @@
      * @return why it is void for all its groups, or empty
      */
     Optional<String> apply(AuthorityRecord.LeaseRelease release) {
-        boolean any = false;
+        boolean anyApplied = false;
         for (Map.Entry<String, Long> entry : release.epochs().entrySet()) {
-            any |= leases.remove(entry.getKey(), new GroupLease(release.holder(), entry.getValue()));
+            anyApplied |= leases.remove(entry.getKey(), new GroupLease(release.holder(), entry.getValue()));
         }
-        forgetIdleHolders();
-        return any ? Optional.empty() : Optional.of("not held in that epoch");
+        removeIdleHolders();
+        return anyApplied ? Optional.empty() : Optional.of("not held in that epoch");
     }
 
     /**
@@ -113,7 +113,7 @@
      * @return its offset, or {@link #NO_RENEWAL}
      */
     public long lastRenewal(String holder) {
-        return renewals.getOrDefault(holder, NO_RENEWAL);
+        return lastRenewals.getOrDefault(holder, NO_RENEWAL);
     }
 
     /**
@@ -130,11 +130,11 @@
      *
      * @return the offsets by holder; a view
      */
-    public SortedMap<String, Long> renewals() {
-        return Collections.unmodifiableSortedMap(renewals);
+    public SortedMap<String, Long> lastRenewals() {
+        return Collections.unmodifiableSortedMap(lastRenewals);
     }
 
-    private boolean isOpenTo(AuthorityRecord.LeaseClaim claim, String group) {
+    private boolean isClaimable(AuthorityRecord.LeaseClaim claim, String group) {
         GroupLease lease = leases.get(group);
         if (lease == null) {
             return claim.previousHolder().isEmpty();
@@ -142,8 +142,9 @@
         return lease.holder().equals(claim.previousHolder()) && lastRenewal(lease.holder()) == claim.previousRenewal();
     }
 
-    private void forgetIdleHolders() {
-        renewals.keySet()
+    private void removeIdleHolders() {
+        lastRenewals
+                .keySet()
                 .removeIf(holder -> leases.values().stream()
                         .noneMatch(lease -> lease.holder().equals(holder)));
     }
--- a/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
+++ b/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
@@ -19,16 +19,16 @@
 
     private final StateChart<OrderState, OrderEvent, OrderAction> chart;
     private final OrderPolicy policy;
-    private final RecordIds ids;
+    private final RecordIdGenerator ids;
     private final String engine;
     private final EngineEntry entry;
     private final boolean checksFencing;
     private final long startedMillis;
     private OrderState state;
     private long notBeforeMillis;
-    private long sentMillis;
-    private long askedMillis = Long.MIN_VALUE / 2;
-    private long appendedMillis = Long.MIN_VALUE / 2;
+    private long lastSendMillis;
+    private long lastStateReadMillis = Long.MIN_VALUE / 2;
+    private long lastAppendMillis = Long.MIN_VALUE / 2;
     private boolean applied;
     private String detail = "";
 
@@ -46,7 +46,7 @@
     OrderDriver(
             StateChart<OrderState, OrderEvent, OrderAction> chart,
             OrderPolicy policy,
-            RecordIds ids,
+            RecordIdGenerator ids,
             String engine,
             EngineEntry entry,
             boolean checksFencing,
@@ -66,31 +66,31 @@
      *
      * @param holder this process, not null
      * @param epoch the epoch of its lease
-     * @param leaseMillis how much of the lease is left
+     * @param leaseRemainingMillis how much of the lease is left
      * @param nowMillis the monotonic time in milliseconds
      * @return the actions
      */
-    List<AuthorityAction> decide(String holder, long epoch, long leaseMillis, long nowMillis) {
+    List<AuthorityAction> decide(String holder, long epoch, long leaseRemainingMillis, long nowMillis) {
         List<AuthorityAction> actions = new ArrayList<>();
         if (nowMillis - startedMillis >= policy.giveUpMillis()) {
-            fire(OrderEvent.GIVE_UP, nowMillis);
+            applyEvent(OrderEvent.GIVE_UP, nowMillis);
         }
-        if (state == OrderState.SENDING && nowMillis - sentMillis >= policy.orderTimeoutMillis()) {
-            fire(OrderEvent.LOST, nowMillis);
+        if (state == OrderState.SENDING && nowMillis - lastSendMillis >= policy.orderTimeoutMillis()) {
+            applyEvent(OrderEvent.LOST, nowMillis);
         }
         if (nowMillis >= notBeforeMillis
-                && leaseMillis >= policy.orderTimeoutMillis()
-                && fire(OrderEvent.DUE, nowMillis)
+                && leaseRemainingMillis >= policy.orderTimeoutMillis()
+                && applyEvent(OrderEvent.DUE, nowMillis)
                         .filter(OrderAction.SEND_ORDER::equals)
                         .isPresent()) {
-            actions.add(new AuthorityAction.SendOrder(engine, entry.group(), order()));
+            actions.add(new AuthorityAction.SendOrder(engine, entry.group(), newOrder()));
         }
-        if (state == OrderState.CONFIRMING && nowMillis - askedMillis >= policy.statePollMillis()) {
-            askedMillis = nowMillis;
+        if (state == OrderState.CONFIRMING && nowMillis - lastStateReadMillis >= policy.statePollMillis()) {
+            lastStateReadMillis = nowMillis;
             actions.add(new AuthorityAction.ReadState(engine));
         }
-        if (state == OrderState.SETTLING && nowMillis - appendedMillis >= policy.retryMillis()) {
-            appendedMillis = nowMillis;
+        if (state == OrderState.SETTLING && nowMillis - lastAppendMillis >= policy.retryMillis()) {
+            lastAppendMillis = nowMillis;
             actions.add(new AuthorityAction.Append(new AuthorityRecord.OrderSettled(
                     ids.next(), holder, epoch, engine, entry.intent(), applied, detail)));
         }
@@ -109,16 +109,16 @@
             return;
         }
         if (result instanceof OrderResult.Accepted accepted) {
-            fire(OrderEvent.ACCEPTED, nowMillis);
+            applyEvent(OrderEvent.ACCEPTED, nowMillis);
             onState(accepted.state(), nowMillis);
         } else if (result instanceof OrderResult.Fenced fenced) {
             detail = "the engine holds token " + fenced.highestToken();
-            fire(OrderEvent.REFUSED, nowMillis);
+            applyEvent(OrderEvent.REFUSED, nowMillis);
         } else if (result instanceof OrderResult.Refused refused) {
             detail = refused.detail();
-            fire(OrderEvent.REFUSED, nowMillis);
+            applyEvent(OrderEvent.REFUSED, nowMillis);
         } else {
-            fire(OrderEvent.LOST, nowMillis);
+            applyEvent(OrderEvent.LOST, nowMillis);
         }
     }
 
@@ -129,12 +129,12 @@
      * @param nowMillis the monotonic time in milliseconds
      */
     void onState(EngineState engineState, long nowMillis) {
-        if (runsOrder(entry, engineState, checksFencing, policy.tokenRule())) {
+        if (isOrderApplied(entry, engineState, checksFencing, policy.tokenRule())) {
             if (engineState.ready()) {
-                fire(OrderEvent.MATCHES, nowMillis);
+                applyEvent(OrderEvent.MATCHES, nowMillis);
             }
         } else {
-            fire(OrderEvent.DIFFERS, nowMillis);
+            applyEvent(OrderEvent.DIFFERS, nowMillis);
         }
     }
 
@@ -150,7 +150,8 @@
      * @param tokenRule makes the tokens, not null
      * @return whether the engine runs what was ordered
      */
-    static boolean runsOrder(EngineEntry entry, EngineState engineState, boolean checksFencing, TokenRule tokenRule) {
+    static boolean isOrderApplied(
+            EngineEntry entry, EngineState engineState, boolean checksFencing, TokenRule tokenRule) {
         boolean hasToken = !checksFencing || engineState.highestFencingToken() >= tokenRule.tokenOf(entry.intent());
         return hasToken && engineState.configuration().equals(entry.configuration());
     }
@@ -173,24 +174,24 @@
         return state == OrderState.SENDING;
     }
 
-    private EngineOrder order() {
+    private EngineOrder newOrder() {
         return new EngineOrder(entry.orderId(), policy.tokenRule().tokenOf(entry.intent()), entry.configuration());
     }
 
-    private Optional<OrderAction> fire(OrderEvent event, long nowMillis) {
+    private Optional<OrderAction> applyEvent(OrderEvent event, long nowMillis) {
         Optional<ChartStep<OrderState, OrderAction>> step = chart.next(state, event);
         if (step.isEmpty()) {
             return Optional.empty();
         }
         state = step.get().to();
         Optional<OrderAction> action = step.get().action();
-        action.ifPresent(each -> run(each, nowMillis));
+        action.ifPresent(orderAction -> perform(orderAction, nowMillis));
         return action;
     }
 
-    private void run(OrderAction action, long nowMillis) {
+    private void perform(OrderAction action, long nowMillis) {
         switch (action) {
-            case SEND_ORDER -> sentMillis = nowMillis;
+            case SEND_ORDER -> lastSendMillis = nowMillis;
             case BACK_OFF -> notBeforeMillis = nowMillis + policy.retryMillis();
             case KEEP_SUCCESS -> {
                 applied = true;
--- a/src/main/java/org/dogwoodwinch/authority/PlanRecord.java
+++ b/src/main/java/org/dogwoodwinch/authority/PlanRecord.java
@@ -44,7 +44,7 @@
         return state != PlanState.DONE && state != PlanState.FAILED && state != PlanState.CANCELLED;
     }
 
-    PlanRecord moved(PlanState newState, long offset, String newDetail) {
+    PlanRecord withState(PlanState newState, long offset, String newDetail) {
         return new PlanRecord(id, author, requestedAtMillis, requestedOffset, offset, change, newState, newDetail);
     }
 }
--- a/src/main/java/org/dogwoodwinch/authority/PlanTable.java
+++ b/src/main/java/org/dogwoodwinch/authority/PlanTable.java
@@ -21,13 +21,13 @@
 public final class PlanTable {
 
     /** How many changes may be under way or waiting at once. */
-    public static final int MOST_ACTIVE = 500;
+    public static final int MAX_ACTIVE = 500;
 
     /** How many finished changes are remembered. */
-    public static final int FINISHED_KEPT = 128;
+    public static final int MAX_FINISHED = 128;
 
     /** How many withdrawn targets are remembered. */
-    public static final int STANDING_KEPT = 1_024;
+    public static final int MAX_OUT_OF_SERVICE = 1_024;
 
     private static final StateChart<PlanState, PlanEvent, PlanAction> CHART =
             new ChartReader<>(PlanState.class, PlanEvent.class, PlanAction.class).readResource("planned-change.json");
@@ -59,16 +59,16 @@
         if (plans.containsKey(request.id()) || request.readUpTo() < forgottenThrough) {
             return Optional.of("requested before");
         }
-        Optional<String> busy = busyWith(request.change());
-        if (busy.isPresent()) {
-            return Optional.of("plan " + busy.get() + " changes the same engine");
+        Optional<String> conflicting = findConflictingPlan(request.change());
+        if (conflicting.isPresent()) {
+            return Optional.of("plan " + conflicting.get() + " changes the same engine");
         }
-        if (plans.values().stream().filter(PlanRecord::isActive).count() >= MOST_ACTIVE) {
+        if (plans.values().stream().filter(PlanRecord::isActive).count() >= MAX_ACTIVE) {
             return Optional.of("too many plans are under way");
         }
         PlannedChange change = request.change();
-        boolean restores = change.kind() == PlannedChange.Kind.RESTORE;
-        if (restores) {
+        boolean isRestore = change.kind() == PlannedChange.Kind.RESTORE;
+        if (isRestore) {
             standing.remove(change.engine());
         }
         plans.put(
@@ -80,9 +80,9 @@
                         offset,
                         offset,
                         change,
-                        restores ? PlanState.DONE : CHART.initial(),
+                        isRestore ? PlanState.DONE : CHART.initial(),
                         ""));
-        forgetFinished();
+        removeOldestFinished();
         return Optional.empty();
     }
 
@@ -95,7 +95,7 @@
      * @param detail why, where that is of interest, not null
      * @return why the event has no effect, or empty
      */
-    Optional<String> move(long offset, String planId, PlanEvent event, String detail) {
+    Optional<String> applyEvent(long offset, String planId, PlanEvent event, String detail) {
         PlanRecord plan = plans.get(planId);
         if (plan == null) {
             return Optional.of("there is no such plan");
@@ -104,9 +104,9 @@
         if (step.isEmpty()) {
             return Optional.of("a plan that is " + plan.state() + " does not take " + event);
         }
-        step.get().action().ifPresent(_action -> markStanding(plan.change()));
-        plans.put(planId, plan.moved(step.get().to(), offset, detail));
-        forgetFinished();
+        step.get().action().ifPresent(_action -> markOutOfService(plan.change()));
+        plans.put(planId, plan.withState(step.get().to(), offset, detail));
+        removeOldestFinished();
         return Optional.empty();
     }
 
@@ -117,7 +117,7 @@
      * @param event the event, not null
      * @return whether the plan's state takes it
      */
-    boolean takes(String planId, PlanEvent event) {
+    boolean accepts(String planId, PlanEvent event) {
         PlanRecord plan = plans.get(planId);
         return plan != null && CHART.next(plan.state(), event).isPresent();
     }
@@ -166,14 +166,14 @@
      */
     public Set<String> outOfService() {
         Set<String> result = plans.values().stream()
-                .map(PlanTable::drainedBy)
+                .map(PlanTable::drainedTarget)
                 .<String>mapMulti(Optional::ifPresent)
                 .collect(Collectors.toCollection(TreeSet::new));
         result.addAll(standing.keySet());
         return result;
     }
 
-    private static Optional<String> drainedBy(PlanRecord plan) {
+    private static Optional<String> drainedTarget(PlanRecord plan) {
         return switch (plan.state()) {
             case DRAINING, ORDERING -> Optional.of(plan.change().orderedEngine());
             case RETIRING -> Optional.of(plan.change().engine());
@@ -181,29 +181,29 @@
         };
     }
 
-    private Optional<String> busyWith(PlannedChange change) {
-        Set<String> touched = Stream.of(change.engine(), change.orderedEngine()).collect(Collectors.toSet());
+    private Optional<String> findConflictingPlan(PlannedChange change) {
+        Set<String> engines = Stream.of(change.engine(), change.orderedEngine()).collect(Collectors.toSet());
         return plans.values().stream()
                 .filter(PlanRecord::isActive)
-                .filter(plan -> touched.contains(plan.change().engine())
-                        || touched.contains(plan.change().orderedEngine()))
+                .filter(plan -> engines.contains(plan.change().engine())
+                        || engines.contains(plan.change().orderedEngine()))
                 .map(PlanRecord::id)
                 .findFirst();
     }
 
-    private void markStanding(PlannedChange change) {
+    private void markOutOfService(PlannedChange change) {
         standing.put(
                 change.engine(),
                 change.kind() == PlannedChange.Kind.DRAIN ? StandingMark.DRAINED : StandingMark.WITHDRAWN);
-        if (standing.size() > STANDING_KEPT) {
+        if (standing.size() > MAX_OUT_OF_SERVICE) {
             standing.remove(standing.keySet().iterator().next());
         }
     }
 
-    private void forgetFinished() {
+    private void removeOldestFinished() {
         List<PlanRecord> finished =
                 plans.values().stream().filter(plan -> !plan.isActive()).toList();
-        for (int i = 0; i < finished.size() - FINISHED_KEPT; i++) {
+        for (int i = 0; i < finished.size() - MAX_FINISHED; i++) {
             plans.remove(finished.get(i).id());
             forgottenThrough = Math.max(forgottenThrough, finished.get(i).requestedOffset());
         }
--- a/src/main/java/org/dogwoodwinch/authority/RecordIds.java
+++ b/src/main/java/org/dogwoodwinch/authority/RecordIdGenerator.java
@@ -2,7 +2,7 @@
 
 /** Makes ids that no other record has. */
 @FunctionalInterface
-public interface RecordIds {
+public interface RecordIdGenerator {
 
     /**
      * Makes an id.
--- a/src/main/java/org/dogwoodwinch/authority/LoadBudget.java
+++ b/src/main/java/org/dogwoodwinch/authority/WeightLoadLimiter.java
@@ -12,13 +12,13 @@
  * A load counts against the minute from its intent until a minute after its end was read: when exactly its holder, or a
  * successor, sent it in between is then of no matter.
  */
-final class LoadBudget {
+final class WeightLoadLimiter {
 
-    private static final long MINUTE_MILLIS = 60_000;
-    private static final long RATE_KEPT_MILLIS = 30_000;
+    private static final long WINDOW_MILLIS = 60_000;
+    private static final long RATE_MAX_AGE_MILLIS = 30_000;
 
     private final Map<Long, Long> endedMillisByIntent = new HashMap<>();
-    private long rateMillis = Long.MIN_VALUE / 2;
+    private long rateReadMillis = Long.MIN_VALUE / 2;
     private int allowedPerMinute;
 
     /**
@@ -27,27 +27,28 @@
      * @param table the engines' last orders, not null
      * @param nowMillis the monotonic time in milliseconds
      */
-    void observe(EngineTable table, long nowMillis) {
+    void recordEndedLoads(EngineTable table, long nowMillis) {
         table.engines().values().stream()
                 .filter(entry -> entry.loadsWeights() && entry.state() != EngineEntry.State.OPEN)
                 .forEach(entry -> endedMillisByIntent.putIfAbsent(entry.intent(), nowMillis));
-        Set<Long> shown =
+        Set<Long> currentIntents =
                 table.engines().values().stream().map(EngineEntry::intent).collect(Collectors.toSet());
         endedMillisByIntent
                 .entrySet()
-                .removeIf(entry -> !shown.contains(entry.getKey()) && nowMillis - entry.getValue() >= MINUTE_MILLIS);
+                .removeIf(entry ->
+                        !currentIntents.contains(entry.getKey()) && nowMillis - entry.getValue() >= WINDOW_MILLIS);
     }
 
     /**
      * Notes what the weight store allows.
      *
-     * @param allowed the loads a minute; zero or less where the store did not answer
+     * @param newAllowedPerMinute the loads a minute; zero or less where the store did not answer
      * @param nowMillis the monotonic time in milliseconds
      */
-    void onRate(int allowed, long nowMillis) {
-        if (allowed > 0) {
-            allowedPerMinute = allowed;
-            rateMillis = nowMillis;
+    void updateRate(int newAllowedPerMinute, long nowMillis) {
+        if (newAllowedPerMinute > 0) {
+            allowedPerMinute = newAllowedPerMinute;
+            rateReadMillis = nowMillis;
         }
     }
 
@@ -57,8 +58,8 @@
      * @param nowMillis the monotonic time in milliseconds
      * @return true where its last answer is old
      */
-    boolean needsRate(long nowMillis) {
-        return nowMillis - rateMillis >= RATE_KEPT_MILLIS;
+    boolean isRateStale(long nowMillis) {
+        return nowMillis - rateReadMillis >= RATE_MAX_AGE_MILLIS;
     }
 
     /**
@@ -68,13 +69,13 @@
      * @param nowMillis the monotonic time in milliseconds
      * @return true where fewer loads than allowed are under way or ended less than a minute ago
      */
-    boolean allows(EngineTable table, long nowMillis) {
-        long open = table.engines().values().stream()
+    boolean isLoadAllowed(EngineTable table, long nowMillis) {
+        long openLoads = table.engines().values().stream()
                 .filter(entry -> entry.loadsWeights() && entry.state() == EngineEntry.State.OPEN)
                 .count();
-        long recent = endedMillisByIntent.values().stream()
-                .filter(ended -> nowMillis - ended < MINUTE_MILLIS)
+        long recentLoads = endedMillisByIntent.values().stream()
+                .filter(endedMillis -> nowMillis - endedMillis < WINDOW_MILLIS)
                 .count();
-        return !needsRate(nowMillis) && open + recent < allowedPerMinute;
+        return !isRateStale(nowMillis) && openLoads + recentLoads < allowedPerMinute;
     }
 }
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueChange.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueChange.java
@@ -48,12 +48,12 @@
      */
     public static CatalogueChange between(Catalogue base, Catalogue wanted) {
         return new CatalogueChange(
-                put(base.owners(), wanted.owners()),
-                dropped(base.owners(), wanted.owners()),
-                put(base.groups(), wanted.groups()),
-                dropped(base.groups(), wanted.groups()),
-                put(base.entries(), wanted.entries()),
-                dropped(base.entries(), wanted.entries()));
+                changedItems(base.owners(), wanted.owners()),
+                removedNames(base.owners(), wanted.owners()),
+                changedItems(base.groups(), wanted.groups()),
+                removedNames(base.groups(), wanted.groups()),
+                changedItems(base.entries(), wanted.entries()),
+                removedNames(base.entries(), wanted.entries()));
     }
 
     /**
@@ -66,9 +66,9 @@
     public Catalogue applyTo(Catalogue base, long revision) {
         return new Catalogue(
                 revision,
-                merged(base.owners(), putOwners, dropOwners, Owner::name),
-                merged(base.groups(), putGroups, dropGroups, TargetGroup::name),
-                merged(base.entries(), putEntries, dropEntries, CatalogueEntry::name));
+                merge(base.owners(), putOwners, dropOwners, Owner::name),
+                merge(base.groups(), putGroups, dropGroups, TargetGroup::name),
+                merge(base.entries(), putEntries, dropEntries, CatalogueEntry::name));
     }
 
     /**
@@ -89,18 +89,18 @@
         return list == null ? List.of() : List.copyOf(list);
     }
 
-    private static <T> List<T> put(Map<String, T> base, Map<String, T> wanted) {
+    private static <T> List<T> changedItems(Map<String, T> base, Map<String, T> wanted) {
         return wanted.entrySet().stream()
                 .filter(entry -> !entry.getValue().equals(base.get(entry.getKey())))
                 .map(Map.Entry::getValue)
                 .toList();
     }
 
-    private static <T> List<String> dropped(Map<String, T> base, Map<String, T> wanted) {
+    private static <T> List<String> removedNames(Map<String, T> base, Map<String, T> wanted) {
         return base.keySet().stream().filter(name -> !wanted.containsKey(name)).toList();
     }
 
-    private static <T> SortedMap<String, T> merged(
+    private static <T> SortedMap<String, T> merge(
             Map<String, T> base, List<T> put, List<String> drop, Function<T, String> nameOf) {
         TreeMap<String, T> result = new TreeMap<>(base);
         drop.forEach(result::remove);
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueCodec.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueCodec.java
@@ -13,7 +13,7 @@
 /** Reads and writes catalogues as JSON with comments, naming every fault of what a person wrote. Thread-safe. */
 public final class CatalogueCodec {
 
-    private static final long MOST_MILLIS = 86_400_000L;
+    private static final long MAX_DEADLINE_MILLIS = 86_400_000L;
 
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(JsonParser.Feature.ALLOW_COMMENTS)
@@ -40,7 +40,7 @@
      * @param text JSON with comments, not null
      * @return the catalogue, or its faults
      */
-    public DraftResult read(String text) {
+    public CatalogueReadResult read(String text) {
         List<CatalogueProblem> problems = new ArrayList<>();
         JsonNode root;
         try {
@@ -48,67 +48,69 @@
         } catch (JsonProcessingException e) {
             String line =
                     e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
-            return new DraftResult.Faulty(List.of(new CatalogueProblem(line, e.getOriginalMessage())));
+            return new CatalogueReadResult.Invalid(List.of(new CatalogueProblem(line, e.getOriginalMessage())));
         }
         CatalogueDocument document = readDocument(new FieldReader(root, "", problems));
         if (problems.isEmpty()) {
             problems.addAll(CatalogueRules.check(document.toCatalogue()));
         }
-        return problems.isEmpty() ? new DraftResult.Sound(document.toCatalogue()) : new DraftResult.Faulty(problems);
+        return problems.isEmpty()
+                ? new CatalogueReadResult.Valid(document.toCatalogue())
+                : new CatalogueReadResult.Invalid(problems);
     }
 
     private static CatalogueDocument readDocument(FieldReader root) {
-        root.knows("revision", "owners", "groups", "entries");
+        root.rejectUnknownFields("revision", "owners", "groups", "entries");
         List<Owner> owners = new ArrayList<>();
         List<TargetGroup> groups = new ArrayList<>();
         List<CatalogueEntry> entries = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (FieldReader item : root.items("owners")) {
             owners.add(readOwner(item));
-            noteDuplicate(names, "owner " + owners.get(owners.size() - 1).name(), item);
+            checkUnique(names, "owner " + owners.get(owners.size() - 1).name(), item);
         }
         for (FieldReader item : root.items("groups")) {
             groups.add(readGroup(item));
-            noteDuplicate(names, "group " + groups.get(groups.size() - 1).name(), item);
+            checkUnique(names, "group " + groups.get(groups.size() - 1).name(), item);
         }
         for (FieldReader item : root.items("entries")) {
             CatalogueEntry entry = readEntry(item);
             entries.add(entry);
-            noteDuplicate(names, "entry " + entry.name(), item);
+            checkUnique(names, "entry " + entry.name(), item);
         }
-        long revision = root.number("revision", Catalogue.NO_REVISION, Long.MAX_VALUE);
+        long revision = root.integer("revision", Catalogue.NO_REVISION, Long.MAX_VALUE);
         return new CatalogueDocument(revision, owners, groups, entries);
     }
 
-    private static void noteDuplicate(Set<String> names, String name, FieldReader item) {
+    private static void checkUnique(Set<String> names, String name, FieldReader item) {
         if (!names.add(name)) {
-            item.problem("name", "there is another " + name);
+            item.addProblem("name", "there is another " + name);
         }
     }
 
     private static Owner readOwner(FieldReader item) {
-        item.knows("name", "tokenHashes", "limits");
-        return new Owner(item.text("name"), item.texts("tokenHashes"), readLimits(item));
+        item.rejectUnknownFields("name", "tokenHashes", "limits");
+        return new Owner(item.string("name"), item.strings("tokenHashes"), readLimits(item));
     }
 
     private static TargetGroup readGroup(FieldReader item) {
-        item.knows("name", "kind", "model", "checksFencing");
+        item.rejectUnknownFields("name", "kind", "model", "checksFencing");
         return new TargetGroup(
-                item.text("name"),
-                item.choice("kind", TargetGroup.Kind.class),
-                item.text("model", ""),
-                item.flag("checksFencing"));
+                item.string("name"),
+                item.enumConstant("kind", TargetGroup.Kind.class),
+                item.string("model", ""),
+                item.bool("checksFencing"));
     }
 
     private static CatalogueEntry readEntry(FieldReader item) {
-        item.knows("name", "owner", "workClass", "group", "repeatable", "deadlineMillis", "limits");
+        item.rejectUnknownFields("name", "owner", "workClass", "group", "repeatable", "deadlineMillis", "limits");
         return new CatalogueEntry(
-                item.text("name"),
-                item.text("owner"),
-                item.choice("workClass", WorkClass.class),
-                item.text("group"),
-                item.flag("repeatable"),
-                item.number("deadlineMillis", 1, MOST_MILLIS),
+                item.string("name"),
+                item.string("owner"),
+                item.enumConstant("workClass", WorkClass.class),
+                item.string("group"),
+                item.bool("repeatable"),
+                item.integer("deadlineMillis", 1, MAX_DEADLINE_MILLIS),
                 readLimits(item));
     }
 
@@ -117,11 +119,11 @@
             return Limits.NONE;
         }
         FieldReader limits = item.object("limits");
-        limits.knows("maxConcurrent", "tokensPerSecond", "maxPromptTokens", "maxOutputTokens");
+        limits.rejectUnknownFields("maxConcurrent", "tokensPerSecond", "maxPromptTokens", "maxOutputTokens");
         return new Limits(
-                (int) limits.number("maxConcurrent", 0, Integer.MAX_VALUE, 0),
-                limits.number("tokensPerSecond", 0, Long.MAX_VALUE, 0),
-                limits.number("maxPromptTokens", 0, Long.MAX_VALUE, 0),
-                (int) limits.number("maxOutputTokens", 0, Integer.MAX_VALUE, 0));
+                (int) limits.integer("maxConcurrent", 0, Integer.MAX_VALUE, 0),
+                limits.integer("tokensPerSecond", 0, Long.MAX_VALUE, 0),
+                limits.integer("maxPromptTokens", 0, Long.MAX_VALUE, 0),
+                (int) limits.integer("maxOutputTokens", 0, Integer.MAX_VALUE, 0));
     }
 }
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueFold.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueFold.java
@@ -39,11 +39,11 @@
      * @return what became of it
      */
     public EditOutcome apply(long offset, CatalogueEdit edit) {
-        Optional<EditRecord> earlier = find(edit.id());
-        if (earlier.isPresent()) {
-            return earlier.get().outcome();
+        Optional<EditRecord> previous = find(edit.id());
+        if (previous.isPresent()) {
+            return previous.get().outcome();
         }
-        EditOutcome outcome = decide(offset, edit);
+        EditOutcome outcome = applyNew(offset, edit);
         history.addLast(EditRecord.of(offset, edit, outcome));
         if (history.size() > HISTORY_LENGTH) {
             history.removeFirst();
@@ -76,16 +76,18 @@
      * @return its line, or empty where it was not read or is forgotten
      */
     public Optional<EditRecord> find(String editId) {
-        return history.stream().filter(line -> line.id().equals(editId)).findFirst();
+        return history.stream()
+                .filter(editRecord -> editRecord.id().equals(editId))
+                .findFirst();
     }
 
-    private EditOutcome decide(long offset, CatalogueEdit edit) {
+    private EditOutcome applyNew(long offset, CatalogueEdit edit) {
         if (edit.baseRevision() != catalogue.revision()) {
             Optional<EditRecord> winner = history.stream()
-                    .filter(line ->
-                            line.verdict() == EditRecord.Verdict.ACCEPTED && line.offset() == catalogue.revision())
+                    .filter(editRecord -> editRecord.verdict() == EditRecord.Verdict.ACCEPTED
+                            && editRecord.offset() == catalogue.revision())
                     .findFirst();
-            return new EditOutcome.Outrun(
+            return new EditOutcome.Conflict(
                     winner.map(EditRecord::id).orElse(""),
                     winner.map(EditRecord::author).orElse(""),
                     catalogue.revision());
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueHolder.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueHolder.java
@@ -20,8 +20,8 @@
 
     @Override
     public Optional<Catalogue> current() {
-        Catalogue now = catalogue;
-        return now.revision() == Catalogue.NO_REVISION ? Optional.empty() : Optional.of(now);
+        Catalogue current = catalogue;
+        return current.revision() == Catalogue.NO_REVISION ? Optional.empty() : Optional.of(current);
     }
 
     @Override
--- a/src/main/java/org/dogwoodwinch/catalogue/DraftResult.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueReadResult.java
@@ -4,24 +4,24 @@
 import java.util.function.Function;
 
 /** The outcome of reading a catalogue that a person wrote. */
-public sealed interface DraftResult {
+public sealed interface CatalogueReadResult {
 
     /**
      * The text is a sound catalogue.
      *
      * @param catalogue the catalogue; its revision is the one that the text names
      */
-    record Sound(Catalogue catalogue) implements DraftResult {}
+    record Valid(Catalogue catalogue) implements CatalogueReadResult {}
 
     /**
      * The text has faults.
      *
      * @param problems all of them, one or more
      */
-    record Faulty(List<CatalogueProblem> problems) implements DraftResult {
+    record Invalid(List<CatalogueProblem> problems) implements CatalogueReadResult {
 
         /** Copies the list. */
-        public Faulty {
+        public Invalid {
             problems = List.copyOf(problems);
         }
     }
@@ -29,15 +29,15 @@
     /**
      * Calls the function of this result's kind.
      *
-     * @param sound for {@link Sound}
-     * @param faulty for {@link Faulty}
+     * @param valid for {@link Valid}
+     * @param invalid for {@link Invalid}
      * @param <T> what the functions return
      * @return what the function returned
      */
-    default <T> T match(Function<Catalogue, T> sound, Function<List<CatalogueProblem>, T> faulty) {
-        if (this instanceof Sound value) {
-            return sound.apply(value.catalogue());
+    default <T> T match(Function<Catalogue, T> valid, Function<List<CatalogueProblem>, T> invalid) {
+        if (this instanceof Valid value) {
+            return valid.apply(value.catalogue());
         }
-        return faulty.apply(((Faulty) this).problems());
+        return invalid.apply(((Invalid) this).problems());
     }
 }
--- a/src/main/java/org/dogwoodwinch/catalogue/EditOutcome.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/EditOutcome.java
@@ -19,7 +19,7 @@
      * @param winnerAuthor who made that edit, empty where it is forgotten
      * @param winnerRevision the revision that was in force
      */
-    record Outrun(String winnerId, String winnerAuthor, long winnerRevision) implements EditOutcome {}
+    record Conflict(String winnerId, String winnerAuthor, long winnerRevision) implements EditOutcome {}
 
     /**
      * The edit would have made a catalogue that contradicts itself; an instance checks before it appends, so this one
@@ -33,17 +33,17 @@
      * Calls the function of this outcome's kind.
      *
      * @param accepted for {@link Accepted}
-     * @param outrun for {@link Outrun}
+     * @param conflict for {@link Conflict}
      * @param invalid for {@link Invalid}
      * @param <T> what the functions return
      * @return what the function returned
      */
-    default <T> T match(Function<Accepted, T> accepted, Function<Outrun, T> outrun, Function<Invalid, T> invalid) {
+    default <T> T match(Function<Accepted, T> accepted, Function<Conflict, T> conflict, Function<Invalid, T> invalid) {
         if (this instanceof Accepted value) {
             return accepted.apply(value);
         }
-        if (this instanceof Outrun value) {
-            return outrun.apply(value);
+        if (this instanceof Conflict value) {
+            return conflict.apply(value);
         }
         return invalid.apply((Invalid) this);
     }
--- a/src/main/java/org/dogwoodwinch/catalogue/EditRecord.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/EditRecord.java
@@ -61,13 +61,13 @@
     static EditRecord of(long offset, CatalogueEdit edit, EditOutcome outcome) {
         return outcome.match(
                 accepted -> of(offset, edit, Verdict.ACCEPTED, "", "", accepted.revision(), ""),
-                outrun -> of(
+                conflict -> of(
                         offset,
                         edit,
                         Verdict.OUTRUN,
-                        outrun.winnerId(),
-                        outrun.winnerAuthor(),
-                        outrun.winnerRevision(),
+                        conflict.winnerId(),
+                        conflict.winnerAuthor(),
+                        conflict.winnerRevision(),
                         ""),
                 invalid -> of(offset, edit, Verdict.INVALID, "", "", Catalogue.NO_REVISION, invalid.detail()));
     }
@@ -82,7 +82,7 @@
             return new EditOutcome.Accepted(winnerRevision);
         }
         return verdict == Verdict.OUTRUN
-                ? new EditOutcome.Outrun(winnerId, winnerAuthor, winnerRevision)
+                ? new EditOutcome.Conflict(winnerId, winnerAuthor, winnerRevision)
                 : new EditOutcome.Invalid(detail);
     }
 
--- a/src/main/java/org/dogwoodwinch/catalogue/FieldReader.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/FieldReader.java
@@ -11,19 +11,19 @@
 final class FieldReader {
 
     private final JsonNode node;
-    private final String place;
+    private final String location;
     private final List<CatalogueProblem> problems;
 
     /**
      * Creates a reader.
      *
      * @param node the object, not null
-     * @param place where it is, empty for the root, not null
+     * @param location where it is, empty for the root, not null
      * @param problems takes the faults, not null
      */
-    FieldReader(JsonNode node, String place, List<CatalogueProblem> problems) {
+    FieldReader(JsonNode node, String location, List<CatalogueProblem> problems) {
         this.node = node;
-        this.place = place;
+        this.location = location;
         this.problems = problems;
     }
 
@@ -32,77 +32,77 @@
      *
      * @param names the known fields, not null
      */
-    void knows(String... names) {
+    void rejectUnknownFields(String... names) {
         if (!node.isObject()) {
-            problem("", "an object is wanted");
+            addProblem("", "an object is wanted");
             return;
         }
         Set<String> known = Set.copyOf(Arrays.asList(names));
         node.fieldNames().forEachRemaining(name -> {
             if (!known.contains(name)) {
-                problem(name, "unknown field");
+                addProblem(name, "unknown field");
             }
         });
     }
 
-    String text(String name) {
+    String string(String name) {
         JsonNode value = node.path(name);
         if (!value.isTextual()) {
-            problem(name, value.isMissingNode() ? "is missing" : "a text is wanted");
+            addProblem(name, value.isMissingNode() ? "is missing" : "a text is wanted");
             return "";
         }
         return value.textValue();
     }
 
-    String text(String name, String otherwise) {
-        return node.has(name) ? text(name) : otherwise;
+    String string(String name, String defaultValue) {
+        return node.has(name) ? string(name) : defaultValue;
     }
 
-    boolean flag(String name) {
+    boolean bool(String name) {
         JsonNode value = node.path(name);
         if (!value.isBoolean()) {
-            problem(name, value.isMissingNode() ? "is missing" : "true or false is wanted");
+            addProblem(name, value.isMissingNode() ? "is missing" : "true or false is wanted");
         }
         return value.asBoolean();
     }
 
-    long number(String name, long least, long most) {
+    long integer(String name, long min, long max) {
         JsonNode value = node.path(name);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            problem(name, value.isMissingNode() ? "is missing" : "a whole number is wanted");
-            return least;
+            addProblem(name, value.isMissingNode() ? "is missing" : "a whole number is wanted");
+            return min;
         }
-        if (value.longValue() < least || value.longValue() > most) {
-            problem(name, "must be from " + least + " to " + most + ", not " + value.longValue());
-            return least;
+        if (value.longValue() < min || value.longValue() > max) {
+            addProblem(name, "must be from " + min + " to " + max + ", not " + value.longValue());
+            return min;
         }
         return value.longValue();
     }
 
-    long number(String name, long least, long most, long otherwise) {
-        return node.has(name) ? number(name, least, most) : otherwise;
+    long integer(String name, long min, long max, long defaultValue) {
+        return node.has(name) ? integer(name, min, max) : defaultValue;
     }
 
-    <E extends Enum<E>> E choice(String name, Class<E> type) {
+    <E extends Enum<E>> E enumConstant(String name, Class<E> type) {
         E[] constants = type.getEnumConstants();
-        String given = node.path(name).asText("");
+        String value = node.path(name).asText("");
         for (E constant : constants) {
-            if (constant.name().equals(given)) {
+            if (constant.name().equals(value)) {
                 return constant;
             }
         }
-        String wanted = Arrays.stream(constants).map(Enum::name).collect(Collectors.joining(", "));
-        problem(name, (node.has(name) ? "one of " : "is missing; one of ") + wanted + " is wanted");
+        String allowed = Arrays.stream(constants).map(Enum::name).collect(Collectors.joining(", "));
+        addProblem(name, (node.has(name) ? "one of " : "is missing; one of ") + allowed + " is wanted");
         return constants[0];
     }
 
-    List<String> texts(String name) {
+    List<String> strings(String name) {
         List<String> result = new ArrayList<>();
         for (FieldReader item : items(name)) {
             if (item.node.isTextual()) {
                 result.add(item.node.textValue());
             } else {
-                item.problem("", "a text is wanted");
+                item.addProblem("", "a text is wanted");
             }
         }
         return result;
@@ -111,7 +111,7 @@
     List<FieldReader> items(String name) {
         JsonNode list = node.path(name);
         if (!list.isMissingNode() && !list.isArray()) {
-            problem(name, "a list is wanted");
+            addProblem(name, "a list is wanted");
         }
         List<FieldReader> result = new ArrayList<>();
         if (list.isArray()) {
@@ -130,11 +130,11 @@
         return node.has(name);
     }
 
-    void problem(String name, String detail) {
-        problems.add(new CatalogueProblem(name.isEmpty() ? place : path(name), detail));
+    void addProblem(String name, String detail) {
+        problems.add(new CatalogueProblem(name.isEmpty() ? location : path(name), detail));
     }
 
     private String path(String name) {
-        return place.isEmpty() ? name : place + "." + name;
+        return location.isEmpty() ? name : location + "." + name;
     }
 }
--- a/src/test/java/org/dogwoodwinch/authority/AuthorityFoldTest.java
+++ b/src/test/java/org/dogwoodwinch/authority/AuthorityFoldTest.java
@@ -18,80 +18,80 @@
     private static final EngineConfiguration CONFIGURATION =
             new EngineConfiguration(EngineRole.PREFILL, "m", "1", new TreeSet<>());
 
-    private final AuthorityFold fold = new AuthorityFold(AuthoritySnapshot.EMPTY);
+    private final AuthorityFold authority = new AuthorityFold(AuthoritySnapshot.EMPTY);
     private long offset;
 
     /** The claimant waited long enough by its clock, but the holder's renewal landed first: the claim is void. */
     @Test
-    void aRenewalThatLandsBetweenVoidsTheClaim() {
-        accept(claim("c1", "a", "", -1));
-        accept(new AuthorityRecord.LeaseRenewal("r1", "a"));
-        refuse(claim("c2", "b", "a", 0));
-        accept(claim("c3", "b", "a", 1));
-        refuse(new AuthorityRecord.LeaseRenewal("r2", "a"));
-        assertEquals("b", fold.leases().lease(GROUP).orElseThrow().holder());
+    void claimIsRejectedAfterInterveningRenewal() {
+        applyAccepted(claim("c1", "a", "", -1));
+        applyAccepted(new AuthorityRecord.LeaseRenewal("r1", "a"));
+        applyRejected(claim("c2", "b", "a", 0));
+        applyAccepted(claim("c3", "b", "a", 1));
+        applyRejected(new AuthorityRecord.LeaseRenewal("r2", "a"));
+        assertEquals("b", authority.leases().lease(GROUP).orElseThrow().holder());
     }
 
     /** A copy of an old release comes when its writer has claimed the group anew: it must not give that back. */
     @Test
-    void aLateCopyOfAReleaseIsVoid() {
-        accept(claim("c1", "a", "", -1));
+    void duplicateReleaseIsRejectedAfterNewClaim() {
+        applyAccepted(claim("c1", "a", "", -1));
         AuthorityRecord release = new AuthorityRecord.LeaseRelease("x", "a", new TreeMap<>(Map.of(GROUP, 0L)));
-        accept(release);
-        accept(claim("c2", "a", "", -1));
-        refuse(release);
+        applyAccepted(release);
+        applyAccepted(claim("c2", "a", "", -1));
+        applyRejected(release);
     }
 
     /** A holder lost its group while its intent was under way: the intent is void, and so no order is sent for it. */
     @Test
-    void anIntentOfALostEpochIsVoid() {
-        accept(claim("c1", "a", "", -1));
-        accept(claim("c2", "b", "a", 0));
-        refuse(intent("i1", "a", 0, -1, -1));
-        accept(intent("i2", "b", 1, -1, -1));
+    void intentOfFormerHolderIsRejected() {
+        applyAccepted(claim("c1", "a", "", -1));
+        applyAccepted(claim("c2", "b", "a", 0));
+        applyRejected(intent("i1", "a", 0, -1, -1));
+        applyAccepted(intent("i2", "b", 1, -1, -1));
     }
 
     @Test
-    void oneOrderIsOpenForAnEngineAndACopyOfAnOldIntentIsVoid() {
-        accept(claim("c1", "a", "", -1));
-        accept(intent("i1", "a", 0, -1, -1));
-        refuse(intent("i2", "a", 0, 1, -1));
-        accept(new AuthorityRecord.OrderSettled("s1", "a", 0, "engine-1", 1, true, ""));
-        refuse(intent("i1", "a", 0, -1, -1));
-        refuse(new AuthorityRecord.OrderSettled("s2", "a", 0, "engine-1", 1, false, ""));
-        accept(intent("i3", "a", 0, 1, -1));
+    void secondOpenOrderAndDuplicateIntentAreRejected() {
+        applyAccepted(claim("c1", "a", "", -1));
+        applyAccepted(intent("i1", "a", 0, -1, -1));
+        applyRejected(intent("i2", "a", 0, 1, -1));
+        applyAccepted(new AuthorityRecord.OrderSettled("s1", "a", 0, "engine-1", 1, true, ""));
+        applyRejected(intent("i1", "a", 0, -1, -1));
+        applyRejected(new AuthorityRecord.OrderSettled("s2", "a", 0, "engine-1", 1, false, ""));
+        applyAccepted(intent("i3", "a", 0, 1, -1));
     }
 
     @Test
-    void eachNumberOfAWeightLoadIsTakenOnce() {
-        accept(claim("c1", "a", "", -1));
-        accept(intent("i1", "a", 0, -1, 0));
-        accept(new AuthorityRecord.OrderSettled("s1", "a", 0, "engine-1", 1, true, ""));
-        refuse(intent("i2", "a", 0, 1, 0));
-        accept(intent("i3", "a", 0, 1, 1));
+    void weightLoadSequenceIsAcceptedOnce() {
+        applyAccepted(claim("c1", "a", "", -1));
+        applyAccepted(intent("i1", "a", 0, -1, 0));
+        applyAccepted(new AuthorityRecord.OrderSettled("s1", "a", 0, "engine-1", 1, true, ""));
+        applyRejected(intent("i2", "a", 0, 1, 0));
+        applyAccepted(intent("i3", "a", 0, 1, 1));
     }
 
     /** Finished plans are forgotten so that the state stays bounded; a copy of a forgotten request starts nothing anew. */
     @Test
-    void finishedPlansAreForgottenAndTheirCopiesAreVoid() {
+    void duplicateRequestOfRemovedPlanIsRejected() {
         for (int i = 0; i < 300; i++) {
-            accept(restore("p" + i, offset));
+            applyAccepted(restore("p" + i, offset));
         }
-        assertEquals(PlanTable.FINISHED_KEPT, fold.plans().plans().size());
-        assertEquals(Optional.empty(), fold.plans().plan("p0"));
-        refuse(restore("p0", 0));
-        accept(restore("p300", offset));
+        assertEquals(PlanTable.MAX_FINISHED, authority.plans().plans().size());
+        assertEquals(Optional.empty(), authority.plans().plan("p0"));
+        applyRejected(restore("p0", 0));
+        applyAccepted(restore("p300", offset));
     }
 
     @Test
-    void aCopyOfTheStateGoesOnAlike() {
-        accept(claim("c1", "a", "", -1));
-        accept(intent("i1", "a", 0, -1, 0));
-        AuthorityFold copy = new AuthorityFold(fold.snapshot());
+    void stateRestoredFromSnapshotAppliesRecordsIdentically() {
+        applyAccepted(claim("c1", "a", "", -1));
+        applyAccepted(intent("i1", "a", 0, -1, 0));
+        AuthorityFold copy = new AuthorityFold(authority.snapshot());
         AuthorityRecord settled = new AuthorityRecord.OrderSettled("s1", "a", 0, "engine-1", 1, true, "");
         copy.apply(offset, settled);
-        accept(settled);
-        assertEquals(fold.snapshot(), copy.snapshot());
+        applyAccepted(settled);
+        assertEquals(authority.snapshot(), copy.snapshot());
     }
 
     private static AuthorityRecord claim(String id, String holder, String previous, long renewal) {
@@ -107,11 +107,11 @@
         return new AuthorityRecord.PlanRequested(id, "meera", 0, readUpTo, change);
     }
 
-    private void accept(AuthorityRecord record) {
-        assertEquals(Optional.empty(), fold.apply(offset++, record));
+    private void applyAccepted(AuthorityRecord record) {
+        assertEquals(Optional.empty(), authority.apply(offset++, record));
     }
 
-    private void refuse(AuthorityRecord record) {
-        assertTrue(fold.apply(offset, record).isPresent(), () -> "taken: " + record);
+    private void applyRejected(AuthorityRecord record) {
+        assertTrue(authority.apply(offset, record).isPresent(), () -> "taken: " + record);
     }
 }
--- a/src/test/java/org/dogwoodwinch/catalogue/CatalogueCodecTest.java
+++ b/src/test/java/org/dogwoodwinch/catalogue/CatalogueCodecTest.java
@@ -11,15 +11,15 @@
     private final CatalogueCodec codec = new CatalogueCodec();
 
     @Test
-    void whatIsWrittenIsReadBack() {
+    void writtenCatalogueIsReadUnchanged() {
         Catalogue catalogue = SampleCatalogues.withDeadline(7, 2_000);
-        assertEquals(new DraftResult.Sound(catalogue), codec.read(codec.write(catalogue)));
+        assertEquals(new CatalogueReadResult.Valid(catalogue), codec.read(codec.write(catalogue)));
     }
 
     /** An operator's file has several faults: all of them are named with their place, so that one more try is enough. */
     @Test
-    void everyFaultIsNamedByItsField() {
-        List<String> fields = problems("""
+    void everyProblemIsReportedWithItsField() {
+        List<String> fields = problemFields("""
                 { "revision": "x", // a comment
                   "owners": [ {"name": "malabar", "tokenHashes": [3], "limits": {"maxConcurrent": -1}, "colour": 1} ],
                   "groups": [ {"name": "reading", "kind": "ENGIN", "model": 4, "checksFencing": "yes"} ],
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void partsMustAgree() {
+    void inconsistentReferencesAreReported() {
         String document = """
                 { "revision": 3,
                   "owners": [ {"name": "a", "tokenHashes": ["abc"]} ],
@@ -61,18 +61,18 @@
                         "groups[ledger].model",
                         "groups[reading].model",
                         "owners[a].tokenHashes"),
-                problems(document));
+                problemFields(document));
     }
 
     @Test
-    void brokenJsonIsNamedByItsLine() {
-        assertEquals(List.of("line 2"), problems("{\n nonsense }"));
+    void malformedJsonIsReportedWithItsLine() {
+        assertEquals(List.of("line 2"), problemFields("{\n nonsense }"));
     }
 
-    private List<String> problems(String document) {
-        DraftResult result = codec.read(document);
-        assertTrue(result instanceof DraftResult.Faulty);
-        return ((DraftResult.Faulty) result)
+    private List<String> problemFields(String document) {
+        CatalogueReadResult result = codec.read(document);
+        assertTrue(result instanceof CatalogueReadResult.Invalid);
+        return ((CatalogueReadResult.Invalid) result)
                 .problems().stream().map(CatalogueProblem::field).sorted().toList();
     }
 }
--- a/src/test/java/org/dogwoodwinch/catalogue/CatalogueFoldTest.java
+++ b/src/test/java/org/dogwoodwinch/catalogue/CatalogueFoldTest.java
@@ -12,28 +12,28 @@
 
 class CatalogueFoldTest {
 
-    private final CatalogueFold fold = new CatalogueFold(Catalogue.EMPTY, List.of());
+    private final CatalogueFold state = new CatalogueFold(Catalogue.EMPTY, List.of());
 
     /** Two operators edit the same revision at once: the one whose edit stands first on the log wins, the other learns who. */
     @Test
-    void theFirstEditOnABaseWins() {
-        fold.apply(4, edit("first", Catalogue.NO_REVISION, 100));
-        EditOutcome second = fold.apply(5, edit("second", Catalogue.NO_REVISION, 200));
-        assertEquals(new EditOutcome.Outrun("first", "meera", 4), second);
-        assertEquals(100, fold.catalogue().entries().get("booking").deadlineMillis());
+    void secondEditOnSameBaseIsConflict() {
+        state.apply(4, edit("first", Catalogue.NO_REVISION, 100));
+        EditOutcome second = state.apply(5, edit("second", Catalogue.NO_REVISION, 200));
+        assertEquals(new EditOutcome.Conflict("first", "meera", 4), second);
+        assertEquals(100, state.catalogue().entries().get("booking").deadlineMillis());
     }
 
     /** An operator's tool lost the answer and appended the edit again: it counts once, and its outcome stays the same. */
     @Test
-    void anEditReadTwiceCountsOnce() {
-        EditOutcome first = fold.apply(4, edit("e", Catalogue.NO_REVISION, 100));
-        fold.apply(6, edit("f", 4, 200));
-        assertEquals(first, fold.apply(9, edit("e", Catalogue.NO_REVISION, 100)));
-        assertEquals(6, fold.catalogue().revision());
+    void duplicateEditReturnsOriginalOutcome() {
+        EditOutcome first = state.apply(4, edit("e", Catalogue.NO_REVISION, 100));
+        state.apply(6, edit("f", 4, 200));
+        assertEquals(first, state.apply(9, edit("e", Catalogue.NO_REVISION, 100)));
+        assertEquals(6, state.catalogue().revision());
     }
 
     @Test
-    void anEditThatContradictsItselfChangesNothing() {
+    void inconsistentEditLeavesCatalogueUnchanged() {
         CatalogueChange change = new CatalogueChange(
                 List.of(),
                 List.of(),
@@ -41,13 +41,13 @@
                 List.of(),
                 List.copyOf(SampleCatalogues.withDeadline(0, 1).entries().values()),
                 List.of());
-        EditOutcome outcome = fold.apply(1, new CatalogueEdit("e", "meera", 0, Catalogue.NO_REVISION, change));
+        EditOutcome outcome = state.apply(1, new CatalogueEdit("e", "meera", 0, Catalogue.NO_REVISION, change));
         assertTrue(outcome instanceof EditOutcome.Invalid);
-        assertEquals(Catalogue.EMPTY, fold.catalogue());
+        assertEquals(Catalogue.EMPTY, state.catalogue());
     }
 
     @Property(seed = "41", tries = 300)
-    void aCopyGoesOnLikeTheOriginal(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> lags) {
+    void restoredCopyAppliesEditsIdentically(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> lags) {
         CatalogueFold original = new CatalogueFold(Catalogue.EMPTY, List.of());
         CatalogueFold copy = new CatalogueFold(Catalogue.EMPTY, List.of());
         long offset = 0;
