--- a/src/main/java/org/dogwoodwinch/authority/AuthorityAgent.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityAgent.java
@@ -103,7 +103,7 @@
 
     /**
      * Returns whether this instance may still send an order; called immediately before the order is written. Without
-     * this check, a pause of the process between the decision and the write could send an order whose lease has
+     * this check, a pause of the process between the decision and the write could send an order after the lease has
      * expired.
      *
      * @param authority the state derived from the log records read so far, not null
--- a/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
+++ b/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
@@ -198,8 +198,7 @@
                 applied = true;
                 detail = "";
             }
-            case KEEP_FAILURE ->
-                detail = detail.isEmpty() ? "the engine did not confirm the order in time" : detail;
+            case KEEP_FAILURE -> detail = detail.isEmpty() ? "the engine did not confirm the order in time" : detail;
         }
     }
 }
