--- a/src/main/java/org/dogwoodwinch/authority/AuthorityFold.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityFold.java
@@ -4,23 +4,24 @@
 import java.util.Optional;
 
 /**
- * Leases, orders and plans as the log makes them, read in offset order. Not thread-safe.
+ * The state of leases, orders and planned changes, derived by applying the log records in offset order. Not
+ * thread-safe.
  *
- * <p>Whatever a holder writes counts only while the log says that it holds the group, in the epoch that it names. A
- * holder that wakes up after a successor's claim can therefore append what it likes: all of it is void.
+ * <p>A holder's record takes effect only if, at its offset, the holder has the group's lease in the epoch that the
+ * record names. All records that a paused holder appends after a successor's claim are therefore rejected.
  */
 public final class AuthorityFold {
 
-    private static final Optional<String> NOT_HELD = Optional.of("the group is not held in that epoch");
+    private static final Optional<String> NOT_HELD = Optional.of("the group's lease is not held in the record's epoch");
 
     private final LeaseTable leases;
     private final EngineTable engines;
     private final PlanTable plans;
 
     /**
-     * Creates the fold as it was left.
+     * Restores the state from a snapshot.
      *
-     * @param snapshot the state, not null
+     * @param snapshot the snapshot, not null
      */
     public AuthorityFold(AuthoritySnapshot snapshot) {
         this.leases = new LeaseTable(snapshot.leases(), snapshot.renewals());
@@ -29,11 +30,11 @@
     }
 
     /**
-     * Reads one record.
+     * Applies one record.
      *
-     * @param offset its offset
+     * @param offset the record's offset
      * @param record the record, not null
-     * @return why it is void, or empty where it took effect
+     * @return the reason for a rejection, or empty if the record took effect
      */
     public Optional<String> apply(long offset, AuthorityRecord record) {
         if (record instanceof AuthorityRecord.LeaseRenewal renewal) {
@@ -46,57 +47,57 @@
             return leases.apply(release);
         }
         if (record instanceof AuthorityRecord.OrderIntent intent) {
-            return applyIntent(offset, intent);
+            return applyOrderIntent(offset, intent);
         }
         if (record instanceof AuthorityRecord.OrderSettled settled) {
-            return applySettled(offset, settled);
+            return applyOrderSettled(offset, settled);
         }
         if (record instanceof AuthorityRecord.PlanRequested request) {
             return plans.apply(offset, request);
         }
         if (record instanceof AuthorityRecord.PlanMoved moved) {
-            return applyMoved(offset, moved);
+            return applyPlanMoved(offset, moved);
         }
         AuthorityRecord.PlanCancelled cancelled = (AuthorityRecord.PlanCancelled) record;
-        return plans.move(offset, cancelled.planId(), PlanEvent.CANCEL, "cancelled by " + cancelled.author());
+        return plans.applyEvent(offset, cancelled.planId(), PlanEvent.CANCEL, "cancelled by " + cancelled.author());
     }
 
     /**
      * Returns the leases.
      *
-     * @return the table; only reading it is meant
+     * @return the table, to be read only
      */
     public LeaseTable leases() {
         return leases;
     }
 
     /**
-     * Returns the engines' last orders.
+     * Returns the last order of each engine.
      *
-     * @return the table; only reading it is meant
+     * @return the table, to be read only
      */
     public EngineTable engines() {
         return engines;
     }
 
     /**
-     * Returns the plans.
+     * Returns the planned changes.
      *
-     * @return the table; only reading it is meant
+     * @return the table, to be read only
      */
     public PlanTable plans() {
         return plans;
     }
 
     /**
-     * Copies the state.
+     * Returns a copy of the state.
      *
-     * @return the copy
+     * @return the snapshot
      */
     public AuthoritySnapshot snapshot() {
         return new AuthoritySnapshot(
                 leases.leases(),
-                leases.renewals(),
+                leases.lastRenewals(),
                 engines.engines(),
                 engines.loadCount(),
                 List.copyOf(plans.plans()),
@@ -104,25 +105,25 @@
                 plans.forgottenThrough());
     }
 
-    private Optional<String> applyIntent(long offset, AuthorityRecord.OrderIntent intent) {
+    private Optional<String> applyOrderIntent(long offset, AuthorityRecord.OrderIntent intent) {
         if (!leases.isHeld(intent.group(), intent.holder(), intent.epoch())) {
             return NOT_HELD;
         }
-        Optional<String> fault = engines.check(intent);
-        if (fault.isPresent()) {
-            return fault;
+        Optional<String> rejection = engines.findRejection(intent);
+        if (rejection.isPresent()) {
+            return rejection;
         }
         if (!intent.planId().isEmpty()) {
-            Optional<String> refused = plans.move(offset, intent.planId(), PlanEvent.ORDER, "");
-            if (refused.isPresent()) {
-                return refused;
+            Optional<String> planRejection = plans.applyEvent(offset, intent.planId(), PlanEvent.ORDER, "");
+            if (planRejection.isPresent()) {
+                return planRejection;
             }
         }
         engines.apply(offset, intent);
         return Optional.empty();
     }
 
-    private Optional<String> applySettled(long offset, AuthorityRecord.OrderSettled settled) {
+    private Optional<String> applyOrderSettled(long offset, AuthorityRecord.OrderSettled settled) {
         Optional<EngineEntry> open = engines.engine(settled.engine());
         if (open.isEmpty() || !leases.isHeld(open.get().group(), settled.holder(), settled.epoch())) {
             return NOT_HELD;
@@ -132,24 +133,25 @@
             return Optional.of("the order is not open");
         }
         String planId = entry.get().planId();
-        plans.plan(planId).ifPresent(plan -> plans.move(offset, planId, eventOf(plan, settled), settled.detail()));
+        plans.plan(planId)
+                .ifPresent(plan -> plans.applyEvent(offset, planId, settledEvent(plan, settled), settled.detail()));
         return Optional.empty();
     }
 
-    private Optional<String> applyMoved(long offset, AuthorityRecord.PlanMoved moved) {
+    private Optional<String> applyPlanMoved(long offset, AuthorityRecord.PlanMoved moved) {
         Optional<PlanRecord> plan = plans.plan(moved.planId());
         if (plan.isEmpty() || !leases.isHeld(plan.get().change().group(), moved.holder(), moved.epoch())) {
             return NOT_HELD;
         }
-        Optional<String> refused = plans.move(offset, moved.planId(), moved.event(), moved.detail());
+        Optional<String> rejection = plans.applyEvent(offset, moved.planId(), moved.event(), moved.detail());
         PlannedChange change = plan.get().change();
-        if (refused.isEmpty() && moved.event() == PlanEvent.FINISH && change.kind() != PlannedChange.Kind.DRAIN) {
-            engines.forget(change.engine());
+        if (rejection.isEmpty() && moved.event() == PlanEvent.FINISH && change.kind() != PlannedChange.Kind.DRAIN) {
+            engines.remove(change.engine());
         }
-        return refused;
+        return rejection;
     }
 
-    private static PlanEvent eventOf(PlanRecord plan, AuthorityRecord.OrderSettled settled) {
+    private static PlanEvent settledEvent(PlanRecord plan, AuthorityRecord.OrderSettled settled) {
         if (!settled.applied()) {
             return PlanEvent.REFUSED;
         }
--- a/src/main/java/org/dogwoodwinch/authority/LeaseTable.java
+++ b/src/main/java/org/dogwoodwinch/authority/LeaseTable.java
@@ -7,134 +7,134 @@
 import java.util.TreeMap;
 
 /**
- * The leases as the log makes them. Not thread-safe.
+ * The leases, derived from the log. Not thread-safe.
  *
- * <p>It knows no clock: that a term is over is for claimants to wait out and for holders to count. What log order adds
- * is that a claim and a renewal that race have one winner on every instance.
+ * <p>The table uses no clock: holders and claimants measure the lease term themselves. Log order ensures that a
+ * concurrent claim and renewal have the same winner on every instance.
  */
 public final class LeaseTable {
 
-    /** The renewal of a holder that has none. */
+    /** The last renewal of a process that holds no lease. */
     public static final long NO_RENEWAL = -1;
 
     private final SortedMap<String, GroupLease> leases;
-    private final SortedMap<String, Long> renewals;
+    private final SortedMap<String, Long> lastRenewals;
 
     /**
-     * Creates the table as it was left.
+     * Restores the table.
      *
      * @param leases the leases by group, not null
      * @param renewals the offset of the last renewal by holder, not null
      */
     public LeaseTable(Map<String, GroupLease> leases, Map<String, Long> renewals) {
         this.leases = new TreeMap<>(leases);
-        this.renewals = new TreeMap<>(renewals);
+        this.lastRenewals = new TreeMap<>(renewals);
     }
 
     /**
-     * Reads a renewal.
+     * Applies a renewal.
      *
-     * @param offset its offset
+     * @param offset the renewal's offset
      * @param renewal the renewal, not null
-     * @return why it is void, or empty
+     * @return the reason for a rejection, or empty
      */
     Optional<String> apply(long offset, AuthorityRecord.LeaseRenewal renewal) {
-        if (!renewals.containsKey(renewal.holder())) {
-            return Optional.of("the holder holds nothing");
+        if (!lastRenewals.containsKey(renewal.holder())) {
+            return Optional.of("the holder has no lease");
         }
-        renewals.put(renewal.holder(), offset);
+        lastRenewals.put(renewal.holder(), offset);
         return Optional.empty();
     }
 
     /**
-     * Reads a claim; it counts for each of its groups alone.
+     * Applies a claim to each of its groups independently.
      *
-     * @param offset its offset
+     * @param offset the claim's offset
      * @param claim the claim, not null
-     * @return why it is void for all its groups, or empty
+     * @return the reason if the claim is rejected for all its groups, or empty
      */
     Optional<String> apply(long offset, AuthorityRecord.LeaseClaim claim) {
-        boolean any = false;
+        boolean anyApplied = false;
         for (String group : claim.groups()) {
-            if (isOpenTo(claim, group)) {
+            if (isClaimable(claim, group)) {
                 leases.put(group, new GroupLease(claim.holder(), offset));
-                any = true;
+                anyApplied = true;
             }
         }
-        if (!any) {
-            return Optional.of("renewed, or claimed by another, before");
+        if (!anyApplied) {
+            return Optional.of("the lease was renewed, or claimed by another holder, before");
         }
-        renewals.put(claim.holder(), offset);
-        forgetIdleHolders();
+        lastRenewals.put(claim.holder(), offset);
+        removeIdleHolders();
         return Optional.empty();
     }
 
     /**
-     * Reads a release; it counts for each of its groups alone.
+     * Applies a release to each of its groups independently.
      *
      * @param release the release, not null
-     * @return why it is void for all its groups, or empty
+     * @return the reason if the release is rejected for all its groups, or empty
      */
     Optional<String> apply(AuthorityRecord.LeaseRelease release) {
-        boolean any = false;
+        boolean anyApplied = false;
         for (Map.Entry<String, Long> entry : release.epochs().entrySet()) {
-            any |= leases.remove(entry.getKey(), new GroupLease(release.holder(), entry.getValue()));
+            anyApplied |= leases.remove(entry.getKey(), new GroupLease(release.holder(), entry.getValue()));
         }
-        forgetIdleHolders();
-        return any ? Optional.empty() : Optional.of("not held in that epoch");
+        removeIdleHolders();
+        return anyApplied ? Optional.empty() : Optional.of("no group is held in the epoch of the release");
     }
 
     /**
-     * Returns who holds a group.
+     * Returns the lease of a group.
      *
      * @param group the group, not null
-     * @return the lease, or empty where nobody holds it
+     * @return the lease, or empty if the group has no holder
      */
     public Optional<GroupLease> lease(String group) {
         return Optional.ofNullable(leases.get(group));
     }
 
     /**
-     * Says whether a holder has a group in a given epoch.
+     * Returns whether a process holds a group in an epoch.
      *
      * @param group the group, not null
      * @param holder the holder, not null
      * @param epoch the epoch
-     * @return whether it is so by log order
+     * @return whether it holds the group by log order
      */
     boolean isHeld(String group, String holder, long epoch) {
         return new GroupLease(holder, epoch).equals(leases.get(group));
     }
 
     /**
-     * Returns a holder's last renewal or claim.
+     * Returns the offset of a holder's last renewal or claim.
      *
      * @param holder the holder, not null
-     * @return its offset, or {@link #NO_RENEWAL}
+     * @return the offset, or {@link #NO_RENEWAL} if the process holds no lease
      */
     public long lastRenewal(String holder) {
-        return renewals.getOrDefault(holder, NO_RENEWAL);
+        return lastRenewals.getOrDefault(holder, NO_RENEWAL);
     }
 
     /**
      * Returns all leases.
      *
-     * @return the leases by group; a view
+     * @return an unmodifiable view of the leases, by group
      */
     public SortedMap<String, GroupLease> leases() {
         return Collections.unmodifiableSortedMap(leases);
     }
 
     /**
-     * Returns all holders' last renewals.
+     * Returns the offsets of all holders' last renewals or claims.
      *
-     * @return the offsets by holder; a view
+     * @return an unmodifiable view of the offsets, by holder
      */
-    public SortedMap<String, Long> renewals() {
-        return Collections.unmodifiableSortedMap(renewals);
+    public SortedMap<String, Long> lastRenewals() {
+        return Collections.unmodifiableSortedMap(lastRenewals);
     }
 
-    private boolean isOpenTo(AuthorityRecord.LeaseClaim claim, String group) {
+    private boolean isClaimable(AuthorityRecord.LeaseClaim claim, String group) {
         GroupLease lease = leases.get(group);
         if (lease == null) {
             return claim.previousHolder().isEmpty();
@@ -142,8 +142,9 @@
         return lease.holder().equals(claim.previousHolder()) && lastRenewal(lease.holder()) == claim.previousRenewal();
     }
 
-    private void forgetIdleHolders() {
-        renewals.keySet()
+    private void removeIdleHolders() {
+        lastRenewals
+                .keySet()
                 .removeIf(holder -> leases.values().stream()
                         .noneMatch(lease -> lease.holder().equals(holder)));
     }
--- a/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
+++ b/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
@@ -10,43 +10,44 @@
 import org.dogwoodwinch.target.OrderResult;
 
 /**
- * Sees one open order through: sends it, reads the engine's state, writes its end to the log. Not thread-safe.
+ * Drives one open order to its outcome: sends it, reads the engine's state and appends the outcome to the log. Not
+ * thread-safe.
  *
- * <p>The same driver serves the holder that wrote the intent and a successor that found it open: sending the order again
- * under its id and token can only repeat what the log has decided.
+ * <p>Both the holder that appended the intent and a successor that finds the order open use this class. Sending the
+ * order again is idempotent, because it keeps its id and fencing token.
  */
 final class OrderDriver {
 
     private final StateChart<OrderState, OrderEvent, OrderAction> chart;
     private final OrderPolicy policy;
-    private final RecordIds ids;
+    private final RecordIdGenerator ids;
     private final String engine;
     private final EngineEntry entry;
     private final boolean checksFencing;
     private final long startedMillis;
     private OrderState state;
     private long notBeforeMillis;
-    private long sentMillis;
-    private long askedMillis = Long.MIN_VALUE / 2;
-    private long appendedMillis = Long.MIN_VALUE / 2;
+    private long lastSendMillis;
+    private long lastStateReadMillis = Long.MIN_VALUE / 2;
+    private long lastAppendMillis = Long.MIN_VALUE / 2;
     private boolean applied;
     private String detail = "";
 
     /**
-     * Creates a driver of an order that is read back and open.
+     * Creates a driver of an open order whose intent was read back from the log.
      *
-     * @param chart the chart of orders, not null
-     * @param policy the times, not null
-     * @param ids names the records, not null
+     * @param chart the state chart of orders, not null
+     * @param policy the timings and rules of orders, not null
+     * @param ids creates the ids of new records, not null
      * @param engine the engine, not null
      * @param entry the order, not null
-     * @param checksFencing whether the engine checks tokens
+     * @param checksFencing whether the engine checks fencing tokens
      * @param nowMillis the monotonic time in milliseconds
      */
     OrderDriver(
             StateChart<OrderState, OrderEvent, OrderAction> chart,
             OrderPolicy policy,
-            RecordIds ids,
+            RecordIdGenerator ids,
             String engine,
             EngineEntry entry,
             boolean checksFencing,
@@ -62,35 +63,35 @@
     }
 
     /**
-     * Decides what to do next.
+     * Decides which actions are due.
      *
-     * @param holder this process, not null
-     * @param epoch the epoch of its lease
-     * @param leaseMillis how much of the lease is left
+     * @param holder the name of this process, not null
+     * @param epoch the epoch of the group's lease
+     * @param leaseRemainingMillis the remaining time of the lease, in milliseconds
      * @param nowMillis the monotonic time in milliseconds
      * @return the actions
      */
-    List<AuthorityAction> decide(String holder, long epoch, long leaseMillis, long nowMillis) {
+    List<AuthorityAction> decide(String holder, long epoch, long leaseRemainingMillis, long nowMillis) {
         List<AuthorityAction> actions = new ArrayList<>();
         if (nowMillis - startedMillis >= policy.giveUpMillis()) {
-            fire(OrderEvent.GIVE_UP, nowMillis);
+            applyEvent(OrderEvent.GIVE_UP, nowMillis);
         }
-        if (state == OrderState.SENDING && nowMillis - sentMillis >= policy.orderTimeoutMillis()) {
-            fire(OrderEvent.LOST, nowMillis);
+        if (state == OrderState.SENDING && nowMillis - lastSendMillis >= policy.orderTimeoutMillis()) {
+            applyEvent(OrderEvent.LOST, nowMillis);
         }
         if (nowMillis >= notBeforeMillis
-                && leaseMillis >= policy.orderTimeoutMillis()
-                && fire(OrderEvent.DUE, nowMillis)
+                && leaseRemainingMillis >= policy.orderTimeoutMillis()
+                && applyEvent(OrderEvent.DUE, nowMillis)
                         .filter(OrderAction.SEND_ORDER::equals)
                         .isPresent()) {
-            actions.add(new AuthorityAction.SendOrder(engine, entry.group(), order()));
+            actions.add(new AuthorityAction.SendOrder(engine, entry.group(), newOrder()));
         }
-        if (state == OrderState.CONFIRMING && nowMillis - askedMillis >= policy.statePollMillis()) {
-            askedMillis = nowMillis;
+        if (state == OrderState.CONFIRMING && nowMillis - lastStateReadMillis >= policy.statePollMillis()) {
+            lastStateReadMillis = nowMillis;
             actions.add(new AuthorityAction.ReadState(engine));
         }
-        if (state == OrderState.SETTLING && nowMillis - appendedMillis >= policy.retryMillis()) {
-            appendedMillis = nowMillis;
+        if (state == OrderState.SETTLING && nowMillis - lastAppendMillis >= policy.retryMillis()) {
+            lastAppendMillis = nowMillis;
             actions.add(new AuthorityAction.Append(new AuthorityRecord.OrderSettled(
                     ids.next(), holder, epoch, engine, entry.intent(), applied, detail)));
         }
@@ -98,10 +99,10 @@
     }
 
     /**
-     * Hears what became of a send.
+     * Handles the result of sending an order; the result of another order is ignored.
      *
-     * @param orderId the order that was sent, not null
-     * @param result what the engine said, not null
+     * @param orderId the id of the order that was sent, not null
+     * @param result the engine's answer, or the reason why there is none, not null
      * @param nowMillis the monotonic time in milliseconds
      */
     void onResult(String orderId, OrderResult result, long nowMillis) {
@@ -109,94 +110,95 @@
             return;
         }
         if (result instanceof OrderResult.Accepted accepted) {
-            fire(OrderEvent.ACCEPTED, nowMillis);
+            applyEvent(OrderEvent.ACCEPTED, nowMillis);
             onState(accepted.state(), nowMillis);
         } else if (result instanceof OrderResult.Fenced fenced) {
-            detail = "the engine holds token " + fenced.highestToken();
-            fire(OrderEvent.REFUSED, nowMillis);
+            detail = "the engine has already accepted fencing token " + fenced.highestToken();
+            applyEvent(OrderEvent.REFUSED, nowMillis);
         } else if (result instanceof OrderResult.Refused refused) {
             detail = refused.detail();
-            fire(OrderEvent.REFUSED, nowMillis);
+            applyEvent(OrderEvent.REFUSED, nowMillis);
         } else {
-            fire(OrderEvent.LOST, nowMillis);
+            applyEvent(OrderEvent.LOST, nowMillis);
         }
     }
 
     /**
-     * Hears of the engine's state.
+     * Handles a state read from the engine.
      *
      * @param engineState the state, not null
      * @param nowMillis the monotonic time in milliseconds
      */
     void onState(EngineState engineState, long nowMillis) {
-        if (runsOrder(entry, engineState, checksFencing, policy.tokenRule())) {
+        if (isOrderApplied(entry, engineState, checksFencing, policy.tokenRule())) {
             if (engineState.ready()) {
-                fire(OrderEvent.MATCHES, nowMillis);
+                applyEvent(OrderEvent.MATCHES, nowMillis);
             }
         } else {
-            fire(OrderEvent.DIFFERS, nowMillis);
+            applyEvent(OrderEvent.DIFFERS, nowMillis);
         }
     }
 
     /**
-     * Says whether an engine's state shows an order.
+     * Returns whether an engine's state shows that an order was applied.
      *
-     * <p>An equal configuration alone is not enough on an engine that checks tokens: it may have run the same before,
-     * and without the order's token it would still take an older one.
+     * <p>On an engine that checks fencing tokens, an equal configuration is not sufficient: the engine may have had the
+     * same configuration before the order, and until it has the order's token it accepts orders with older tokens.
      *
      * @param entry the order, not null
      * @param engineState the state, not null
-     * @param checksFencing whether the engine checks tokens
-     * @param tokenRule makes the tokens, not null
-     * @return whether the engine runs what was ordered
+     * @param checksFencing whether the engine checks fencing tokens
+     * @param tokenRule computes the fencing tokens, not null
+     * @return whether the engine runs the ordered configuration
      */
-    static boolean runsOrder(EngineEntry entry, EngineState engineState, boolean checksFencing, TokenRule tokenRule) {
+    static boolean isOrderApplied(
+            EngineEntry entry, EngineState engineState, boolean checksFencing, TokenRule tokenRule) {
         boolean hasToken = !checksFencing || engineState.highestFencingToken() >= tokenRule.tokenOf(entry.intent());
         return hasToken && engineState.configuration().equals(entry.configuration());
     }
 
     /**
-     * Returns the intent that is driven.
+     * Returns the offset of the order's intent.
      *
-     * @return its offset
+     * @return the offset
      */
     long intent() {
         return entry.intent();
     }
 
     /**
-     * Says whether the order is out and unanswered, or still to be sent.
+     * Returns whether the order was sent, or is about to be sent, and has not been answered.
      *
-     * @return true while a send is under way
+     * @return true while an answer is pending
      */
     boolean isSending() {
         return state == OrderState.SENDING;
     }
 
-    private EngineOrder order() {
+    private EngineOrder newOrder() {
         return new EngineOrder(entry.orderId(), policy.tokenRule().tokenOf(entry.intent()), entry.configuration());
     }
 
-    private Optional<OrderAction> fire(OrderEvent event, long nowMillis) {
+    private Optional<OrderAction> applyEvent(OrderEvent event, long nowMillis) {
         Optional<ChartStep<OrderState, OrderAction>> step = chart.next(state, event);
         if (step.isEmpty()) {
             return Optional.empty();
         }
         state = step.get().to();
         Optional<OrderAction> action = step.get().action();
-        action.ifPresent(each -> run(each, nowMillis));
+        action.ifPresent(orderAction -> perform(orderAction, nowMillis));
         return action;
     }
 
-    private void run(OrderAction action, long nowMillis) {
+    private void perform(OrderAction action, long nowMillis) {
         switch (action) {
-            case SEND_ORDER -> sentMillis = nowMillis;
+            case SEND_ORDER -> lastSendMillis = nowMillis;
             case BACK_OFF -> notBeforeMillis = nowMillis + policy.retryMillis();
             case KEEP_SUCCESS -> {
                 applied = true;
                 detail = "";
             }
-            case KEEP_FAILURE -> detail = detail.isEmpty() ? "the engine did not run it in time" : detail;
+            case KEEP_FAILURE -> detail = detail.isEmpty() ? "the engine did not confirm the order in time" : detail;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueChange.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueChange.java
@@ -8,17 +8,17 @@
 import java.util.function.Function;
 
 /**
- * The difference between two catalogues: what to put in place and what to drop, by name.
+ * The difference between two catalogues: the items to add or replace and the names of the items to remove.
  *
- * <p>An edit travels as a difference, because at the target size a whole catalogue is hundreds of kilobytes and each
+ * <p>An edit is stored as a difference, because at the target size a whole catalogue has hundreds of kilobytes and each
  * instance would read 2,400 of them a day.
  *
  * @param putOwners owners that are new or changed, not null
- * @param dropOwners names of owners that go, not null
+ * @param dropOwners names of owners to remove, not null
  * @param putGroups target groups that are new or changed, not null
- * @param dropGroups names of groups that go, not null
+ * @param dropGroups names of target groups to remove, not null
  * @param putEntries entries that are new or changed, not null
- * @param dropEntries names of entries that go, not null
+ * @param dropEntries names of entries to remove, not null
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
 public record CatalogueChange(
@@ -29,7 +29,7 @@
         List<CatalogueEntry> putEntries,
         List<String> dropEntries) {
 
-    /** Copies the lists; one that is missing is empty. */
+    /** Copies the lists; a missing list becomes empty. */
     public CatalogueChange {
         putOwners = copy(putOwners);
         dropOwners = copy(dropOwners);
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Finds what turns one catalogue into another; revisions are not compared.
+     * Computes the difference between two catalogues, without their revisions.
      *
      * @param base the catalogue before, not null
      * @param wanted the catalogue after, not null
@@ -48,33 +48,33 @@
      */
     public static CatalogueChange between(Catalogue base, Catalogue wanted) {
         return new CatalogueChange(
-                put(base.owners(), wanted.owners()),
-                dropped(base.owners(), wanted.owners()),
-                put(base.groups(), wanted.groups()),
-                dropped(base.groups(), wanted.groups()),
-                put(base.entries(), wanted.entries()),
-                dropped(base.entries(), wanted.entries()));
+                changedItems(base.owners(), wanted.owners()),
+                removedNames(base.owners(), wanted.owners()),
+                changedItems(base.groups(), wanted.groups()),
+                removedNames(base.groups(), wanted.groups()),
+                changedItems(base.entries(), wanted.entries()),
+                removedNames(base.entries(), wanted.entries()));
     }
 
     /**
-     * Makes the catalogue after this change.
+     * Returns the catalogue with this change applied.
      *
-     * @param base the catalogue that the change was made from, not null
+     * @param base the catalogue on which the change is based, not null
      * @param revision the new catalogue's revision
      * @return the new catalogue
      */
     public Catalogue applyTo(Catalogue base, long revision) {
         return new Catalogue(
                 revision,
-                merged(base.owners(), putOwners, dropOwners, Owner::name),
-                merged(base.groups(), putGroups, dropGroups, TargetGroup::name),
-                merged(base.entries(), putEntries, dropEntries, CatalogueEntry::name));
+                merge(base.owners(), putOwners, dropOwners, Owner::name),
+                merge(base.groups(), putGroups, dropGroups, TargetGroup::name),
+                merge(base.entries(), putEntries, dropEntries, CatalogueEntry::name));
     }
 
     /**
-     * Says whether there is no difference.
+     * Returns whether the change is empty.
      *
-     * @return true where nothing is put and nothing dropped
+     * @return true if no item is added, replaced or removed
      */
     public boolean changesNothing() {
         return putOwners.isEmpty()
@@ -89,18 +89,18 @@
         return list == null ? List.of() : List.copyOf(list);
     }
 
-    private static <T> List<T> put(Map<String, T> base, Map<String, T> wanted) {
+    private static <T> List<T> changedItems(Map<String, T> base, Map<String, T> wanted) {
         return wanted.entrySet().stream()
                 .filter(entry -> !entry.getValue().equals(base.get(entry.getKey())))
                 .map(Map.Entry::getValue)
                 .toList();
     }
 
-    private static <T> List<String> dropped(Map<String, T> base, Map<String, T> wanted) {
+    private static <T> List<String> removedNames(Map<String, T> base, Map<String, T> wanted) {
         return base.keySet().stream().filter(name -> !wanted.containsKey(name)).toList();
     }
 
-    private static <T> SortedMap<String, T> merged(
+    private static <T> SortedMap<String, T> merge(
             Map<String, T> base, List<T> put, List<String> drop, Function<T, String> nameOf) {
         TreeMap<String, T> result = new TreeMap<>(base);
         drop.forEach(result::remove);
