--- a/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
+++ b/src/main/java/org/dogwoodwinch/admission/OwnerLimits.java
@@ -28,7 +28,7 @@
         this.catalogue = Objects.requireNonNull(catalogue, "catalogue");
         this.limitShares = Objects.requireNonNull(limitShares, "limitShares");
         this.time = Objects.requireNonNull(time, "time");
-        catalogue.onChange(this::applyCatalogue);
+        catalogue.addListener(this::applyCatalogue);
         catalogue.current().ifPresent(this::applyCatalogue);
     }
 
--- a/src/main/java/org/dogwoodwinch/authority/AuthorityAction.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityAction.java
@@ -11,16 +11,16 @@
      *
      * @param record the record, not null
      */
-    record Append(AuthorityRecord record) implements AuthorityAction {
+    record AppendRecord(AuthorityRecord record) implements AuthorityAction {
 
         /** Validates the components. */
-        public Append {
+        public AppendRecord {
             Objects.requireNonNull(record, "record");
         }
     }
 
     /**
-     * Send an order. {@link AuthorityAgent#maySend} must be called again immediately before the bytes are written.
+     * Send an order. {@link AuthorityAgent#isSendAllowed} must be called again immediately before the bytes are written.
      *
      * @param engine the engine, not null
      * @param group the engine's group, not null
@@ -41,14 +41,14 @@
      *
      * @param engine the engine, not null
      */
-    record ReadState(String engine) implements AuthorityAction {
+    record ReadEngineState(String engine) implements AuthorityAction {
 
         /** Validates the components. */
-        public ReadState {
+        public ReadEngineState {
             Objects.requireNonNull(engine, "engine");
         }
     }
 
     /** Read from the weight store how many weight loads a minute it allows. */
-    record ReadWeightRate() implements AuthorityAction {}
+    record ReadWeightLoadRate() implements AuthorityAction {}
 }
--- a/src/main/java/org/dogwoodwinch/authority/AuthorityAgent.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityAgent.java
@@ -25,7 +25,7 @@
     private final String holder;
     private final OrderPolicy policy;
     private final RecordIdGenerator ids;
-    private final FleetView fleet;
+    private final FleetInventory fleet;
     private final Predicate<String> checksFencing;
     private final LeaseManager leaseManager;
     private final EngineStateCache engineStates = new EngineStateCache();
@@ -56,7 +56,7 @@
             LeasePolicy leasePolicy,
             OrderPolicy policy,
             RecordIdGenerator ids,
-            FleetView fleet,
+            FleetInventory fleet,
             TargetActivity activity,
             Predicate<String> checksFencing) {
         this.holder = Objects.requireNonNull(holder, "holder");
@@ -75,7 +75,7 @@
      * @param offset the record's offset
      * @param record the record, not null
      */
-    public void onFolded(AuthorityFold authority, long offset, AuthorityRecord record) {
+    public void onRecordApplied(AuthorityState authority, long offset, AuthorityRecord record) {
         leaseManager.onReadBack(authority.leases(), offset, record.id());
     }
 
@@ -87,12 +87,12 @@
      * @param nowMillis the monotonic time in milliseconds
      * @return the actions, to be carried out without delay and in order
      */
-    public List<AuthorityAction> decide(AuthorityFold authority, boolean logUnavailable, long nowMillis) {
+    public List<AuthorityAction> decide(AuthorityState authority, boolean logUnavailable, long nowMillis) {
         SortedMap<String, List<Target>> engines = groupEngines();
         List<AuthorityAction> actions = new ArrayList<>();
         leaseManager
                 .decide(authority.leases(), engines.keySet(), fleet::claimRank, logUnavailable, nowMillis)
-                .forEach(record -> actions.add(new AuthorityAction.Append(record)));
+                .forEach(record -> actions.add(new AuthorityAction.AppendRecord(record)));
         loadLimiter.recordEndedLoads(authority.engines(), nowMillis);
         planExecutor.removeFinished(authority);
         removeObsoleteDrivers(authority, nowMillis);
@@ -111,7 +111,7 @@
      * @param nowMillis the monotonic time in milliseconds
      * @return whether the order is still open and the remaining lease covers the order's timeout
      */
-    public boolean maySend(AuthorityFold authority, AuthorityAction.SendOrder send, long nowMillis) {
+    public boolean isSendAllowed(AuthorityState authority, AuthorityAction.SendOrder send, long nowMillis) {
         boolean open = authority
                 .engines()
                 .engine(send.engine())
@@ -159,7 +159,7 @@
      * @param allowedPerMinute the allowed weight loads a minute; zero or less if the store did not answer
      * @param nowMillis the monotonic time in milliseconds
      */
-    public void onWeightRate(int allowedPerMinute, long nowMillis) {
+    public void onWeightLoadRate(int allowedPerMinute, long nowMillis) {
         loadLimiter.updateRate(allowedPerMinute, nowMillis);
     }
 
@@ -169,7 +169,7 @@
      * @param authority the state derived from the log records read so far, not null
      * @return the record to append; empty if no group is held, or if an order was sent and not answered yet
      */
-    public Optional<AuthorityRecord> release(AuthorityFold authority) {
+    public Optional<AuthorityRecord> releaseAll(AuthorityState authority) {
         boolean sending = drivers.values().stream().anyMatch(OrderDriver::isSending);
         drivers.clear();
         return sending ? Optional.empty() : leaseManager.release(authority.leases());
@@ -182,13 +182,13 @@
      * @param nowMillis the monotonic time in milliseconds
      * @return the groups, in order of name
      */
-    public List<String> liveGroups(AuthorityFold authority, long nowMillis) {
+    public List<String> heldGroups(AuthorityState authority, long nowMillis) {
         return authority.leases().leases().keySet().stream()
                 .filter(group -> leaseManager.remainingMillis(authority.leases(), group, nowMillis) > 0)
                 .toList();
     }
 
-    private void decideGroup(AuthorityFold authority, HeldGroup held, long nowMillis, List<AuthorityAction> actions) {
+    private void decideGroup(AuthorityState authority, HeldGroup held, long nowMillis, List<AuthorityAction> actions) {
         boolean anyOpen = false;
         for (Map.Entry<String, EngineEntry> entry :
                 authority.engines().engines().entrySet()) {
@@ -211,7 +211,7 @@
     }
 
     private void reassert(
-            AuthorityFold authority,
+            AuthorityState authority,
             HeldGroup held,
             String engine,
             EngineEntry entry,
@@ -220,29 +220,30 @@
         if (entry.state() != EngineEntry.State.APPLIED || !held.hasEngine(engine)) {
             return;
         }
-        Optional<EngineState> reported = engineStates.get(engine, policy.reassertMillis(), nowMillis);
+        Optional<EngineState> reported = engineStates.get(engine, policy.reassertIntervalMillis(), nowMillis);
         boolean differs = reported.isPresent()
                 && reported.get().ready()
-                && !OrderDriver.isOrderApplied(entry, reported.get(), checksFencing(held.group()), policy.tokenRule());
+                && !OrderDriver.isOrderApplied(
+                        entry, reported.get(), checksFencing(held.group()), policy.fencingTokenRule());
         boolean loadsWeights =
                 differs && PlanExecutor.loadsWeights(reported.get().configuration(), entry.configuration());
         if (differs
-                && held.heldForMillis() >= policy.successorWaitMillis()
+                && held.heldForMillis() >= policy.newHolderWaitMillis()
                 && (!loadsWeights || loadLimiter.isLoadAllowed(authority.engines(), nowMillis))) {
             engineStates.invalidate(engine);
             actions.add(planExecutor.newIntent(authority, held, engine, "", entry.configuration(), loadsWeights));
-        } else if (engineStates.tryStartRead(engine, policy.reassertMillis(), nowMillis)) {
-            actions.add(new AuthorityAction.ReadState(engine));
+        } else if (engineStates.tryStartRead(engine, policy.reassertIntervalMillis(), nowMillis)) {
+            actions.add(new AuthorityAction.ReadEngineState(engine));
         }
     }
 
-    private void readWeightRateIfNeeded(AuthorityFold authority, long nowMillis, List<AuthorityAction> actions) {
+    private void readWeightRateIfNeeded(AuthorityState authority, long nowMillis, List<AuthorityAction> actions) {
         boolean anyActivePlan = authority.plans().plans().stream().anyMatch(PlanRecord::isActive);
         if (anyActivePlan
                 && loadLimiter.isRateStale(nowMillis)
-                && nowMillis - lastRateReadMillis >= policy.retryMillis()) {
+                && nowMillis - lastRateReadMillis >= policy.retryDelayMillis()) {
             lastRateReadMillis = nowMillis;
-            actions.add(new AuthorityAction.ReadWeightRate());
+            actions.add(new AuthorityAction.ReadWeightLoadRate());
         }
     }
 
@@ -253,7 +254,7 @@
                         ORDER_CHART, policy, ids, engine, entry, checksFencing(entry.group()), nowMillis));
     }
 
-    private void removeObsoleteDrivers(AuthorityFold authority, long nowMillis) {
+    private void removeObsoleteDrivers(AuthorityState authority, long nowMillis) {
         drivers.entrySet().removeIf(driverEntry -> {
             Optional<EngineEntry> entry = authority.engines().engine(driverEntry.getKey());
             return entry.isEmpty()
@@ -266,7 +267,7 @@
     }
 
     private Optional<HeldGroup> findHeldGroup(
-            AuthorityFold authority, String group, List<Target> engines, long nowMillis) {
+            AuthorityState authority, String group, List<Target> engines, long nowMillis) {
         long leaseRemainingMillis = leaseManager.remainingMillis(authority.leases(), group, nowMillis);
         Optional<GroupLease> lease = authority.leases().lease(group);
         if (leaseRemainingMillis <= 0 || lease.isEmpty()) {
@@ -290,7 +291,7 @@
         List<Target> engines = fleet.engines();
         if (!engines.equals(groupedEngines)) {
             SortedMap<String, List<Target>> byGroup = new TreeMap<>();
-            engines.forEach(engine -> byGroup.computeIfAbsent(EngineGroups.keyOf(engine), _key -> new ArrayList<>())
+            engines.forEach(engine -> byGroup.computeIfAbsent(EngineGroups.groupKey(engine), _key -> new ArrayList<>())
                     .add(engine));
             groupedEngines = List.copyOf(engines);
             enginesByGroup = byGroup;
--- a/src/main/java/org/dogwoodwinch/authority/AuthoritySnapshot.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthoritySnapshot.java
@@ -24,7 +24,7 @@
         SortedMap<String, EngineEntry> engines,
         long loadCount,
         List<PlanRecord> plans,
-        Map<String, StandingMark> standing,
+        Map<String, OutOfServiceReason> standing,
         long forgottenThrough) {
 
     /** The state before the first record. */
--- a/src/main/java/org/dogwoodwinch/authority/AuthorityFold.java
+++ b/src/main/java/org/dogwoodwinch/authority/AuthorityState.java
@@ -10,7 +10,7 @@
  * <p>A holder's record takes effect only if, at its offset, the holder has the group's lease in the epoch that the
  * record names. All records that a paused holder appends after a successor's claim are therefore rejected.
  */
-public final class AuthorityFold {
+public final class AuthorityState {
 
     private static final Optional<String> NOT_HELD = Optional.of("the group's lease is not held in the record's epoch");
 
@@ -23,7 +23,7 @@
      *
      * @param snapshot the snapshot, not null
      */
-    public AuthorityFold(AuthoritySnapshot snapshot) {
+    public AuthorityState(AuthoritySnapshot snapshot) {
         this.leases = new LeaseTable(snapshot.leases(), snapshot.renewals());
         this.engines = new EngineTable(snapshot.engines(), snapshot.loadCount());
         this.plans = new PlanTable(snapshot.plans(), snapshot.standing(), snapshot.forgottenThrough());
@@ -101,7 +101,7 @@
                 engines.engines(),
                 engines.loadCount(),
                 List.copyOf(plans.plans()),
-                plans.standing(),
+                plans.outOfServiceReasons(),
                 plans.forgottenThrough());
     }
 
--- a/src/main/java/org/dogwoodwinch/authority/ClaimOrder.java
+++ b/src/main/java/org/dogwoodwinch/authority/ClaimPriority.java
@@ -13,9 +13,9 @@
  * holder, be it one group or fifty. Distributing groups individually would make nearly every instance a holder, and
  * each holder appends renewals.
  */
-public final class ClaimOrder {
+public final class ClaimPriority {
 
-    private ClaimOrder() {}
+    private ClaimPriority() {}
 
     /**
      * An instance that may claim groups.
@@ -23,10 +23,10 @@
      * @param name the instance's name, not null
      * @param dataCentre the instance's data centre, not null
      */
-    public record Member(String name, String dataCentre) {
+    public record Candidate(String name, String dataCentre) {
 
         /** Validates the components. */
-        public Member {
+        public Candidate {
             Objects.requireNonNull(name, "name");
             Objects.requireNonNull(dataCentre, "dataCentre");
         }
@@ -35,19 +35,19 @@
     /**
      * Returns the rank of an instance for a group.
      *
-     * @param group the group, as {@link EngineGroups#keyOf} returns it, not null
+     * @param group the group, as {@link EngineGroups#groupKey} returns it, not null
      * @param self the instance to rank, not null
      * @param candidates all live instances; the instance itself may be among them, not null
      * @return the number of other instances that come before it
      */
-    public static int rank(String group, Member self, Collection<Member> candidates) {
+    public static int rank(String group, Candidate self, Collection<Candidate> candidates) {
         String dataCentre = group.substring(group.lastIndexOf('@') + 1);
         return (int) candidates.stream()
                 .filter(other -> !other.name().equals(self.name()) && isBefore(other, self, dataCentre))
                 .count();
     }
 
-    private static boolean isBefore(Member other, Member self, String dataCentre) {
+    private static boolean isBefore(Candidate other, Candidate self, String dataCentre) {
         boolean otherIsLocal = other.dataCentre().equals(dataCentre);
         boolean selfIsLocal = self.dataCentre().equals(dataCentre);
         if (otherIsLocal != selfIsLocal) {
--- a/src/main/java/org/dogwoodwinch/authority/EngineGroups.java
+++ b/src/main/java/org/dogwoodwinch/authority/EngineGroups.java
@@ -13,7 +13,7 @@
      * @param engine the engine, not null
      * @return {@code group@dataCentre}
      */
-    public static String keyOf(Target engine) {
+    public static String groupKey(Target engine) {
         return engine.group() + "@" + engine.dataCentre();
     }
 }
--- a/src/main/java/org/dogwoodwinch/authority/FleetView.java
+++ b/src/main/java/org/dogwoodwinch/authority/FleetInventory.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.target.Target;
 
 /** The engines and instances of the fleet according to the platform's instance list, which may be out of date. */
-public interface FleetView {
+public interface FleetInventory {
 
     /**
      * Returns all listed engines.
--- a/src/main/java/org/dogwoodwinch/authority/LeaseManager.java
+++ b/src/main/java/org/dogwoodwinch/authority/LeaseManager.java
@@ -180,7 +180,7 @@
         }
         long requiredWaitMillis = tracked.holder.isEmpty() ? 0 : policy.claimantWaitMillis();
         long waitedMillis = nowMillis - tracked.waitStartMillis - requiredWaitMillis;
-        return waitedMillis >= 0 && waitedMillis >= claimRank.applyAsInt(group) * policy.staggerMillis();
+        return waitedMillis >= 0 && waitedMillis >= claimRank.applyAsInt(group) * policy.claimStaggerMillis();
     }
 
     private void applyEvent(TrackedGroup tracked, LeaseEvent event, long nowMillis) {
--- a/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
+++ b/src/main/java/org/dogwoodwinch/authority/OrderDriver.java
@@ -73,7 +73,7 @@
      */
     List<AuthorityAction> decide(String holder, long epoch, long leaseRemainingMillis, long nowMillis) {
         List<AuthorityAction> actions = new ArrayList<>();
-        if (nowMillis - startedMillis >= policy.giveUpMillis()) {
+        if (nowMillis - startedMillis >= policy.expiryMillis()) {
             applyEvent(OrderEvent.GIVE_UP, nowMillis);
         }
         if (state == OrderState.SENDING && nowMillis - lastSendMillis >= policy.orderTimeoutMillis()) {
@@ -86,13 +86,13 @@
                         .isPresent()) {
             actions.add(new AuthorityAction.SendOrder(engine, entry.group(), newOrder()));
         }
-        if (state == OrderState.CONFIRMING && nowMillis - lastStateReadMillis >= policy.statePollMillis()) {
+        if (state == OrderState.CONFIRMING && nowMillis - lastStateReadMillis >= policy.statePollIntervalMillis()) {
             lastStateReadMillis = nowMillis;
-            actions.add(new AuthorityAction.ReadState(engine));
+            actions.add(new AuthorityAction.ReadEngineState(engine));
         }
-        if (state == OrderState.SETTLING && nowMillis - lastAppendMillis >= policy.retryMillis()) {
+        if (state == OrderState.SETTLING && nowMillis - lastAppendMillis >= policy.retryDelayMillis()) {
             lastAppendMillis = nowMillis;
-            actions.add(new AuthorityAction.Append(new AuthorityRecord.OrderSettled(
+            actions.add(new AuthorityAction.AppendRecord(new AuthorityRecord.OrderSettled(
                     ids.next(), holder, epoch, engine, entry.intent(), applied, detail)));
         }
         return actions;
@@ -130,7 +130,7 @@
      * @param nowMillis the monotonic time in milliseconds
      */
     void onState(EngineState engineState, long nowMillis) {
-        if (isOrderApplied(entry, engineState, checksFencing, policy.tokenRule())) {
+        if (isOrderApplied(entry, engineState, checksFencing, policy.fencingTokenRule())) {
             if (engineState.ready()) {
                 applyEvent(OrderEvent.MATCHES, nowMillis);
             }
@@ -152,8 +152,9 @@
      * @return whether the engine runs the ordered configuration
      */
     static boolean isOrderApplied(
-            EngineEntry entry, EngineState engineState, boolean checksFencing, TokenRule tokenRule) {
-        boolean hasToken = !checksFencing || engineState.highestFencingToken() >= tokenRule.tokenOf(entry.intent());
+            EngineEntry entry, EngineState engineState, boolean checksFencing, FencingTokenRule tokenRule) {
+        boolean hasToken =
+                !checksFencing || engineState.highestFencingToken() >= tokenRule.fencingToken(entry.intent());
         return hasToken && engineState.configuration().equals(entry.configuration());
     }
 
@@ -176,7 +177,8 @@
     }
 
     private EngineOrder newOrder() {
-        return new EngineOrder(entry.orderId(), policy.tokenRule().tokenOf(entry.intent()), entry.configuration());
+        return new EngineOrder(
+                entry.orderId(), policy.fencingTokenRule().fencingToken(entry.intent()), entry.configuration());
     }
 
     private Optional<OrderAction> applyEvent(OrderEvent event, long nowMillis) {
@@ -193,7 +195,7 @@
     private void perform(OrderAction action, long nowMillis) {
         switch (action) {
             case SEND_ORDER -> lastSendMillis = nowMillis;
-            case BACK_OFF -> notBeforeMillis = nowMillis + policy.retryMillis();
+            case BACK_OFF -> notBeforeMillis = nowMillis + policy.retryDelayMillis();
             case KEEP_SUCCESS -> {
                 applied = true;
                 detail = "";
--- a/src/main/java/org/dogwoodwinch/authority/OrderPolicy.java
+++ b/src/main/java/org/dogwoodwinch/authority/OrderPolicy.java
@@ -7,36 +7,36 @@
  *
  * @param orderTimeoutMillis the timeout of an engine's answer to an order; an order is sent only if the lease lasts at
  *     least as long, in milliseconds
- * @param successorWaitMillis how long a new holder waits before it sends an order that differs from its predecessor's,
+ * @param newHolderWaitMillis how long a new holder waits before it sends an order that differs from its predecessor's,
  *     so that orders still in transit to an engine that does not check fencing tokens arrive first, in milliseconds
- * @param statePollMillis the interval at which an engine's state is read while an order is confirmed, in milliseconds
- * @param reassertMillis the interval at which the state of an engine without an open order is read, to detect that a
+ * @param statePollIntervalMillis the interval at which an engine's state is read while an order is confirmed, in milliseconds
+ * @param reassertIntervalMillis the interval at which the state of an engine without an open order is read, to detect that a
  *     delayed order has overwritten the last one, in milliseconds
- * @param retryMillis the delay before an order or a record is sent again, in milliseconds
- * @param giveUpMillis the time after which an incomplete order fails, in milliseconds
- * @param drainSettleMillis the least duration of a drain, which lets all other instances read that the target is
+ * @param retryDelayMillis the delay before an order or a record is sent again, in milliseconds
+ * @param expiryMillis the time after which an incomplete order fails, in milliseconds
+ * @param minDrainMillis the least duration of a drain, which lets all other instances read that the target is
  *     drained, in milliseconds
- * @param drainMostMillis how long requests that are not urgent may delay a planned change, in milliseconds; urgent
+ * @param maxNonUrgentDrainMillis how long requests that are not urgent may delay a planned change, in milliseconds; urgent
  *     requests delay it without limit
- * @param tokenRule computes the fencing tokens, not null
+ * @param fencingTokenRule computes the fencing tokens, not null
  */
 public record OrderPolicy(
         long orderTimeoutMillis,
-        long successorWaitMillis,
-        long statePollMillis,
-        long reassertMillis,
-        long retryMillis,
-        long giveUpMillis,
-        long drainSettleMillis,
-        long drainMostMillis,
-        TokenRule tokenRule) {
+        long newHolderWaitMillis,
+        long statePollIntervalMillis,
+        long reassertIntervalMillis,
+        long retryDelayMillis,
+        long expiryMillis,
+        long minDrainMillis,
+        long maxNonUrgentDrainMillis,
+        FencingTokenRule fencingTokenRule) {
 
     /** The default timings and rules. */
-    public static final OrderPolicy STANDARD =
-            new OrderPolicy(2_000, 2_000, 500, 5_000, 1_000, 120_000, 3_000, 60_000, TokenRule.INTENT_OFFSET);
+    public static final OrderPolicy DEFAULT =
+            new OrderPolicy(2_000, 2_000, 500, 5_000, 1_000, 120_000, 3_000, 60_000, FencingTokenRule.INTENT_OFFSET);
 
     /** Validates the components. */
     public OrderPolicy {
-        Objects.requireNonNull(tokenRule, "tokenRule");
+        Objects.requireNonNull(fencingTokenRule, "fencingTokenRule");
     }
 }
--- a/src/main/java/org/dogwoodwinch/authority/PlanExecutor.java
+++ b/src/main/java/org/dogwoodwinch/authority/PlanExecutor.java
@@ -56,7 +56,7 @@
      * @param nowMillis the monotonic time in milliseconds
      * @return the actions
      */
-    List<AuthorityAction> decide(AuthorityFold authority, HeldGroup held, long nowMillis) {
+    List<AuthorityAction> decide(AuthorityState authority, HeldGroup held, long nowMillis) {
         List<PlanRecord> plans = authority.plans().plans().stream()
                 .filter(plan -> plan.isActive() && plan.change().group().equals(held.group()))
                 .toList();
@@ -77,7 +77,7 @@
      *
      * @param authority the state derived from the log records read so far, not null
      */
-    void removeFinished(AuthorityFold authority) {
+    void removeFinished(AuthorityState authority) {
         firstSeenMillis.keySet().removeIf(key -> !isPlanActive(authority, key));
         lastAppendMillis.keySet().removeIf(key -> !isPlanActive(authority, key));
         unansweredStateReads.keySet().removeIf(key -> !isPlanActive(authority, key));
@@ -95,7 +95,7 @@
      * @return the action
      */
     AuthorityAction newIntent(
-            AuthorityFold authority,
+            AuthorityState authority,
             HeldGroup held,
             String engine,
             String planId,
@@ -103,7 +103,7 @@
             boolean loadsWeights) {
         long previous =
                 authority.engines().engine(engine).map(EngineEntry::intent).orElse(EngineTable.NO_INTENT);
-        return new AuthorityAction.Append(new AuthorityRecord.OrderIntent(
+        return new AuthorityAction.AppendRecord(new AuthorityRecord.OrderIntent(
                 ids.next(),
                 held.holder(),
                 held.group(),
@@ -131,13 +131,13 @@
     private void start(HeldGroup held, PlanRecord plan, long nowMillis, List<AuthorityAction> actions) {
         if (held.hasEngine(plan.change().orderedEngine())) {
             appendTransition(held, plan, PlanEvent.START, "", nowMillis, actions);
-        } else if (ageMillis(plan, nowMillis) >= policy.giveUpMillis()) {
+        } else if (ageMillis(plan, nowMillis) >= policy.expiryMillis()) {
             appendTransition(held, plan, PlanEvent.FAIL, "the engine is not in the instance list", nowMillis, actions);
         }
     }
 
     private void advance(
-            AuthorityFold authority, HeldGroup held, PlanRecord plan, long nowMillis, List<AuthorityAction> actions) {
+            AuthorityState authority, HeldGroup held, PlanRecord plan, long nowMillis, List<AuthorityAction> actions) {
         if (plan.state() == PlanState.RETIRING) {
             if (isDrained(plan, plan.change().engine(), nowMillis)) {
                 appendTransition(held, plan, PlanEvent.FINISH, "", nowMillis, actions);
@@ -155,17 +155,17 @@
     /** Waits for urgent requests without a time limit, because an aborted booking is worse than a delayed change. */
     private boolean isDrained(PlanRecord plan, String target, long nowMillis) {
         long ageMillis = ageMillis(plan, nowMillis);
-        if (ageMillis < policy.drainSettleMillis()) {
+        if (ageMillis < policy.minDrainMillis()) {
             return false;
         }
-        TargetActivity.InFlight inFlight = activity.of(target);
-        return inFlight.known()
-                && inFlight.urgent() == 0
-                && (inFlight.all() == 0 || ageMillis >= policy.drainMostMillis());
+        TargetActivity.RequestsInFlight inFlight = activity.requestsInFlight(target);
+        return inFlight.complete()
+                && inFlight.urgentCount() == 0
+                && (inFlight.totalCount() == 0 || ageMillis >= policy.maxNonUrgentDrainMillis());
     }
 
     private void orderChange(
-            AuthorityFold authority, HeldGroup held, PlanRecord plan, long nowMillis, List<AuthorityAction> actions) {
+            AuthorityState authority, HeldGroup held, PlanRecord plan, long nowMillis, List<AuthorityAction> actions) {
         PlannedChange change = plan.change();
         String engine = change.orderedEngine();
         Optional<EngineConfiguration> current = findConfiguration(authority, plan, engine, nowMillis, actions);
@@ -174,7 +174,7 @@
             // Counts read requests instead of time: no state is read while the log is unavailable, and that time must
             // not make the plan fail.
             if (unansweredStateReads.getOrDefault(stepKey(plan), 0)
-                    >= policy.giveUpMillis() / policy.statePollMillis()) {
+                    >= policy.expiryMillis() / policy.statePollIntervalMillis()) {
                 appendTransition(
                         held, plan, PlanEvent.FAIL, "the engine's state could not be read", nowMillis, actions);
             }
@@ -182,7 +182,7 @@
         }
         EngineConfiguration wanted = change.applyTo(base.get());
         boolean needsLoad = loadsWeights(current.get(), wanted);
-        boolean mustWait = held.heldForMillis() < policy.successorWaitMillis()
+        boolean mustWait = held.heldForMillis() < policy.newHolderWaitMillis()
                 || (needsLoad
                         && (!loadLimiter.isLoadAllowed(authority.engines(), nowMillis)
                                 || !isLoadTurn(authority, plan, nowMillis)));
@@ -198,7 +198,7 @@
      * requested first therefore appends at once, and each other plan waits one retry delay for each plan ahead of it,
      * in case that plan is delayed.
      */
-    private boolean isLoadTurn(AuthorityFold authority, PlanRecord plan, long nowMillis) {
+    private boolean isLoadTurn(AuthorityState authority, PlanRecord plan, long nowMillis) {
         long plansAhead = authority.plans().plans().stream()
                 .filter(other -> other.state() == PlanState.DRAINING
                         && other.change().needsOrder()
@@ -207,11 +207,11 @@
                 .count();
         String key = plan.id() + "/load-" + authority.engines().loadCount();
         long sinceMillis = firstSeenMillis.computeIfAbsent(key, _key -> nowMillis);
-        return nowMillis - sinceMillis >= plansAhead * policy.retryMillis();
+        return nowMillis - sinceMillis >= plansAhead * policy.retryDelayMillis();
     }
 
     private Optional<EngineConfiguration> findConfiguration(
-            AuthorityFold authority, PlanRecord plan, String engine, long nowMillis, List<AuthorityAction> actions) {
+            AuthorityState authority, PlanRecord plan, String engine, long nowMillis, List<AuthorityAction> actions) {
         Optional<EngineConfiguration> ordered = authority
                 .engines()
                 .engine(engine)
@@ -220,11 +220,12 @@
         if (ordered.isPresent()) {
             return ordered;
         }
-        Optional<EngineConfiguration> reported =
-                engineStates.get(engine, policy.reassertMillis(), nowMillis).map(EngineState::configuration);
-        if (reported.isEmpty() && engineStates.tryStartRead(engine, policy.statePollMillis(), nowMillis)) {
+        Optional<EngineConfiguration> reported = engineStates
+                .get(engine, policy.reassertIntervalMillis(), nowMillis)
+                .map(EngineState::configuration);
+        if (reported.isEmpty() && engineStates.tryStartRead(engine, policy.statePollIntervalMillis(), nowMillis)) {
             unansweredStateReads.merge(stepKey(plan), 1, Integer::sum);
-            actions.add(new AuthorityAction.ReadState(engine));
+            actions.add(new AuthorityAction.ReadEngineState(engine));
         }
         return reported;
     }
@@ -237,7 +238,7 @@
             long nowMillis,
             List<AuthorityAction> actions) {
         if (tryStartAppend(plan, nowMillis)) {
-            actions.add(new AuthorityAction.Append(
+            actions.add(new AuthorityAction.AppendRecord(
                     new AuthorityRecord.PlanMoved(ids.next(), held.holder(), held.epoch(), plan.id(), event, detail)));
         }
     }
@@ -248,7 +249,7 @@
      */
     private boolean tryStartAppend(PlanRecord plan, long nowMillis) {
         String key = stepKey(plan);
-        if (nowMillis - lastAppendMillis.getOrDefault(key, Long.MIN_VALUE / 2) < policy.retryMillis()) {
+        if (nowMillis - lastAppendMillis.getOrDefault(key, Long.MIN_VALUE / 2) < policy.retryDelayMillis()) {
             return false;
         }
         lastAppendMillis.put(key, nowMillis);
@@ -263,7 +264,7 @@
         return plan.id() + "/" + plan.state();
     }
 
-    private static boolean isPlanActive(AuthorityFold authority, String key) {
+    private static boolean isPlanActive(AuthorityState authority, String key) {
         String planId = key.substring(0, key.lastIndexOf('/'));
         return authority.plans().plan(planId).filter(PlanRecord::isActive).isPresent();
     }
--- a/src/main/java/org/dogwoodwinch/authority/PlanTable.java
+++ b/src/main/java/org/dogwoodwinch/authority/PlanTable.java
@@ -32,7 +32,7 @@
     private static final StateChart<PlanState, PlanEvent, PlanAction> CHART =
             new ChartReader<>(PlanState.class, PlanEvent.class, PlanAction.class).readResource("planned-change.json");
     private final Map<String, PlanRecord> plans = new LinkedHashMap<>();
-    private final Map<String, StandingMark> standing;
+    private final Map<String, OutOfServiceReason> outOfServiceReasons;
     private long forgottenThrough;
 
     /**
@@ -42,9 +42,9 @@
      * @param standing the reasons why targets are out of service, by target, oldest first, not null
      * @param forgottenThrough the highest offset of a request whose plan was removed from the table; -1 if none was
      */
-    public PlanTable(List<PlanRecord> plans, Map<String, StandingMark> standing, long forgottenThrough) {
+    public PlanTable(List<PlanRecord> plans, Map<String, OutOfServiceReason> standing, long forgottenThrough) {
         plans.forEach(plan -> this.plans.put(plan.id(), plan));
-        this.standing = new LinkedHashMap<>(standing);
+        this.outOfServiceReasons = new LinkedHashMap<>(standing);
         this.forgottenThrough = forgottenThrough;
     }
 
@@ -69,7 +69,7 @@
         PlannedChange change = request.change();
         boolean isRestore = change.kind() == PlannedChange.Kind.RESTORE;
         if (isRestore) {
-            standing.remove(change.engine());
+            outOfServiceReasons.remove(change.engine());
         }
         plans.put(
                 request.id(),
@@ -146,8 +146,8 @@
      *
      * @return an unmodifiable view of the reasons, by target, oldest first
      */
-    public Map<String, StandingMark> standing() {
-        return Collections.unmodifiableMap(standing);
+    public Map<String, OutOfServiceReason> outOfServiceReasons() {
+        return Collections.unmodifiableMap(outOfServiceReasons);
     }
 
     /**
@@ -169,7 +169,7 @@
                 .map(PlanTable::drainedTarget)
                 .<String>mapMulti(Optional::ifPresent)
                 .collect(Collectors.toCollection(TreeSet::new));
-        result.addAll(standing.keySet());
+        result.addAll(outOfServiceReasons.keySet());
         return result;
     }
 
@@ -192,11 +192,11 @@
     }
 
     private void markOutOfService(PlannedChange change) {
-        standing.put(
+        outOfServiceReasons.put(
                 change.engine(),
-                change.kind() == PlannedChange.Kind.DRAIN ? StandingMark.DRAINED : StandingMark.WITHDRAWN);
-        if (standing.size() > MAX_OUT_OF_SERVICE) {
-            standing.remove(standing.keySet().iterator().next());
+                change.kind() == PlannedChange.Kind.DRAIN ? OutOfServiceReason.DRAINED : OutOfServiceReason.WITHDRAWN);
+        if (outOfServiceReasons.size() > MAX_OUT_OF_SERVICE) {
+            outOfServiceReasons.remove(outOfServiceReasons.keySet().iterator().next());
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/authority/PlannedChange.java
+++ b/src/main/java/org/dogwoodwinch/authority/PlannedChange.java
@@ -12,7 +12,7 @@
  *
  * @param kind the kind of change, not null
  * @param engine the engine, not null
- * @param group the key of the engine's group, as {@link EngineGroups#keyOf} returns it; set by the instance that
+ * @param group the key of the engine's group, as {@link EngineGroups#groupKey} returns it; set by the instance that
  *     accepts the request
  * @param role the new role, for {@link Kind#CHANGE_ROLE}; else null
  * @param model the model, for {@link Kind#LOAD_MODEL}; else empty
--- a/src/main/java/org/dogwoodwinch/authority/TargetActivity.java
+++ b/src/main/java/org/dogwoodwinch/authority/TargetActivity.java
@@ -10,15 +10,15 @@
      * @param target the target's name, not null
      * @return the requests in flight, as far as they are known
      */
-    InFlight of(String target);
+    RequestsInFlight requestsInFlight(String target);
 
     /**
      * The requests in flight on a target.
      *
-     * @param known whether every instance that may have sent requests has reported recently; if not, the target counts
+     * @param complete whether every instance that may have sent requests has reported recently; if not, the target counts
      *     as busy
-     * @param urgent the number of urgent requests
-     * @param all the number of all requests, urgent ones included
+     * @param urgentCount the number of urgent requests
+     * @param totalCount the number of all requests, urgent ones included
      */
-    record InFlight(boolean known, int urgent, int all) {}
+    record RequestsInFlight(boolean complete, int urgentCount, int totalCount) {}
 }
--- a/src/main/java/org/dogwoodwinch/authority/WeightLoadLimiter.java
+++ b/src/main/java/org/dogwoodwinch/authority/WeightLoadLimiter.java
@@ -8,7 +8,7 @@
 /**
  * Keeps the weight loads of all instances together within the rate that the weight store allows. Not thread-safe.
  *
- * <p>An intent that loads weights carries a sequence number that is unique in the fleet; {@link AuthorityFold} accepts
+ * <p>An intent that loads weights carries a sequence number that is unique in the fleet; {@link AuthorityState} accepts
  * each number once. A load counts towards the rate from its intent until one minute after its outcome was read, so it
  * does not matter when exactly the holder or its successor sent the order.
  */
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueHolder.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/ActiveCatalogue.java
@@ -13,7 +13,7 @@
  * would undo an accepted edit on this instance. Comparing revisions is sufficient, because a revision is the offset of
  * the edit that created it, and offsets only increase.
  */
-public final class CatalogueHolder implements CatalogueView {
+public final class ActiveCatalogue implements CatalogueView {
 
     private final List<Consumer<Catalogue>> listeners = new CopyOnWriteArrayList<>();
     private volatile Catalogue catalogue = Catalogue.EMPTY;
@@ -25,22 +25,22 @@
     }
 
     @Override
-    public void onChange(Consumer<Catalogue> listener) {
+    public void addListener(Consumer<Catalogue> listener) {
         listeners.add(Objects.requireNonNull(listener, "listener"));
     }
 
     /**
      * Replaces the catalogue in force if the given one has a higher revision, and then calls the listeners.
      *
-     * @param offered the catalogue, not null
+     * @param candidate the catalogue, not null
      * @return whether the given catalogue is now in force
      */
-    public synchronized boolean offer(Catalogue offered) {
-        if (offered.revision() <= catalogue.revision()) {
+    public synchronized boolean replaceIfNewer(Catalogue candidate) {
+        if (candidate.revision() <= catalogue.revision()) {
             return false;
         }
-        catalogue = offered;
-        listeners.forEach(listener -> listener.accept(offered));
+        catalogue = candidate;
+        listeners.forEach(listener -> listener.accept(candidate));
         return true;
     }
 }
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueCodec.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueCodec.java
@@ -54,7 +54,7 @@
         }
         CatalogueDocument document = readDocument(new FieldReader(root, "", problems));
         if (problems.isEmpty()) {
-            problems.addAll(CatalogueRules.check(document.toCatalogue()));
+            problems.addAll(CatalogueValidator.validate(document.toCatalogue()));
         }
         return problems.isEmpty()
                 ? new CatalogueReadResult.Valid(document.toCatalogue())
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueFold.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueState.java
@@ -12,7 +12,7 @@
  * <p>Of several edits based on the same revision, the first one in log order is accepted, and the others conflict with
  * it. The result depends only on the records, so it is the same on every instance.
  */
-public final class CatalogueFold {
+public final class CatalogueState {
 
     /** The greatest number of edits in the history, which bounds the size of the state. */
     public static final int HISTORY_LENGTH = 256;
@@ -26,7 +26,7 @@
      * @param catalogue the catalogue, not null
      * @param history the history of edits, oldest first, not null
      */
-    public CatalogueFold(Catalogue catalogue, List<EditRecord> history) {
+    public CatalogueState(Catalogue catalogue, List<EditRecord> history) {
         this.catalogue = Objects.requireNonNull(catalogue, "catalogue");
         this.history = new ArrayDeque<>(history);
     }
@@ -93,7 +93,7 @@
                     catalogue.revision());
         }
         Catalogue next = edit.change().applyTo(catalogue, offset);
-        List<CatalogueProblem> problems = CatalogueRules.check(next);
+        List<CatalogueProblem> problems = CatalogueValidator.validate(next);
         if (!problems.isEmpty()) {
             return new EditOutcome.Invalid(problems.get(0).toString());
         }
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueRules.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueValidator.java
@@ -7,12 +7,12 @@
 import java.util.regex.Pattern;
 
 /** Validates a catalogue; edits are checked by the same rules before they are appended and when they are applied. */
-public final class CatalogueRules {
+public final class CatalogueValidator {
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._/-]{0,99}");
     private static final Pattern TOKEN_HASH = Pattern.compile("[0-9a-f]{64}");
 
-    private CatalogueRules() {}
+    private CatalogueValidator() {}
 
     /**
      * Validates a catalogue.
@@ -20,7 +20,7 @@
      * @param catalogue the catalogue, not null
      * @return the problems; empty if the catalogue is valid
      */
-    public static List<CatalogueProblem> check(Catalogue catalogue) {
+    public static List<CatalogueProblem> validate(Catalogue catalogue) {
         List<CatalogueProblem> problems = new ArrayList<>();
         checkOwners(catalogue, problems);
         catalogue.groups().values().forEach(group -> checkGroup(group, problems));
--- a/src/main/java/org/dogwoodwinch/catalogue/CatalogueView.java
+++ b/src/main/java/org/dogwoodwinch/catalogue/CatalogueView.java
@@ -18,5 +18,5 @@
      *
      * @param listener the listener, which gets the new catalogue, not null
      */
-    void onChange(Consumer<Catalogue> listener);
+    void addListener(Consumer<Catalogue> listener);
 }
--- a/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
+++ b/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.dogwoodwinch.authority.AuthorityAction;
 import org.dogwoodwinch.authority.AuthorityAgent;
-import org.dogwoodwinch.authority.AuthorityFold;
+import org.dogwoodwinch.authority.AuthorityState;
 import org.dogwoodwinch.controllog.ControlRecord;
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.target.EngineClient;
@@ -59,17 +59,17 @@
      */
     void run(List<AuthorityAction> actions) {
         for (AuthorityAction action : actions) {
-            if (action instanceof AuthorityAction.Append wanted) {
+            if (action instanceof AuthorityAction.AppendRecord wanted) {
                 append.accept(wanted.record());
             } else if (action instanceof AuthorityAction.SendOrder send) {
                 send(send);
-            } else if (action instanceof AuthorityAction.ReadState read) {
+            } else if (action instanceof AuthorityAction.ReadEngineState read) {
                 readState(read.engine());
             } else {
                 services.weights()
                         .allowedLoadsPerMinute()
-                        .whenComplete((allowed, failure) -> access.use(
-                                _fold -> agent.onWeightRate(failure != null ? 0 : allowed, time.monotonicMillis())));
+                        .whenComplete((allowed, failure) -> access.use(_fold ->
+                                agent.onWeightLoadRate(failure != null ? 0 : allowed, time.monotonicMillis())));
             }
         }
     }
@@ -81,7 +81,7 @@
             return;
         }
         // Asked here and not where it was decided: whatever time went by since, the lease covers the write.
-        if (!access.ask(fold -> agent.maySend(fold, send, time.monotonicMillis()))) {
+        if (!access.ask(fold -> agent.isSendAllowed(fold, send, time.monotonicMillis()))) {
             onResult(send, new OrderResult.Refused("the lease has lapsed"));
             return;
         }
@@ -131,7 +131,7 @@
          *
          * @param use takes the state as far as it was read, not null
          */
-        void use(Consumer<AuthorityFold> use);
+        void use(Consumer<AuthorityState> use);
 
         /**
          * Asks the agent something.
@@ -139,6 +139,6 @@
          * @param question takes the state as far as it was read, not null
          * @return its answer
          */
-        boolean ask(Predicate<AuthorityFold> question);
+        boolean ask(Predicate<AuthorityState> question);
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
@@ -6,10 +6,10 @@
 import java.util.Objects;
 import java.util.function.BooleanSupplier;
 import org.dogwoodwinch.bytes.Bytes;
+import org.dogwoodwinch.catalogue.ActiveCatalogue;
 import org.dogwoodwinch.catalogue.Catalogue;
 import org.dogwoodwinch.catalogue.CatalogueDocument;
-import org.dogwoodwinch.catalogue.CatalogueHolder;
-import org.dogwoodwinch.catalogue.CatalogueRules;
+import org.dogwoodwinch.catalogue.CatalogueValidator;
 import org.dogwoodwinch.peer.PeerBus;
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.peer.PeerUpdate;
@@ -29,7 +29,7 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private final PeerBus board;
-    private final CatalogueHolder holder;
+    private final ActiveCatalogue holder;
     private final BooleanSupplier publishes;
     private final long gatherMillis;
     private Catalogue newest = Catalogue.EMPTY;
@@ -45,7 +45,7 @@
      * @param publishes whether this instance is one of those that tell the others, not null
      * @param gatherMillis how long to collect before the newest is taken, in milliseconds
      */
-    CatalogueExchange(PeerBus board, CatalogueHolder holder, BooleanSupplier publishes, long gatherMillis) {
+    CatalogueExchange(PeerBus board, ActiveCatalogue holder, BooleanSupplier publishes, long gatherMillis) {
         this.board = Objects.requireNonNull(board, "board");
         this.holder = Objects.requireNonNull(holder, "holder");
         this.publishes = Objects.requireNonNull(publishes, "publishes");
@@ -64,7 +64,7 @@
             firstHeardMillis = nowMillis;
         }
         if (logOut && firstHeardMillis != NEVER && nowMillis - firstHeardMillis >= gatherMillis) {
-            holder.offer(newest);
+            holder.replaceIfNewer(newest);
         }
         holder.current().ifPresent(catalogue -> publish(catalogue, nowMillis));
     }
@@ -95,7 +95,7 @@
             return;
         }
         if (offered.revision() > newest.revision()
-                && CatalogueRules.check(offered).isEmpty()) {
+                && CatalogueValidator.validate(offered).isEmpty()) {
             newest = offered;
         }
     }
--- a/src/main/java/org/dogwoodwinch/control/ControlFold.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlFold.java
@@ -1,10 +1,10 @@
 package org.dogwoodwinch.control;
 
 import java.util.Optional;
-import org.dogwoodwinch.authority.AuthorityFold;
 import org.dogwoodwinch.authority.AuthorityRecord;
+import org.dogwoodwinch.authority.AuthorityState;
 import org.dogwoodwinch.catalogue.CatalogueEdit;
-import org.dogwoodwinch.catalogue.CatalogueFold;
+import org.dogwoodwinch.catalogue.CatalogueState;
 import org.dogwoodwinch.catalogue.EditOutcome;
 import org.dogwoodwinch.controllog.ControlRecord;
 import org.dogwoodwinch.external.LogRecord;
@@ -19,8 +19,8 @@
 
     private final ControlCodec codec;
     private final RecentIds recentIds;
-    private final CatalogueFold catalogue;
-    private final AuthorityFold authority;
+    private final CatalogueState catalogue;
+    private final AuthorityState authority;
     private long coveredOffset;
 
     /**
@@ -33,8 +33,8 @@
         this.codec = codec;
         this.coveredOffset = snapshot.coveredOffset();
         this.recentIds = new RecentIds(snapshot.recentIds());
-        this.catalogue = new CatalogueFold(snapshot.catalogue(), snapshot.edits());
-        this.authority = new AuthorityFold(snapshot.authority());
+        this.catalogue = new CatalogueState(snapshot.catalogue(), snapshot.edits());
+        this.authority = new AuthorityState(snapshot.authority());
     }
 
     /**
@@ -65,7 +65,7 @@
      *
      * @return the fold of the edits
      */
-    public CatalogueFold catalogue() {
+    public CatalogueState catalogue() {
         return catalogue;
     }
 
@@ -74,7 +74,7 @@
      *
      * @return the fold of their records
      */
-    public AuthorityFold authority() {
+    public AuthorityState authority() {
         return authority;
     }
 
--- a/src/main/java/org/dogwoodwinch/control/ControlNode.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlNode.java
@@ -12,11 +12,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.dogwoodwinch.authority.AuthorityAction;
 import org.dogwoodwinch.authority.AuthorityAgent;
-import org.dogwoodwinch.authority.AuthorityFold;
 import org.dogwoodwinch.authority.AuthorityRecord;
+import org.dogwoodwinch.authority.AuthorityState;
 import org.dogwoodwinch.authority.PlanRecord;
+import org.dogwoodwinch.catalogue.ActiveCatalogue;
 import org.dogwoodwinch.catalogue.Catalogue;
-import org.dogwoodwinch.catalogue.CatalogueHolder;
 import org.dogwoodwinch.catalogue.CatalogueView;
 import org.dogwoodwinch.catalogue.EditRecord;
 import org.dogwoodwinch.catalogue.TargetGroup;
@@ -46,7 +46,7 @@
     private final TimeSource time;
     private final UniformRandomProvider random;
     private final ControlCodec codec = new ControlCodec();
-    private final CatalogueHolder holder = new CatalogueHolder();
+    private final ActiveCatalogue holder = new ActiveCatalogue();
     private final EditDesk edits = new EditDesk(this::later);
     private final ReadBacks readBacks = new ReadBacks(this::later);
     private final CheckpointClock checkpoints;
@@ -117,7 +117,7 @@
         Optional<AuthorityRecord> release;
         synchronized (this) {
             stopping = true;
-            release = agent.release(reader.fold().authority());
+            release = agent.releaseAll(reader.fold().authority());
         }
         release.ifPresent(this::publish);
     }
@@ -219,7 +219,7 @@
 
     @Override
     public synchronized List<String> liveGroups() {
-        return agent.liveGroups(reader.fold().authority(), time.monotonicMillis());
+        return agent.heldGroups(reader.fold().authority(), time.monotonicMillis());
     }
 
     @Override
@@ -342,7 +342,7 @@
         if (folded.record() instanceof Checkpoint checkpoint) {
             checkpoints.onCheckpoint(checkpoint.snapshot().coveredOffset());
         } else if (folded.record() instanceof AuthorityRecord record) {
-            agent.onFolded(reader.fold().authority(), folded.offset(), record);
+            agent.onRecordApplied(reader.fold().authority(), folded.offset(), record);
         }
     }
 
@@ -350,7 +350,7 @@
         // While it catches up, a starter passes through old revisions; serving them would show callers a catalogue
         // that has long been replaced.
         if (reader.isCaughtUp()) {
-            holder.offer(reader.fold().catalogue().catalogue());
+            holder.replaceIfNewer(reader.fold().catalogue().catalogue());
         }
         edits.settle(reader.fold().catalogue(), time.monotonicMillis());
         decideSoon();
@@ -360,7 +360,7 @@
     private final class AgentAccess implements AuthorityRunner.Access {
 
         @Override
-        public void use(Consumer<AuthorityFold> use) {
+        public void use(Consumer<AuthorityState> use) {
             synchronized (ControlNode.this) {
                 use.accept(reader.fold().authority());
                 decideSoon();
@@ -368,7 +368,7 @@
         }
 
         @Override
-        public boolean ask(Predicate<AuthorityFold> question) {
+        public boolean ask(Predicate<AuthorityState> question) {
             synchronized (ControlNode.this) {
                 return question.test(reader.fold().authority());
             }
--- a/src/main/java/org/dogwoodwinch/control/ControlServices.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlServices.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.function.BooleanSupplier;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.external.WeightStore;
@@ -26,7 +26,7 @@
         PeerBus board,
         BooleanSupplier publishesToPeers,
         TargetClients clients,
-        FleetView fleet,
+        FleetInventory fleet,
         TargetActivity activity) {
 
     /** Checks the parts. */
--- a/src/main/java/org/dogwoodwinch/control/DrainExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainExchange.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public InFlight of(String target) {
+    public RequestsInFlight requestsInFlight(String target) {
         DrainReport.Line ownLine = own.apply(target);
         int urgent = ownLine.urgent();
         int all = ownLine.all();
@@ -94,7 +94,7 @@
             urgent += line.map(DrainReport.Line::urgent).orElse(0);
             all += line.map(DrainReport.Line::all).orElse(0);
         }
-        return new InFlight(known, urgent, all);
+        return new RequestsInFlight(known, urgent, all);
     }
 
     private synchronized Optional<DrainReport.Line> heard(String instance, String target) {
--- a/src/main/java/org/dogwoodwinch/control/EditDesk.java
+++ b/src/main/java/org/dogwoodwinch/control/EditDesk.java
@@ -12,8 +12,8 @@
 import org.dogwoodwinch.catalogue.CatalogueChange;
 import org.dogwoodwinch.catalogue.CatalogueCodec;
 import org.dogwoodwinch.catalogue.CatalogueEdit;
-import org.dogwoodwinch.catalogue.CatalogueFold;
 import org.dogwoodwinch.catalogue.CatalogueProblem;
+import org.dogwoodwinch.catalogue.CatalogueState;
 import org.dogwoodwinch.catalogue.EditRecord;
 
 /**
@@ -45,7 +45,7 @@
      * @param wallMillis the time of day, in milliseconds since 1970
      * @return the edit to publish, or the answer
      */
-    Intake take(EditRequest request, CatalogueFold fold, long wallMillis) {
+    Intake take(EditRequest request, CatalogueState fold, long wallMillis) {
         Optional<EditRecord> earlier = fold.find(request.editId());
         if (earlier.isPresent()) {
             return Intake.answered(result(earlier.get()));
@@ -78,7 +78,7 @@
      * @param fold the catalogue as far as it was read, not null
      * @param nowMillis the monotonic time in milliseconds
      */
-    void settle(CatalogueFold fold, long nowMillis) {
+    void settle(CatalogueState fold, long nowMillis) {
         Iterator<Map.Entry<String, Waiting>> each = waiting.entrySet().iterator();
         while (each.hasNext()) {
             Map.Entry<String, Waiting> entry = each.next();
@@ -114,7 +114,7 @@
                                 new ApplyResult.Faulty(line.id(), List.of(new CatalogueProblem("", invalid.detail()))));
     }
 
-    private static Intake takeSound(EditRequest request, Catalogue wanted, CatalogueFold fold, long wallMillis) {
+    private static Intake takeSound(EditRequest request, Catalogue wanted, CatalogueState fold, long wallMillis) {
         Catalogue base = fold.catalogue();
         if (wanted.revision() > base.revision()) {
             return Intake.answered(new ApplyResult.UnknownYet(
--- a/src/main/java/org/dogwoodwinch/control/PlanChecks.java
+++ b/src/main/java/org/dogwoodwinch/control/PlanChecks.java
@@ -23,7 +23,7 @@
         if (engine.isEmpty()) {
             return Checked.fault("engine: there is no engine '" + change.engine() + "' in the instance list");
         }
-        String group = EngineGroups.keyOf(engine.get());
+        String group = EngineGroups.groupKey(engine.get());
         String fault = switch (change.kind()) {
             case LOAD_MODEL ->
                 missing("model", change.model())
@@ -43,7 +43,7 @@
             return "replacement: an engine cannot replace itself";
         }
         boolean sameGroup = find(engines, change.replacement())
-                .filter(other -> EngineGroups.keyOf(other).equals(group))
+                .filter(other -> EngineGroups.groupKey(other).equals(group))
                 .isPresent();
         return sameGroup ? "" : "replacement: an engine of group " + group + " in the instance list is wanted";
     }
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.dogwoodwinch.admission.LimitShareExchange;
 import org.dogwoodwinch.admission.QueueingAdmissionController;
-import org.dogwoodwinch.authority.ClaimOrder;
+import org.dogwoodwinch.authority.ClaimPriority;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
 import org.dogwoodwinch.catalogue.CatalogueView;
@@ -94,13 +94,14 @@
                         targets,
                         new ListedFleet(
                                 directory,
-                                new ClaimOrder.Member(name, settings.instance().dataCentre())),
+                                new ClaimPriority.Candidate(
+                                        name, settings.instance().dataCentre())),
                         this::inFlightOn),
                 PartSettings.control(settings.leases()),
                 context.time(),
                 context.newRandom());
         CatalogueView catalogue = control.catalogue();
-        catalogue.onChange(changed -> metrics.showCatalogueRevision(changed.revision()));
+        catalogue.addListener(changed -> metrics.showCatalogueRevision(changed.revision()));
         long incarnation = context.time().wallMillis();
         this.fleet = new FleetView(context.time());
         directory.onRead(fleet::onInstanceList);
@@ -250,11 +251,13 @@
      * Load news tell what is in flight; drain reports tell besides that each instance has read that the target is out of
      * service. An instance that peers hear but that is cut off from the log would otherwise go on sending.
      */
-    private TargetActivity.InFlight inFlightOn(String target) {
-        TargetActivity.InFlight load = activity.of(target);
-        TargetActivity.InFlight told = drains.of(target);
-        return new TargetActivity.InFlight(
-                load.known() && told.known(), Math.max(load.urgent(), told.urgent()), Math.max(load.all(), told.all()));
+    private TargetActivity.RequestsInFlight inFlightOn(String target) {
+        TargetActivity.RequestsInFlight load = activity.requestsInFlight(target);
+        TargetActivity.RequestsInFlight told = drains.requestsInFlight(target);
+        return new TargetActivity.RequestsInFlight(
+                load.complete() && told.complete(),
+                Math.max(load.urgentCount(), told.urgentCount()),
+                Math.max(load.totalCount(), told.totalCount()));
     }
 
     private Set<String> heldBack() {
--- a/src/main/java/org/dogwoodwinch/daemon/FleetActivity.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetActivity.java
@@ -16,7 +16,7 @@
 final class FleetActivity implements TargetActivity {
 
     private static final long FRESH_MILLIS = 5_000;
-    private static final InFlight UNKNOWN = new InFlight(false, 0, 0);
+    private static final RequestsInFlight UNKNOWN = new RequestsInFlight(false, 0, 0);
 
     private final FleetView fleet;
     private final EnginePoller poller;
@@ -42,14 +42,14 @@
     }
 
     @Override
-    public InFlight of(String target) {
+    public RequestsInFlight requestsInFlight(String target) {
         Optional<LoadReport> report = poller.freshReport(target, FRESH_MILLIS);
         if (report.isEmpty() || !allPeersHeard()) {
             return UNKNOWN;
         }
         int all = report.get().runningRequests() + report.get().waitingRequests();
         int urgent = fleet.hasUrgentRequests(target) ? 1 : 0;
-        return new InFlight(true, urgent, Math.max(urgent, all));
+        return new RequestsInFlight(true, urgent, Math.max(urgent, all));
     }
 
     private boolean allPeersHeard() {
--- a/src/main/java/org/dogwoodwinch/daemon/ListedFleet.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ListedFleet.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import java.util.Objects;
-import org.dogwoodwinch.authority.ClaimOrder;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.ClaimPriority;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.external.ListedInstance;
 import org.dogwoodwinch.target.Target;
 
 /** The fleet as the platform's instance list shows it, for leases and orders. Thread-safe. */
-final class ListedFleet implements FleetView {
+final class ListedFleet implements FleetInventory {
 
     private final TargetDirectory directory;
-    private final ClaimOrder.Member own;
+    private final ClaimPriority.Candidate own;
     private List<ListedInstance> lastLines = List.of();
     private List<Target> lastEngines = List.of();
 
@@ -21,7 +21,7 @@
      * @param directory reads the list, not null
      * @param own this instance, not null
      */
-    ListedFleet(TargetDirectory directory, ClaimOrder.Member own) {
+    ListedFleet(TargetDirectory directory, ClaimPriority.Candidate own) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.own = Objects.requireNonNull(own, "own");
     }
@@ -42,10 +42,10 @@
 
     @Override
     public int claimRank(String group) {
-        List<ClaimOrder.Member> members = directory.latest().stream()
+        List<ClaimPriority.Candidate> members = directory.latest().stream()
                 .filter(line -> line.kind() == ListedInstance.Kind.ENTRY && !line.leaving())
-                .map(line -> new ClaimOrder.Member(line.name(), line.dataCentre()))
+                .map(line -> new ClaimPriority.Candidate(line.name(), line.dataCentre()))
                 .toList();
-        return ClaimOrder.rank(group, own, members);
+        return ClaimPriority.rank(group, own, members);
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
@@ -68,21 +68,24 @@
      * @return the rules
      */
     static ControlPolicies control(LeaseSettings own) {
-        OrderPolicy standard = OrderPolicy.STANDARD;
+        OrderPolicy standard = OrderPolicy.DEFAULT;
         return new ControlPolicies(
                 ControlPolicies.STANDARD.checkpoints(),
                 new LeasePolicy(
-                        own.termMillis(), own.marginMillis(), own.renewMillis(), LeasePolicy.STANDARD.staggerMillis()),
+                        own.termMillis(),
+                        own.marginMillis(),
+                        own.renewMillis(),
+                        LeasePolicy.DEFAULT.claimStaggerMillis()),
                 new OrderPolicy(
                         own.orderTimeoutMillis(),
                         own.orderTimeoutMillis(),
-                        standard.statePollMillis(),
-                        standard.reassertMillis(),
-                        standard.retryMillis(),
-                        standard.giveUpMillis(),
-                        standard.drainSettleMillis(),
-                        standard.drainMostMillis(),
-                        standard.tokenRule()));
+                        standard.statePollIntervalMillis(),
+                        standard.reassertIntervalMillis(),
+                        standard.retryDelayMillis(),
+                        standard.expiryMillis(),
+                        standard.minDrainMillis(),
+                        standard.maxNonUrgentDrainMillis(),
+                        standard.fencingTokenRule()));
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/http/CallerRequestReader.java
+++ b/src/main/java/org/dogwoodwinch/http/CallerRequestReader.java
@@ -55,7 +55,7 @@
         this.catalogue = Objects.requireNonNull(catalogue, "catalogue");
         this.serving = Objects.requireNonNull(serving, "serving");
         this.time = Objects.requireNonNull(time, "time");
-        catalogue.onChange(changed -> tokens.set(new OwnerTokens(changed)));
+        catalogue.addListener(changed -> tokens.set(new OwnerTokens(changed)));
         catalogue.current().ifPresent(current -> tokens.set(new OwnerTokens(current)));
     }
 
--- a/src/main/java/org/dogwoodwinch/measure/capacity/ControlFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/ControlFleet.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.simple.RandomSource;
-import org.dogwoodwinch.authority.ClaimOrder;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.ClaimPriority;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.control.ControlNode;
@@ -35,7 +35,7 @@
     private final CountingLog log = new CountingLog(new MemoryLog(time, NO_CAP));
     private final List<Target> engines;
     private final List<ControlNode> nodes = new ArrayList<>();
-    private final List<ClaimOrder.Member> members;
+    private final List<ClaimPriority.Candidate> members;
 
     /**
      * Creates a fleet whose nodes do not run yet.
@@ -46,7 +46,7 @@
      */
     ControlFleet(int nodeCount, int groupCount, int engineCount) {
         this.members = IntStream.range(0, nodeCount)
-                .mapToObj(node -> new ClaimOrder.Member("entry-" + node, dataCentre(node)))
+                .mapToObj(node -> new ClaimPriority.Candidate("entry-" + node, dataCentre(node)))
                 .toList();
         this.engines = IntStream.range(0, engineCount)
                 .mapToObj(engine -> new Target(
@@ -102,13 +102,13 @@
                 () -> false,
                 NoClients.INSTANCE,
                 new RankedFleet(node),
-                _target -> new TargetActivity.InFlight(true, 0, 0));
+                _target -> new TargetActivity.RequestsInFlight(true, 0, 0));
     }
 
     /** Claims go in the daemon's own order; nodes and groups are spread evenly over the data centres. */
-    private final class RankedFleet implements FleetView {
+    private final class RankedFleet implements FleetInventory {
 
-        private final ClaimOrder.Member own;
+        private final ClaimPriority.Candidate own;
 
         RankedFleet(int node) {
             this.own = members.get(node);
@@ -121,7 +121,7 @@
 
         @Override
         public int claimRank(String group) {
-            return ClaimOrder.rank(group, own, members);
+            return ClaimPriority.rank(group, own, members);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/measure/control/AuthorityMeasurement.java
+++ b/src/main/java/org/dogwoodwinch/measure/control/AuthorityMeasurement.java
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.authority.AuthorityRecord;
-import org.dogwoodwinch.authority.ClaimOrder;
+import org.dogwoodwinch.authority.ClaimPriority;
 import org.dogwoodwinch.authority.LeasePolicy;
 import org.dogwoodwinch.control.ControlCodec;
 import org.dogwoodwinch.measure.Measurement;
@@ -81,9 +81,9 @@
 
     private static MeasurementTable atRest(long restMillis) {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(restRow("by data centre", 6, 3, 2, ClaimOrder::rank, restMillis));
+        rows.add(restRow("by data centre", 6, 3, 2, ClaimPriority::rank, restMillis));
         rows.add(restRow("by group", 6, 3, 2, AuthorityMeasurement::rankByGroup, restMillis));
-        rows.add(restRow("by data centre", 24, 13, 10, ClaimOrder::rank, restMillis));
+        rows.add(restRow("by data centre", 24, 13, 10, ClaimPriority::rank, restMillis));
         rows.add(restRow("by group", 24, 13, 10, AuthorityMeasurement::rankByGroup, restMillis));
         return new MeasurementTable(
                 "Leases at rest, virtual time over " + restMillis / 1_000 + " s; renewals every 2 s",
@@ -131,8 +131,8 @@
             rows.add(List.of(Integer.toString(groups), Integer.toString(own), Integer.toString(naming)));
         }
         long byGroup = holdersAtTargetSize(AuthorityMeasurement::rankByGroup);
-        long byDataCentre = holdersAtTargetSize(ClaimOrder::rank);
-        double perHolder = 1_000.0 / LeasePolicy.STANDARD.renewMillis();
+        long byDataCentre = holdersAtTargetSize(ClaimPriority::rank);
+        double perHolder = 1_000.0 / LeasePolicy.DEFAULT.renewMillis();
         rows.add(List.of(
                 "480 instances, by data centre", byDataCentre + " holders", format(byDataCentre * perHolder) + "/s"));
         rows.add(List.of("480 instances, by group", byGroup + " holders", format(byGroup * perHolder) + "/s"));
@@ -144,8 +144,8 @@
     }
 
     private static long holdersAtTargetSize(VirtualFleet.RankRule rule) {
-        List<ClaimOrder.Member> members = IntStream.range(0, TARGET_INSTANCES)
-                .mapToObj(i -> new ClaimOrder.Member("entry-" + i, "dc-" + i % TARGET_DATA_CENTRES))
+        List<ClaimPriority.Candidate> members = IntStream.range(0, TARGET_INSTANCES)
+                .mapToObj(i -> new ClaimPriority.Candidate("entry-" + i, "dc-" + i % TARGET_DATA_CENTRES))
                 .toList();
         Set<String> holders = IntStream.range(0, TARGET_MODELS * TARGET_DATA_CENTRES)
                 .mapToObj(i -> "group-" + i % TARGET_MODELS + "@dc-" + i / TARGET_MODELS)
@@ -214,13 +214,13 @@
                 rows);
     }
 
-    private static int rankByGroup(String group, ClaimOrder.Member own, List<ClaimOrder.Member> members) {
+    private static int rankByGroup(String group, ClaimPriority.Candidate own, List<ClaimPriority.Candidate> members) {
         long weight = weight(group, own);
         return (int)
                 members.stream().filter(other -> weight(group, other) > weight).count();
     }
 
-    private static long weight(String group, ClaimOrder.Member member) {
+    private static long weight(String group, ClaimPriority.Candidate member) {
         return Hashing.murmur3_128()
                 .hashString(group + "/" + member.name(), StandardCharsets.UTF_8)
                 .asLong();
--- a/src/main/java/org/dogwoodwinch/measure/control/PlanRun.java
+++ b/src/main/java/org/dogwoodwinch/measure/control/PlanRun.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.dogwoodwinch.authority.AuthorityRecord;
-import org.dogwoodwinch.authority.ClaimOrder;
+import org.dogwoodwinch.authority.ClaimPriority;
 import org.dogwoodwinch.authority.PlanRecord;
 import org.dogwoodwinch.authority.PlannedChange;
 import org.dogwoodwinch.control.PlanRequest;
@@ -17,7 +17,7 @@
     private static final long STEP_MILLIS = 20;
     private static final long MOST_MILLIS = 1_200_000;
 
-    private final VirtualFleet fleet = new VirtualFleet(6, 3, 4, 5, ClaimOrder::rank);
+    private final VirtualFleet fleet = new VirtualFleet(6, 3, 4, 5, ClaimPriority::rank);
     private final long beganMillis = fleet.time().monotonicMillis();
 
     VirtualFleet fleet() {
--- a/src/main/java/org/dogwoodwinch/measure/control/VirtualFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/control/VirtualFleet.java
@@ -7,9 +7,9 @@
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
 import org.apache.commons.rng.simple.RandomSource;
-import org.dogwoodwinch.authority.ClaimOrder;
+import org.dogwoodwinch.authority.ClaimPriority;
 import org.dogwoodwinch.authority.EngineGroups;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.control.ControlNode;
 import org.dogwoodwinch.control.ControlPolicies;
@@ -38,7 +38,7 @@
     private final CountingLog log = new CountingLog(memory, time);
     private final Map<String, StandInEngine> engines = new TreeMap<>();
     private final List<Target> targets = new ArrayList<>();
-    private final List<ClaimOrder.Member> members = new ArrayList<>();
+    private final List<ClaimPriority.Candidate> members = new ArrayList<>();
     private final List<ControlNode> nodes = new ArrayList<>();
 
     /**
@@ -55,7 +55,7 @@
             addEngine("dc" + i % dataCentres, "group" + i / dataCentres % groups, "engine-" + i);
         }
         for (int i = 0; i < instances; i++) {
-            members.add(new ClaimOrder.Member("entry-" + i, "dc" + i % dataCentres));
+            members.add(new ClaimPriority.Candidate("entry-" + i, "dc" + i % dataCentres));
         }
         members.forEach(member -> nodes.add(newNode(member, rule)));
         nodes.forEach(ControlNode::start);
@@ -99,7 +99,7 @@
     String groupOf(String engine) {
         return targets.stream()
                 .filter(target -> target.name().equals(engine))
-                .map(EngineGroups::keyOf)
+                .map(EngineGroups::groupKey)
                 .findFirst()
                 .orElseThrow();
     }
@@ -113,7 +113,7 @@
         targets.add(new Target(name, "127.0.0.1", 1, dataCentre, group));
     }
 
-    private ControlNode newNode(ClaimOrder.Member member, RankRule rule) {
+    private ControlNode newNode(ClaimPriority.Candidate member, RankRule rule) {
         ControlServices services = new ControlServices(
                 log,
                 () -> CompletableFuture.completedFuture(LOADS_PER_MINUTE),
@@ -121,7 +121,7 @@
                 () -> false,
                 new Engines(),
                 new Fleet(member, rule),
-                _target -> new TargetActivity.InFlight(true, 0, 0));
+                _target -> new TargetActivity.RequestsInFlight(true, 0, 0));
         return new ControlNode(
                 ControlSettings.of(member.name(), MemoryLogLimits.STANDARD.retentionMillis()),
                 services,
@@ -142,15 +142,15 @@
          * @param members all instances, not null
          * @return how many come before it
          */
-        int rank(String group, ClaimOrder.Member own, List<ClaimOrder.Member> members);
+        int rank(String group, ClaimPriority.Candidate own, List<ClaimPriority.Candidate> members);
     }
 
-    private final class Fleet implements FleetView {
+    private final class Fleet implements FleetInventory {
 
-        private final ClaimOrder.Member own;
+        private final ClaimPriority.Candidate own;
         private final RankRule rule;
 
-        Fleet(ClaimOrder.Member own, RankRule rule) {
+        Fleet(ClaimPriority.Candidate own, RankRule rule) {
             this.own = own;
             this.rule = rule;
         }
--- a/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayInstance.java
@@ -82,7 +82,7 @@
             }
 
             @Override
-            public void onChange(Consumer<Catalogue> _listener) {}
+            public void addListener(Consumer<Catalogue> _listener) {}
         };
         return new QueueingAdmissionController(
                 AdmissionPolicy.STANDARD,
--- a/src/main/java/org/dogwoodwinch/settings/LeaseSettings.java
+++ b/src/main/java/org/dogwoodwinch/settings/LeaseSettings.java
@@ -15,10 +15,10 @@
 
     static LeaseSettings read(SettingsSection section) {
         LeaseSettings settings = new LeaseSettings(
-                section.wholeNumber("termMillis", 500, 600_000, LeasePolicy.STANDARD.termMillis()),
-                section.wholeNumber("marginMillis", 10, 60_000, LeasePolicy.STANDARD.marginMillis()),
-                section.wholeNumber("renewMillis", 50, 300_000, LeasePolicy.STANDARD.renewMillis()),
-                section.wholeNumber("orderTimeoutMillis", 10, 60_000, OrderPolicy.STANDARD.orderTimeoutMillis()));
+                section.wholeNumber("termMillis", 500, 600_000, LeasePolicy.DEFAULT.termMillis()),
+                section.wholeNumber("marginMillis", 10, 60_000, LeasePolicy.DEFAULT.marginMillis()),
+                section.wholeNumber("renewMillis", 50, 300_000, LeasePolicy.DEFAULT.renewMillis()),
+                section.wholeNumber("orderTimeoutMillis", 10, 60_000, OrderPolicy.DEFAULT.orderTimeoutMillis()));
         if (settings.renewMillis() + settings.marginMillis() >= settings.termMillis()) {
             section.tell("renewMillis", "renewMillis and marginMillis together must be less than termMillis");
         }
--- a/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
+++ b/src/test/java/org/dogwoodwinch/admission/QueueingAdmissionControllerTest.java
@@ -197,7 +197,7 @@
             }
 
             @Override
-            public void onChange(Consumer<Catalogue> _listener) {}
+            public void addListener(Consumer<Catalogue> _listener) {}
         };
         PeerBus boardWithoutPeers = new PeerBus() {
             @Override
--- a/src/test/java/org/dogwoodwinch/authority/AuthorityFoldTest.java
+++ b/src/test/java/org/dogwoodwinch/authority/AuthorityStateTest.java
@@ -12,13 +12,13 @@
 import org.dogwoodwinch.target.EngineRole;
 import org.junit.jupiter.api.Test;
 
-class AuthorityFoldTest {
+class AuthorityStateTest {
 
     private static final String GROUP = "reading@kochi";
     private static final EngineConfiguration CONFIGURATION =
             new EngineConfiguration(EngineRole.PREFILL, "m", "1", new TreeSet<>());
 
-    private final AuthorityFold authority = new AuthorityFold(AuthoritySnapshot.EMPTY);
+    private final AuthorityState authority = new AuthorityState(AuthoritySnapshot.EMPTY);
     private long offset;
 
     /** Guards against a claim that takes a group although the holder's renewal precedes it in the log. */
@@ -87,7 +87,7 @@
     void stateRestoredFromSnapshotAppliesRecordsIdentically() {
         applyAccepted(claim("c1", "a", "", -1));
         applyAccepted(intent("i1", "a", 0, -1, 0));
-        AuthorityFold copy = new AuthorityFold(authority.snapshot());
+        AuthorityState copy = new AuthorityState(authority.snapshot());
         AuthorityRecord settled = new AuthorityRecord.OrderSettled("s1", "a", 0, "engine-1", 1, true, "");
         copy.apply(offset, settled);
         applyAccepted(settled);
--- a/src/test/java/org/dogwoodwinch/catalogue/CatalogueFoldTest.java
+++ b/src/test/java/org/dogwoodwinch/catalogue/CatalogueStateTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class CatalogueFoldTest {
+class CatalogueStateTest {
 
-    private final CatalogueFold state = new CatalogueFold(Catalogue.EMPTY, List.of());
+    private final CatalogueState state = new CatalogueState(Catalogue.EMPTY, List.of());
 
     /** Guards against an edit that overwrites a concurrent edit of the same revision that precedes it in the log. */
     @Test
@@ -48,15 +48,15 @@
 
     @Property(seed = "41", tries = 300)
     void restoredCopyAppliesEditsIdentically(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> lags) {
-        CatalogueFold original = new CatalogueFold(Catalogue.EMPTY, List.of());
-        CatalogueFold copy = new CatalogueFold(Catalogue.EMPTY, List.of());
+        CatalogueState original = new CatalogueState(Catalogue.EMPTY, List.of());
+        CatalogueState copy = new CatalogueState(Catalogue.EMPTY, List.of());
         long offset = 0;
         for (int lag : lags) {
             offset++;
             CatalogueEdit edit =
                     edit("e" + offset % 7, Math.max(-1, original.catalogue().revision() - lag / 4), offset);
             assertEquals(original.apply(offset, edit), copy.apply(offset, edit));
-            copy = new CatalogueFold(copy.catalogue(), copy.history());
+            copy = new CatalogueState(copy.catalogue(), copy.history());
         }
         assertEquals(original.catalogue(), copy.catalogue());
     }
--- a/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.dogwoodwinch.authority.TokenRule;
+import org.dogwoodwinch.authority.FencingTokenRule;
 import org.dogwoodwinch.catalogue.Catalogue;
 import org.dogwoodwinch.catalogue.CatalogueCodec;
 import org.dogwoodwinch.catalogue.SampleCatalogues;
@@ -23,8 +23,8 @@
     void withoutAMarginTwoInstancesHoldOneGroup() {
         ControlWorld sound = holderCutOff(ControlWorld.POLICIES);
         assertEquals(List.of(), sound.violations);
-        ControlWorld mutant =
-                holderCutOff(ControlWorld.policies(CheckpointRule.ALL_RECORDS_AT_HAND, 0, TokenRule.INTENT_OFFSET));
+        ControlWorld mutant = holderCutOff(
+                ControlWorld.policies(CheckpointRule.ALL_RECORDS_AT_HAND, 0, FencingTokenRule.INTENT_OFFSET));
         assertTrue(
                 mutant.violations.stream().anyMatch(each -> each.contains("is held by")),
                 () -> "no overlap: " + mutant.violations);
@@ -38,7 +38,7 @@
     void withoutTheRuleAStarterBuildsOnACheckpointWithAGap() {
         assertEquals(List.of(), startsAfterALateCheckpoint(ControlWorld.POLICIES));
         List<String> violations =
-                startsAfterALateCheckpoint(ControlWorld.policies(ANY_CHECKPOINT, 500, TokenRule.INTENT_OFFSET));
+                startsAfterALateCheckpoint(ControlWorld.policies(ANY_CHECKPOINT, 500, FencingTokenRule.INTENT_OFFSET));
         assertTrue(violations.stream().anyMatch(each -> each.contains("did not reach")), () -> "none: " + violations);
     }
 
--- a/src/test/java/org/dogwoodwinch/control/ControlSamples.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSamples.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.apache.commons.rng.simple.RandomSource;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.peer.PeerBus;
@@ -43,7 +43,7 @@
                 () -> true,
                 new NoTargets(),
                 new EmptyFleet(),
-                _target -> new TargetActivity.InFlight(true, 0, 0));
+                _target -> new TargetActivity.RequestsInFlight(true, 0, 0));
         return new ControlNode(
                 settings,
                 services,
@@ -53,7 +53,7 @@
     }
 
     /** A fleet without engines. */
-    private static final class EmptyFleet implements FleetView {
+    private static final class EmptyFleet implements FleetInventory {
 
         @Override
         public List<Target> engines() {
--- a/src/test/java/org/dogwoodwinch/control/ControlWorld.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlWorld.java
@@ -11,11 +11,11 @@
 import java.util.function.BiConsumer;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.authority.AuthorityRecord;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.FencingTokenRule;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.authority.LeasePolicy;
 import org.dogwoodwinch.authority.OrderPolicy;
 import org.dogwoodwinch.authority.TargetActivity;
-import org.dogwoodwinch.authority.TokenRule;
 import org.dogwoodwinch.catalogue.Catalogue;
 import org.dogwoodwinch.controllog.ControlRecord;
 import org.dogwoodwinch.controllog.FollowerListener;
@@ -46,7 +46,8 @@
  */
 final class ControlWorld {
 
-    static final ControlPolicies POLICIES = policies(CheckpointRule.ALL_RECORDS_AT_HAND, 500, TokenRule.INTENT_OFFSET);
+    static final ControlPolicies POLICIES =
+            policies(CheckpointRule.ALL_RECORDS_AT_HAND, 500, FencingTokenRule.INTENT_OFFSET);
     static final long RETENTION_MILLIS = 20_000;
 
     private static final long STEP_MILLIS = 50;
@@ -55,7 +56,7 @@
     final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     final MemoryLog log = new MemoryLog(time, new MemoryLogLimits(300, RETENTION_MILLIS));
     final SortedMap<String, StandInEngine> engines = new TreeMap<>();
-    final Map<String, TargetActivity.InFlight> inFlight = new HashMap<>();
+    final Map<String, TargetActivity.RequestsInFlight> inFlight = new HashMap<>();
     final List<String> violations = new ArrayList<>();
     final Map<String, List<EngineOrder>> applied = new TreeMap<>();
     BiConsumer<Integer, ControlRecord> onAppend = (_instance, _record) -> {};
@@ -81,7 +82,7 @@
         }
     }
 
-    static ControlPolicies policies(CheckpointRule checkpoints, long marginMillis, TokenRule tokens) {
+    static ControlPolicies policies(CheckpointRule checkpoints, long marginMillis, FencingTokenRule tokens) {
         return new ControlPolicies(
                 checkpoints,
                 new LeasePolicy(3_000, marginMillis, 1_000, 100),
@@ -191,13 +192,13 @@
                 () -> true,
                 new Clients(network),
                 new Fleet(index),
-                target -> inFlight.getOrDefault(target, new TargetActivity.InFlight(true, 0, 0)));
+                target -> inFlight.getOrDefault(target, new TargetActivity.RequestsInFlight(true, 0, 0)));
         ControlSettings settings = new ControlSettings(
                 name, new FollowerSettings("control", 100, 2_000, 100, 500), 100, RETENTION_MILLIS / 4, 10_000, 500);
         ControlNode node = new ControlNode(
                 settings, services, policies, clock, RandomSource.XO_RO_SHI_RO_128_PP.create(1_000L + started++));
         Instance instance = new Instance(name, clock, network, node);
-        node.catalogue().onChange(catalogue -> checkNeverBack(instance, catalogue));
+        node.catalogue().addListener(catalogue -> checkNeverBack(instance, catalogue));
         node.start();
         return instance;
     }
@@ -298,7 +299,7 @@
         }
     }
 
-    private final class Fleet implements FleetView {
+    private final class Fleet implements FleetInventory {
 
         private final int index;
 
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
@@ -44,11 +44,11 @@
         second.work.onSent("a2", ENGINE, query(WorkClass.LONG_READ));
         mark();
         time.advanceMillis(1_000);
-        assertEquals(new TargetActivity.InFlight(true, 1, 2), first.drains.of("engine-1"));
+        assertEquals(new TargetActivity.RequestsInFlight(true, 1, 2), first.drains.requestsInFlight("engine-1"));
         second.work.onCompleted("a1", new Usage(1, 0, 1));
         second.work.onFailed("a2", new TargetFailure.Broken("cut"));
         time.advanceMillis(1_000);
-        assertEquals(new TargetActivity.InFlight(true, 0, 0), first.drains.of("engine-1"));
+        assertEquals(new TargetActivity.RequestsInFlight(true, 0, 0), first.drains.requestsInFlight("engine-1"));
     }
 
     /**
@@ -59,13 +59,13 @@
     void anInstanceThatDoesNotListTheTargetKeepsItBusy() {
         first.marked.add("engine-1");
         time.advanceMillis(1_000);
-        assertFalse(first.drains.of("engine-1").known());
+        assertFalse(first.drains.requestsInFlight("engine-1").complete());
         mark();
         time.advanceMillis(1_000);
-        assertTrue(first.drains.of("engine-1").known());
+        assertTrue(first.drains.requestsInFlight("engine-1").complete());
         second.cut = true;
         time.advanceMillis(9_000);
-        assertFalse(first.drains.of("engine-1").known());
+        assertFalse(first.drains.requestsInFlight("engine-1").complete());
     }
 
     @Test
--- a/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
+++ b/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
@@ -6,8 +6,8 @@
 
 import java.util.List;
 import org.dogwoodwinch.authority.AuthorityRecord;
+import org.dogwoodwinch.authority.FencingTokenRule;
 import org.dogwoodwinch.authority.PlannedChange;
-import org.dogwoodwinch.authority.TokenRule;
 import org.dogwoodwinch.target.EngineOrder;
 import org.dogwoodwinch.target.EngineRole;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -58,7 +58,7 @@
     @ParameterizedTest
     @ValueSource(longs = {20_000})
     void withoutFencingTheCheckerSeesTheLateOrder(long lateMillis) {
-        TokenRule equalTokens = _offset -> 1;
+        FencingTokenRule equalTokens = _offset -> 1;
         world = new ControlWorld(3, ControlWorld.policies(CheckpointRule.ALL_RECORDS_AT_HAND, 500, equalTokens));
         lateOrder("checking", lateMillis);
         world.run(30_000);
--- a/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CompletionStage;
+import org.dogwoodwinch.authority.OutOfServiceReason;
 import org.dogwoodwinch.authority.PlanState;
 import org.dogwoodwinch.authority.PlannedChange;
-import org.dogwoodwinch.authority.StandingMark;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.target.EngineRole;
 import org.dogwoodwinch.target.EngineState;
@@ -39,12 +39,12 @@
     @Test
     void urgentWorkIsNeverCut() {
         world.run(2_000);
-        world.inFlight.put("checking-1", new TargetActivity.InFlight(true, 1, 1));
+        world.inFlight.put("checking-1", new TargetActivity.RequestsInFlight(true, 1, 1));
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
         world.run(30_000);
         assertEquals(PlanState.DRAINING, state("p1"));
         assertEquals(List.of(), world.applied.get("checking-1"));
-        world.inFlight.put("checking-1", new TargetActivity.InFlight(false, 0, 0));
+        world.inFlight.put("checking-1", new TargetActivity.RequestsInFlight(false, 0, 0));
         world.run(5_000);
         assertEquals(PlanState.DRAINING, state("p1"));
         world.inFlight.remove("checking-1");
@@ -117,8 +117,8 @@
         world.run(8_000);
         assertEquals(Set.of("checking-1", "ignoring-1"), world.instance(0).node.outOfService());
         assertEquals(
-                StandingMark.WITHDRAWN,
-                world.truth().authority().plans().standing().get("ignoring-1"));
+                OutOfServiceReason.WITHDRAWN,
+                world.truth().authority().plans().outOfServiceReasons().get("ignoring-1"));
         request("p3", PlannedChange.of(PlannedChange.Kind.RESTORE, "checking-1"));
         world.run(500);
         assertEquals(Set.of("ignoring-1"), world.instance(0).node.outOfService());
@@ -129,7 +129,7 @@
     @Test
     void aPlanIsCancelledUntilItsOrderIsOnTheLog() {
         world.run(2_000);
-        world.inFlight.put("checking-1", new TargetActivity.InFlight(true, 1, 1));
+        world.inFlight.put("checking-1", new TargetActivity.RequestsInFlight(true, 1, 1));
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
         world.run(1_000);
         world.instance(1).node.cancelPlan("p1", "joao");
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.simple.RandomSource;
 import org.dogwoodwinch.admission.AdmissionDecision;
-import org.dogwoodwinch.authority.FleetView;
+import org.dogwoodwinch.authority.FleetInventory;
 import org.dogwoodwinch.authority.TargetActivity;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.catalogue.Catalogue;
@@ -71,12 +71,12 @@
                         new Fleet(number),
                         target -> {
                             int inFlight = run.engine(target).inFlight();
-                            return new TargetActivity.InFlight(true, inFlight, inFlight);
+                            return new TargetActivity.RequestsInFlight(true, inFlight, inFlight);
                         }),
                 ControlPolicies.STANDARD,
                 run.time,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(number + 100L * life));
-        control.catalogue().onChange(this::inForce);
+        control.catalogue().addListener(this::inForce);
         RequestSettings settings = RequestSettings.DEFAULT;
         claims = new LogClaimStore(
                 this,
@@ -208,7 +208,7 @@
     }
 
     /** The engines, and this instance's place in the order of claims. */
-    private final class Fleet implements FleetView {
+    private final class Fleet implements FleetInventory {
 
         private final int number;
 
--- a/src/test/java/org/dogwoodwinch/http/EdgeFixture.java
+++ b/src/test/java/org/dogwoodwinch/http/EdgeFixture.java
@@ -22,9 +22,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.dogwoodwinch.catalogue.ActiveCatalogue;
 import org.dogwoodwinch.catalogue.Catalogue;
 import org.dogwoodwinch.catalogue.CatalogueEntry;
-import org.dogwoodwinch.catalogue.CatalogueHolder;
 import org.dogwoodwinch.catalogue.Limits;
 import org.dogwoodwinch.catalogue.Owner;
 import org.dogwoodwinch.catalogue.TargetGroup;
@@ -43,7 +43,7 @@
     private final EventLoopGroup group = new NioEventLoopGroup(2);
     private final HttpListener listener;
     private final HttpClient http = HttpClient.newHttpClient();
-    private final CatalogueHolder catalogue = new CatalogueHolder();
+    private final ActiveCatalogue catalogue = new ActiveCatalogue();
     private final ScriptedHandler handler = new ScriptedHandler();
     private final InFlightRequests inFlight = new InFlightRequests();
     private volatile ServingState serving = ServingState.SERVING;
@@ -79,7 +79,7 @@
         String hash = Hashing.sha256().hashString(TOKEN, StandardCharsets.UTF_8).toString();
         Owner malabar = new Owner("malabar", List.of(hash), Limits.NONE);
         Owner other = new Owner("other", List.of(), Limits.NONE);
-        catalogue.offer(new Catalogue(
+        catalogue.replaceIfNewer(new Catalogue(
                 7,
                 new TreeMap<>(Map.of("malabar", malabar, "other", other)),
                 new TreeMap<>(Map.of(
