--- a/src/main/java/org/dogwoodwinch/control/FoldListener.java
+++ b/src/main/java/org/dogwoodwinch/control/AppliedRecordListener.java
@@ -2,12 +2,12 @@
 
 /** Hears what the fold made of each record, in log order. */
 @FunctionalInterface
-public interface FoldListener {
+public interface AppliedRecordListener {
 
     /**
      * Takes one record.
      *
-     * @param folded the record and what became of it, not null
+     * @param applied the record and what became of it, not null
      */
-    void onFolded(FoldedRecord folded);
+    void onApplied(FoldedRecord applied);
 }
--- a/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
+++ b/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
@@ -27,8 +27,8 @@
     private final AuthorityAgent agent;
     private final ControlServices services;
     private final TimeSource time;
-    private final Access access;
-    private final Consumer<ControlRecord> append;
+    private final LockedAccess access;
+    private final Consumer<ControlRecord> appender;
 
     /**
      * Creates a runner.
@@ -37,19 +37,19 @@
      * @param services reaches the engines and the weight store, not null
      * @param time gives the time, not null
      * @param access lets the agent and the fold be used, under their owner's lock, not null
-     * @param append puts a record on the control stream, not null
+     * @param appender puts a record on the control stream, not null
      */
     AuthorityRunner(
             AuthorityAgent agent,
             ControlServices services,
             TimeSource time,
-            Access access,
-            Consumer<ControlRecord> append) {
+            LockedAccess access,
+            Consumer<ControlRecord> appender) {
         this.agent = Objects.requireNonNull(agent, "agent");
         this.services = Objects.requireNonNull(services, "services");
         this.time = Objects.requireNonNull(time, "time");
         this.access = Objects.requireNonNull(access, "access");
-        this.append = Objects.requireNonNull(append, "append");
+        this.appender = Objects.requireNonNull(appender, "append");
     }
 
     /**
@@ -59,29 +59,29 @@
      */
     void run(List<AuthorityAction> actions) {
         for (AuthorityAction action : actions) {
-            if (action instanceof AuthorityAction.Append wanted) {
-                append.accept(wanted.record());
+            if (action instanceof AuthorityAction.Append append) {
+                appender.accept(append.record());
             } else if (action instanceof AuthorityAction.SendOrder send) {
                 send(send);
             } else if (action instanceof AuthorityAction.ReadState read) {
                 readState(read.engine());
             } else {
-                services.weights()
+                services.weightStore()
                         .allowedLoadsPerMinute()
-                        .whenComplete((allowed, failure) -> access.use(
-                                _fold -> agent.onWeightRate(failure != null ? 0 : allowed, time.monotonicMillis())));
+                        .whenComplete((allowed, failure) -> access.update(_authorityState ->
+                                agent.onWeightRate(failure != null ? 0 : allowed, time.monotonicMillis())));
             }
         }
     }
 
     private void send(AuthorityAction.SendOrder send) {
-        Optional<EngineClient> client = client(send.engine());
+        Optional<EngineClient> client = findClient(send.engine());
         if (client.isEmpty()) {
             onResult(send, new OrderResult.Refused("the engine is not in the instance list"));
             return;
         }
         // Asked here and not where it was decided: whatever time went by since, the lease covers the write.
-        if (!access.ask(fold -> agent.maySend(fold, send, time.monotonicMillis()))) {
+        if (!access.query(authorityState -> agent.maySend(authorityState, send, time.monotonicMillis()))) {
             onResult(send, new OrderResult.Refused("the lease has lapsed"));
             return;
         }
@@ -98,11 +98,12 @@
                 .with("token", send.order().fencingToken())
                 .with("result", result.getClass().getSimpleName())
                 .info(log);
-        access.use(_fold -> agent.onOrderResult(send.engine(), send.order().orderId(), result, time.monotonicMillis()));
+        access.update(_authorityState ->
+                agent.onOrderResult(send.engine(), send.order().orderId(), result, time.monotonicMillis()));
     }
 
     private void readState(String engine) {
-        client(engine)
+        findClient(engine)
                 .ifPresent(client -> client.state().whenComplete((reply, failure) -> {
                     if (failure == null) {
                         onState(engine, reply);
@@ -112,33 +113,33 @@
 
     private void onState(String engine, TargetReply<EngineState> reply) {
         if (reply instanceof TargetReply.Answer<EngineState> answer) {
-            access.use(_fold -> agent.onEngineState(engine, answer.value(), time.monotonicMillis()));
+            access.update(_authorityState -> agent.onEngineState(engine, answer.value(), time.monotonicMillis()));
         }
     }
 
-    private Optional<EngineClient> client(String engine) {
+    private Optional<EngineClient> findClient(String engine) {
         return services.fleet().engines().stream()
                 .filter(target -> target.name().equals(engine))
                 .findFirst()
-                .map((Target target) -> services.clients().engine(target));
+                .map((Target target) -> services.targetClients().engine(target));
     }
 
     /** Lets the agent be used under its owner's lock. */
-    interface Access {
+    interface LockedAccess {
 
         /**
          * Tells the agent something; the owner decides anew afterwards.
          *
-         * @param use takes the state as far as it was read, not null
+         * @param action takes the state as far as it was read, not null
          */
-        void use(Consumer<AuthorityFold> use);
+        void update(Consumer<AuthorityFold> action);
 
         /**
          * Asks the agent something.
          *
-         * @param question takes the state as far as it was read, not null
+         * @param predicate takes the state as far as it was read, not null
          * @return its answer
          */
-        boolean ask(Predicate<AuthorityFold> question);
+        boolean query(Predicate<AuthorityFold> predicate);
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
@@ -24,79 +24,80 @@
 final class CatalogueExchange {
 
     private static final String KEY = "catalogue";
-    private static final long KEEP_MILLIS = 60_000;
+    private static final long ITEM_TTL_MILLIS = 60_000;
     private static final long NEVER = Long.MIN_VALUE;
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
-    private final PeerBoard board;
-    private final CatalogueHolder holder;
-    private final BooleanSupplier publishes;
-    private final long gatherMillis;
-    private Catalogue newest = Catalogue.EMPTY;
-    private long firstHeardMillis = NEVER;
+    private final PeerBoard peerBoard;
+    private final CatalogueHolder catalogueHolder;
+    private final BooleanSupplier isPublisher;
+    private final long collectionMillis;
+    private Catalogue newestReceived = Catalogue.EMPTY;
+    private long firstReceivedMillis = NEVER;
     private long publishedRevision = Catalogue.NO_REVISION;
     private long publishedMillis = NEVER;
 
     /**
      * Creates the exchange and subscribes.
      *
-     * @param board carries the catalogues, not null
-     * @param holder what is in force here, not null
-     * @param publishes whether this instance is one of those that tell the others, not null
-     * @param gatherMillis how long to collect before the newest is taken, in milliseconds
+     * @param peerBoard carries the catalogues, not null
+     * @param catalogueHolder what is in force here, not null
+     * @param isPublisher whether this instance is one of those that tell the others, not null
+     * @param collectionMillis how long to collect before the newest is taken, in milliseconds
      */
-    CatalogueExchange(PeerBoard board, CatalogueHolder holder, BooleanSupplier publishes, long gatherMillis) {
-        this.board = Objects.requireNonNull(board, "board");
-        this.holder = Objects.requireNonNull(holder, "holder");
-        this.publishes = Objects.requireNonNull(publishes, "publishes");
-        this.gatherMillis = gatherMillis;
-        board.subscribe(PeerTopic.CATALOGUE, this::onItem);
+    CatalogueExchange(
+            PeerBoard peerBoard, CatalogueHolder catalogueHolder, BooleanSupplier isPublisher, long collectionMillis) {
+        this.peerBoard = Objects.requireNonNull(peerBoard, "board");
+        this.catalogueHolder = Objects.requireNonNull(catalogueHolder, "holder");
+        this.isPublisher = Objects.requireNonNull(isPublisher, "publishes");
+        this.collectionMillis = collectionMillis;
+        peerBoard.subscribe(PeerTopic.CATALOGUE, this::onItem);
     }
 
     /**
      * Publishes what is in force, and puts a peer's catalogue in force where the log is out and it is newer.
      *
-     * @param logOut whether the log does not answer
+     * @param logUnavailable whether the log does not answer
      * @param nowMillis the monotonic time in milliseconds
      */
-    synchronized void tick(boolean logOut, long nowMillis) {
-        if (newest.revision() > Catalogue.NO_REVISION && firstHeardMillis == NEVER) {
-            firstHeardMillis = nowMillis;
+    synchronized void tick(boolean logUnavailable, long nowMillis) {
+        if (newestReceived.revision() > Catalogue.NO_REVISION && firstReceivedMillis == NEVER) {
+            firstReceivedMillis = nowMillis;
         }
-        if (logOut && firstHeardMillis != NEVER && nowMillis - firstHeardMillis >= gatherMillis) {
-            holder.offer(newest);
+        if (logUnavailable && firstReceivedMillis != NEVER && nowMillis - firstReceivedMillis >= collectionMillis) {
+            catalogueHolder.offer(newestReceived);
         }
-        holder.current().ifPresent(catalogue -> publish(catalogue, nowMillis));
+        catalogueHolder.current().ifPresent(catalogue -> publish(catalogue, nowMillis));
     }
 
     private void publish(Catalogue catalogue, long nowMillis) {
         boolean isNew = catalogue.revision() > publishedRevision;
-        boolean isOld = publishedMillis == NEVER || nowMillis - publishedMillis >= KEEP_MILLIS / 3;
-        if ((!isNew && !isOld) || !publishes.getAsBoolean()) {
+        boolean isRefreshDue = publishedMillis == NEVER || nowMillis - publishedMillis >= ITEM_TTL_MILLIS / 3;
+        if ((!isNew && !isRefreshDue) || !isPublisher.getAsBoolean()) {
             return;
         }
         publishedRevision = catalogue.revision();
         publishedMillis = nowMillis;
         try {
             byte[] payload = MAPPER.writeValueAsBytes(CatalogueDocument.of(catalogue));
-            board.publish(PeerTopic.CATALOGUE, KEY, Bytes.of(payload), KEEP_MILLIS);
+            peerBoard.publish(PeerTopic.CATALOGUE, KEY, Bytes.of(payload), ITEM_TTL_MILLIS);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a catalogue is always writable", e);
         }
     }
 
     private synchronized void onItem(PeerItem item) {
-        Catalogue offered;
+        Catalogue received;
         try {
-            offered = MAPPER.readValue(item.payload().toByteArray(), CatalogueDocument.class)
+            received = MAPPER.readValue(item.payload().toByteArray(), CatalogueDocument.class)
                     .toCatalogue();
         } catch (IOException | IllegalArgumentException e) {
             // A peer of another version may write what this one does not read; it counts as not having spoken.
             return;
         }
-        if (offered.revision() > newest.revision()
-                && CatalogueRules.check(offered).isEmpty()) {
-            newest = offered;
+        if (received.revision() > newestReceived.revision()
+                && CatalogueRules.check(received).isEmpty()) {
+            newestReceived = received;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/FoldLoader.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
@@ -12,27 +12,28 @@
  *
  * <p>It keeps the records that it is given until a usable checkpoint comes by, and then folds the kept records onto it.
  */
-final class FoldLoader {
+final class CheckpointLoader {
 
     private final ControlCodec codec;
-    private final CheckpointRule rule;
-    private final long firstRead;
-    private final long leastCovered;
-    private final List<LogRecord> kept = new ArrayList<>();
+    private final CheckpointRule checkpointRule;
+    private final long firstReadOffset;
+    private final long previousCoveredOffset;
+    private final List<LogRecord> bufferedRecords = new ArrayList<>();
 
     /**
      * Creates a loader.
      *
      * @param codec reads the records, not null
-     * @param rule decides which checkpoints may be used, not null
-     * @param firstRead the offset from which on every record is given to {@link #offer(LogRecord)}
-     * @param leastCovered what this instance had folded before the gap; a state that covers less would be a step back
+     * @param checkpointRule decides which checkpoints may be used, not null
+     * @param firstReadOffset the offset from which on every record is given to {@link #accept(LogRecord)}
+     * @param previousCoveredOffset what this instance had folded before the gap; a state that covers less would be a step back
      */
-    FoldLoader(ControlCodec codec, CheckpointRule rule, long firstRead, long leastCovered) {
+    CheckpointLoader(
+            ControlCodec codec, CheckpointRule checkpointRule, long firstReadOffset, long previousCoveredOffset) {
         this.codec = Objects.requireNonNull(codec, "codec");
-        this.rule = Objects.requireNonNull(rule, "rule");
-        this.firstRead = firstRead;
-        this.leastCovered = leastCovered;
+        this.checkpointRule = Objects.requireNonNull(checkpointRule, "rule");
+        this.firstReadOffset = firstReadOffset;
+        this.previousCoveredOffset = previousCoveredOffset;
     }
 
     /**
@@ -41,12 +42,12 @@
      * @param logRecord the record, not null
      * @return the fold up to this record once there is a usable checkpoint
      */
-    Optional<ControlFold> offer(LogRecord logRecord) {
-        kept.add(logRecord);
+    Optional<ControlFold> accept(LogRecord logRecord) {
+        bufferedRecords.add(logRecord);
         return usableSnapshot(logRecord).map(snapshot -> {
-            ControlFold fold = new ControlFold(codec, snapshot);
-            kept.forEach(fold::apply);
-            return fold;
+            ControlFold stateMachine = new ControlFold(codec, snapshot);
+            bufferedRecords.forEach(stateMachine::apply);
+            return stateMachine;
         });
     }
 
@@ -55,8 +56,8 @@
         if (record.isPresent()
                 && record.get() instanceof Checkpoint checkpoint
                 && checkpoint.snapshot().coveredOffset() < logRecord.offset()
-                && logRecord.offset() > leastCovered
-                && rule.usable(checkpoint.snapshot().coveredOffset(), firstRead)) {
+                && logRecord.offset() > previousCoveredOffset
+                && checkpointRule.isUsable(checkpoint.snapshot().coveredOffset(), firstReadOffset)) {
             return Optional.of(checkpoint.snapshot());
         }
         return Optional.empty();
--- a/src/main/java/org/dogwoodwinch/control/CheckpointRule.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointRule.java
@@ -12,14 +12,14 @@
      * expired, building on it would lose accepted edits for good. Reading began at {@code firstRead}, so nothing is
      * missing exactly when the covered offset is at most one before that.
      */
-    CheckpointRule ALL_RECORDS_AT_HAND = (coveredOffset, firstRead) -> coveredOffset + 1 >= firstRead;
+    CheckpointRule NO_MISSING_RECORDS = (coveredOffset, firstReadOffset) -> coveredOffset + 1 >= firstReadOffset;
 
     /**
      * Decides.
      *
      * @param coveredOffset the last offset that the checkpoint has folded in
-     * @param firstRead the offset from which on every record was read
+     * @param firstReadOffset the offset from which on every record was read
      * @return whether the checkpoint may be used
      */
-    boolean usable(long coveredOffset, long firstRead);
+    boolean isUsable(long coveredOffset, long firstReadOffset);
 }
--- a/src/main/java/org/dogwoodwinch/control/CheckpointClock.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointSchedule.java
@@ -11,28 +11,28 @@
  * paused writer's old checkpoint, published late, must not put off the next one until the records after it have expired.
  * Each instance adds a random part to the wait, so that mostly one of them publishes and the others see it in time.
  */
-final class CheckpointClock {
+final class CheckpointSchedule {
 
-    private static final int MARKS = 64;
-    private static final int START_DIVISOR = 4;
+    private static final int MAX_READ_POSITIONS = 64;
+    private static final int INTERVAL_DIVISOR = 4;
 
-    private final long everyMillis;
-    private final int everyRecords;
+    private final long intervalMillis;
+    private final int intervalRecords;
     private final UniformRandomProvider random;
-    private final Deque<Mark> marks = new ArrayDeque<>();
+    private final Deque<ReadPosition> readPositions = new ArrayDeque<>();
     private long dueMillis = Long.MAX_VALUE;
     private long coveredOffset = -1;
 
     /**
      * Creates the clock.
      *
-     * @param everyMillis the wait between checkpoints, in milliseconds
-     * @param everyRecords the records between checkpoints
+     * @param intervalMillis the wait between checkpoints, in milliseconds
+     * @param intervalRecords the records between checkpoints
      * @param random spreads the instances, not null
      */
-    CheckpointClock(long everyMillis, int everyRecords, UniformRandomProvider random) {
-        this.everyMillis = everyMillis;
-        this.everyRecords = everyRecords;
+    CheckpointSchedule(long intervalMillis, int intervalRecords, UniformRandomProvider random) {
+        this.intervalMillis = intervalMillis;
+        this.intervalRecords = intervalRecords;
         this.random = random;
     }
 
@@ -45,13 +45,14 @@
     void onProgress(long offset, long nowMillis) {
         if (dueMillis == Long.MAX_VALUE) {
             // A fresh instance does not know how old the last checkpoint is.
-            dueMillis = nowMillis + everyMillis / START_DIVISOR + jitterMillis();
+            dueMillis = nowMillis + intervalMillis / INTERVAL_DIVISOR + jitterMillis();
             coveredOffset = offset;
         }
-        if (marks.isEmpty() || nowMillis - marks.peekLast().readMillis() >= everyMillis * 2 / MARKS) {
-            marks.addLast(new Mark(offset, nowMillis));
-            if (marks.size() > MARKS) {
-                marks.removeFirst();
+        if (readPositions.isEmpty()
+                || nowMillis - readPositions.peekLast().readMillis() >= intervalMillis * 2 / MAX_READ_POSITIONS) {
+            readPositions.addLast(new ReadPosition(offset, nowMillis));
+            if (readPositions.size() > MAX_READ_POSITIONS) {
+                readPositions.removeFirst();
             }
         }
     }
@@ -59,21 +60,21 @@
     /**
      * Notes a checkpoint that was read.
      *
-     * @param covered the last offset that it has folded in
+     * @param checkpointOffset the last offset that it has folded in
      */
-    void onCheckpoint(long covered) {
-        if (covered < coveredOffset) {
+    void onCheckpoint(long checkpointOffset) {
+        if (checkpointOffset < coveredOffset) {
             return;
         }
         long readMillis = Long.MIN_VALUE;
-        for (Mark mark : marks) {
-            if (mark.offset() <= covered) {
-                readMillis = mark.readMillis();
+        for (ReadPosition position : readPositions) {
+            if (position.offset() <= checkpointOffset) {
+                readMillis = position.readMillis();
             }
         }
         if (readMillis != Long.MIN_VALUE) {
-            coveredOffset = covered;
-            dueMillis = readMillis + everyMillis + jitterMillis();
+            coveredOffset = checkpointOffset;
+            dueMillis = readMillis + intervalMillis + jitterMillis();
         }
     }
 
@@ -85,21 +86,21 @@
      * @return whether to publish one now
      */
     boolean takeDue(long offset, long nowMillis) {
-        boolean due = nowMillis >= dueMillis || offset - coveredOffset >= everyRecords + jitterRecords();
+        boolean due = nowMillis >= dueMillis || offset - coveredOffset >= intervalRecords + jitterRecords();
         if (due) {
-            dueMillis = nowMillis + everyMillis / START_DIVISOR;
+            dueMillis = nowMillis + intervalMillis / INTERVAL_DIVISOR;
             coveredOffset = offset;
         }
         return due;
     }
 
     private long jitterMillis() {
-        return random.nextLong(Math.max(1, everyMillis / START_DIVISOR));
+        return random.nextLong(Math.max(1, intervalMillis / INTERVAL_DIVISOR));
     }
 
     private int jitterRecords() {
-        return random.nextInt(Math.max(1, everyRecords / START_DIVISOR));
+        return random.nextInt(Math.max(1, intervalRecords / INTERVAL_DIVISOR));
     }
 
-    private record Mark(long offset, long readMillis) {}
+    private record ReadPosition(long offset, long readMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
@@ -26,9 +26,9 @@
     private static final String CATALOGUE = PREFIX + "catalogue";
     private static final String EDITS = CATALOGUE + "/edits";
     private static final String PLANS = PREFIX + "plans";
-    private static final String CANCEL = "/cancel";
+    private static final String CANCEL_SUFFIX = "/cancel";
     private static final int OK = 200;
-    private static final int ACCEPTED_FOR_LATER = 202;
+    private static final int ACCEPTED = 202;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
@@ -37,7 +37,7 @@
 
     private final ControlApi api;
     private final ObjectMapper mapper = new ObjectMapper();
-    private final CatalogueCodec catalogues = new CatalogueCodec();
+    private final CatalogueCodec catalogueCodec = new CatalogueCodec();
 
     /**
      * Creates the endpoint.
@@ -62,78 +62,79 @@
         }
         if (method.equals("POST") && path.equals(EDITS)) {
             return post(
-                    body, EditRequest.class, request -> api.applyEdit(request).thenApply(this::applied));
+                    body, EditRequest.class, request -> api.applyEdit(request).thenApply(this::editResponse));
         }
         if (method.equals("POST") && path.equals(PLANS)) {
             return post(
-                    body, PlanRequest.class, request -> api.requestPlan(request).thenApply(this::planned));
+                    body, PlanRequest.class, request -> api.requestPlan(request).thenApply(this::planResponse));
         }
-        if (method.equals("POST") && path.startsWith(PLANS + "/") && path.endsWith(CANCEL)) {
-            String planId = path.substring(PLANS.length() + 1, path.length() - CANCEL.length());
+        if (method.equals("POST") && path.startsWith(PLANS + "/") && path.endsWith(CANCEL_SUFFIX)) {
+            String planId = path.substring(PLANS.length() + 1, path.length() - CANCEL_SUFFIX.length());
             return post(
                     body,
                     CancelRequest.class,
-                    request -> api.cancelPlan(planId, request.author()).thenApply(this::planned));
+                    request -> api.cancelPlan(planId, request.author()).thenApply(this::planResponse));
         }
-        return CompletableFuture.completedFuture(problem(NOT_FOUND, "there is nothing at " + method + " " + path));
+        return CompletableFuture.completedFuture(
+                problemResponse(NOT_FOUND, "there is nothing at " + method + " " + path));
     }
 
     private ControlResponse get(String path) {
         if (path.equals(PREFIX + "status")) {
-            return json(OK, api.status());
+            return jsonResponse(OK, api.status());
         }
         if (path.equals(CATALOGUE)) {
             return api.catalogue()
                     .current()
-                    .map(this::catalogue)
+                    .map(this::catalogueResponse)
                     .orElseGet(() -> api.status().caughtUp()
-                            ? catalogue(Catalogue.EMPTY)
-                            : problem(UNAVAILABLE, "this instance has no catalogue yet"));
+                            ? catalogueResponse(Catalogue.EMPTY)
+                            : problemResponse(UNAVAILABLE, "this instance has no catalogue yet"));
         }
         if (path.equals(CATALOGUE + "/history")) {
-            return json(OK, api.history());
+            return jsonResponse(OK, api.history());
         }
         if (path.startsWith(EDITS + "/")) {
-            return applied(api.editStatus(path.substring(EDITS.length() + 1)));
+            return editResponse(api.editStatus(path.substring(EDITS.length() + 1)));
         }
         if (path.equals(PLANS)) {
-            return json(OK, api.plans());
+            return jsonResponse(OK, api.plans());
         }
         if (path.startsWith(PLANS + "/")) {
-            return planned(api.planStatus(path.substring(PLANS.length() + 1)));
+            return planResponse(api.planStatus(path.substring(PLANS.length() + 1)));
         }
-        return problem(NOT_FOUND, "there is nothing at GET " + path);
+        return problemResponse(NOT_FOUND, "there is nothing at GET " + path);
     }
 
-    private ControlResponse catalogue(Catalogue catalogue) {
-        return new ControlResponse(OK, "application/json", catalogues.write(catalogue));
+    private ControlResponse catalogueResponse(Catalogue catalogue) {
+        return new ControlResponse(OK, "application/json", catalogueCodec.write(catalogue));
     }
 
     private <T> CompletionStage<ControlResponse> post(
-            String body, Class<T> type, Function<T, CompletionStage<ControlResponse>> serve) {
+            String body, Class<T> type, Function<T, CompletionStage<ControlResponse>> handler) {
         T request;
         try {
             request = mapper.readValue(body, type);
         } catch (JsonProcessingException e) {
-            return CompletableFuture.completedFuture(problem(BAD_REQUEST, e.getOriginalMessage()));
+            return CompletableFuture.completedFuture(problemResponse(BAD_REQUEST, e.getOriginalMessage()));
         }
         return request == null
-                ? CompletableFuture.completedFuture(problem(BAD_REQUEST, "an object is wanted"))
-                : serve.apply(request);
+                ? CompletableFuture.completedFuture(problemResponse(BAD_REQUEST, "an object is wanted"))
+                : handler.apply(request);
     }
 
-    private ControlResponse planned(PlanAnswer answer) {
+    private ControlResponse planResponse(PlanAnswer answer) {
         int status = switch (answer.verdict()) {
             case TAKEN -> OK;
             case REFUSED -> CONFLICT;
-            case UNKNOWN_YET -> ACCEPTED_FOR_LATER;
+            case UNKNOWN_YET -> ACCEPTED;
         };
-        return json(status, answer);
+        return jsonResponse(status, answer);
     }
 
-    private ControlResponse applied(ApplyResult result) {
+    private ControlResponse editResponse(ApplyResult result) {
         ApplyAnswer answer = ApplyAnswer.of(result);
-        return json(statusOf(answer.verdict()), answer);
+        return jsonResponse(statusOf(answer.verdict()), answer);
     }
 
     private static int statusOf(ApplyAnswer.Verdict verdict) {
@@ -141,15 +142,15 @@
             case ACCEPTED -> OK;
             case REJECTED -> CONFLICT;
             case FAULTY -> UNPROCESSABLE;
-            case UNKNOWN_YET -> ACCEPTED_FOR_LATER;
+            case UNKNOWN_YET -> ACCEPTED;
         };
     }
 
-    private ControlResponse problem(int status, String detail) {
+    private ControlResponse problemResponse(int status, String detail) {
         return new ControlResponse(status, "application/problem+json", write(new Problem("control", status, detail)));
     }
 
-    private ControlResponse json(int status, Object value) {
+    private ControlResponse jsonResponse(int status, Object value) {
         return new ControlResponse(status, "application/json", write(value));
     }
 
--- a/src/main/java/org/dogwoodwinch/control/ControlFold.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlFold.java
@@ -48,7 +48,7 @@
             return Optional.empty();
         }
         coveredOffset = logRecord.offset();
-        return codec.decode(logRecord.payload()).map(record -> fold(logRecord.offset(), record));
+        return codec.decode(logRecord.payload()).map(record -> applyRecord(logRecord.offset(), record));
     }
 
     /**
@@ -88,7 +88,7 @@
                 coveredOffset, recentIds.snapshot(), catalogue.catalogue(), catalogue.history(), authority.snapshot());
     }
 
-    private FoldedRecord fold(long offset, ControlRecord record) {
+    private FoldedRecord applyRecord(long offset, ControlRecord record) {
         if (record instanceof Checkpoint) {
             return new FoldedRecord(offset, record, true, "");
         }
@@ -99,8 +99,8 @@
             String detail = catalogue
                     .apply(offset, edit)
                     .match(
-                            _accepted -> "",
-                            outrun -> "revision " + outrun.winnerRevision() + " is in force",
+                            _applied -> "",
+                            rejected -> "revision " + rejected.winnerRevision() + " is in force",
                             EditOutcome.Invalid::detail);
             return new FoldedRecord(offset, record, detail.isEmpty(), detail);
         }
--- a/src/main/java/org/dogwoodwinch/control/ControlNode.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlNode.java
@@ -38,7 +38,7 @@
 public final class ControlNode implements ControlApi {
 
     private static final Logger log = LoggerFactory.getLogger(ControlNode.class);
-    private static final long ANSWER_MILLIS = 9_500;
+    private static final long ANSWER_TIMEOUT_MILLIS = 9_500;
     private static final String NOT_CAUGHT_UP = "this instance has not read the log to its end yet";
 
     private final ControlSettings settings;
@@ -46,11 +46,11 @@
     private final TimeSource time;
     private final UniformRandomProvider random;
     private final ControlCodec codec = new ControlCodec();
-    private final CatalogueHolder holder = new CatalogueHolder();
-    private final EditDesk edits = new EditDesk(this::later);
-    private final ReadBacks readBacks = new ReadBacks(this::later);
-    private final CheckpointClock checkpoints;
-    private final CatalogueExchange exchange;
+    private final CatalogueHolder catalogueHolder = new CatalogueHolder();
+    private final EditProcessor editProcessor = new EditProcessor(this::runAsync);
+    private final PendingRecords pendingRecords = new PendingRecords(this::runAsync);
+    private final CheckpointSchedule checkpointSchedule;
+    private final CatalogueExchange catalogueExchange;
     private final ControlReader reader;
     private final LogFollower follower;
     private final AuthorityAgent agent;
@@ -79,10 +79,14 @@
         this.services = Objects.requireNonNull(services, "services");
         this.time = Objects.requireNonNull(time, "time");
         this.random = Objects.requireNonNull(random, "random");
-        this.checkpoints = new CheckpointClock(settings.checkpointMillis(), settings.checkpointRecords(), random);
-        this.exchange = new CatalogueExchange(
-                services.board(), holder, services.publishesToPeers(), settings.peerGatherMillis());
-        this.reader = new ControlReader(codec, policies.checkpoints(), this::onFolded);
+        this.checkpointSchedule =
+                new CheckpointSchedule(settings.checkpointMillis(), settings.checkpointRecords(), random);
+        this.catalogueExchange = new CatalogueExchange(
+                services.peerBoard(),
+                catalogueHolder,
+                services.isCataloguePublisher(),
+                settings.peerCollectionMillis());
+        this.reader = new ControlReader(codec, policies.checkpoints(), this::onApplied);
         this.follower = new LogFollower(
                 services.log(), settings.follower(), time, new LockedReader(this, reader, this::afterRead));
         // A restarted process has forgotten when it sent its renewals, so it must not pass for its predecessor.
@@ -92,7 +96,7 @@
                 policies.orders(),
                 this::newId,
                 services.fleet(),
-                services.activity(),
+                services.targetActivity(),
                 this::checksFencing);
         this.runner = new AuthorityRunner(agent, services, time, new AgentAccess(), this::publish);
     }
@@ -117,7 +121,7 @@
         Optional<AuthorityRecord> release;
         synchronized (this) {
             stopping = true;
-            release = agent.release(reader.fold().authority());
+            release = agent.release(reader.stateMachine().authority());
         }
         release.ifPresent(this::publish);
     }
@@ -132,63 +136,65 @@
 
     @Override
     public CatalogueView catalogue() {
-        return holder;
+        return catalogueHolder;
     }
 
     @Override
     public CompletionStage<ApplyResult> applyEdit(EditRequest request) {
-        EditDesk.Intake intake;
+        EditProcessor.Decision decision;
         CompletionStage<ApplyResult> answer;
         synchronized (this) {
-            intake = reader.isCaughtUp()
-                    ? edits.take(request, reader.fold().catalogue(), time.wallMillis())
-                    : EditDesk.Intake.answered(new ApplyResult.UnknownYet(request.editId(), NOT_CAUGHT_UP));
-            answer = intake.answer()
+            decision = reader.isCaughtUp()
+                    ? editProcessor.prepare(request, reader.stateMachine().catalogue(), time.wallMillis())
+                    : EditProcessor.Decision.withResult(new ApplyResult.UnknownYet(request.editId(), NOT_CAUGHT_UP));
+            answer = decision.result()
                     .<CompletionStage<ApplyResult>>map(CompletableFuture::completedFuture)
-                    .orElseGet(() -> edits.await(request.editId(), time.monotonicMillis() + ANSWER_MILLIS));
+                    .orElseGet(() ->
+                            editProcessor.await(request.editId(), time.monotonicMillis() + ANSWER_TIMEOUT_MILLIS));
         }
-        intake.edit().ifPresent(this::publish);
+        decision.edit().ifPresent(this::publish);
         return answer;
     }
 
     @Override
     public synchronized ApplyResult editStatus(String editId) {
-        return reader.fold()
+        return reader.stateMachine()
                 .catalogue()
                 .find(editId)
-                .map(EditDesk::result)
+                .map(EditProcessor::result)
                 .orElseGet(
                         () -> new ApplyResult.UnknownYet(editId, "not read from the log as far as this instance is"));
     }
 
     @Override
     public synchronized List<EditRecord> history() {
-        return reader.fold().catalogue().history();
+        return reader.stateMachine().catalogue().history();
     }
 
     @Override
     public CompletionStage<PlanAnswer> requestPlan(PlanRequest request) {
         AuthorityRecord record;
         synchronized (this) {
-            Optional<PlanRecord> known = reader.fold().authority().plans().plan(request.planId());
-            if (known.isPresent() || !reader.isCaughtUp()) {
+            Optional<PlanRecord> existing =
+                    reader.stateMachine().authority().plans().plan(request.planId());
+            if (existing.isPresent() || !reader.isCaughtUp()) {
                 return CompletableFuture.completedFuture(
-                        known.isPresent()
-                                ? PlanAnswer.of(request.planId(), known)
+                        existing.isPresent()
+                                ? PlanAnswer.of(request.planId(), existing)
                                 : PlanAnswer.unknownYet(request.planId(), NOT_CAUGHT_UP));
             }
-            PlanChecks.Checked checked =
-                    PlanChecks.check(request.change(), services.fleet().engines());
-            if (checked.fault().isPresent()) {
+            PlanValidator.Result validation =
+                    PlanValidator.validate(request.change(), services.fleet().engines());
+            if (validation.error().isPresent()) {
                 return CompletableFuture.completedFuture(
-                        PlanAnswer.refused(request.planId(), checked.fault().get()));
+                        PlanAnswer.refused(request.planId(), validation.error().get()));
             }
             record = new AuthorityRecord.PlanRequested(
                     request.planId(),
                     request.author(),
                     time.wallMillis(),
-                    reader.fold().coveredOffset(),
-                    checked.change().orElseThrow());
+                    reader.stateMachine().coveredOffset(),
+                    validation.change().orElseThrow());
         }
         return publishAndAwait(record, request.planId());
     }
@@ -204,33 +210,33 @@
 
     @Override
     public synchronized PlanAnswer planStatus(String planId) {
-        return PlanAnswer.of(planId, reader.fold().authority().plans().plan(planId));
+        return PlanAnswer.of(planId, reader.stateMachine().authority().plans().plan(planId));
     }
 
     @Override
     public synchronized List<PlanRecord> plans() {
-        return List.copyOf(reader.fold().authority().plans().plans());
+        return List.copyOf(reader.stateMachine().authority().plans().plans());
     }
 
     @Override
     public synchronized Set<String> outOfService() {
-        return reader.fold().authority().plans().outOfService();
+        return reader.stateMachine().authority().plans().outOfService();
     }
 
     @Override
     public synchronized List<String> liveGroups() {
-        return agent.liveGroups(reader.fold().authority(), time.monotonicMillis());
+        return agent.liveGroups(reader.stateMachine().authority(), time.monotonicMillis());
     }
 
     @Override
     public synchronized ControlStatus status() {
         return new ControlStatus(
                 settings.instance(),
-                holder.current().map(Catalogue::revision).orElse(Catalogue.NO_REVISION),
-                reader.fold().coveredOffset(),
+                catalogueHolder.current().map(Catalogue::revision).orElse(Catalogue.NO_REVISION),
+                reader.stateMachine().coveredOffset(),
                 reader.endOffset(),
                 reader.isCaughtUp(),
-                reader.isLogOut(),
+                reader.isLogUnavailable(),
                 appendCount.get());
     }
 
@@ -240,18 +246,19 @@
      * @return the copy
      */
     public synchronized ControlSnapshot snapshot() {
-        return reader.fold().snapshot();
+        return reader.stateMachine().snapshot();
     }
 
     private CompletionStage<PlanAnswer> publishAndAwait(AuthorityRecord record, String planId) {
-        CompletionStage<Optional<FoldedRecord>> readBack;
+        CompletionStage<Optional<FoldedRecord>> appliedFuture;
         synchronized (this) {
-            readBack = readBacks.await(record.id(), time.monotonicMillis() + ANSWER_MILLIS);
+            appliedFuture = pendingRecords.await(record.id(), time.monotonicMillis() + ANSWER_TIMEOUT_MILLIS);
         }
         publish(record);
-        return readBack.thenApply(folded -> folded.isPresent() && !folded.get().accepted()
-                ? PlanAnswer.refused(planId, folded.get().detail())
-                : planStatus(planId));
+        return appliedFuture.thenApply(
+                applied -> applied.isPresent() && !applied.get().accepted()
+                        ? PlanAnswer.refused(planId, applied.get().rejectionReason())
+                        : planStatus(planId));
     }
 
     private void publish(ControlRecord record) {
@@ -272,32 +279,32 @@
     }
 
     private void tick() {
-        Optional<Checkpoint> due;
+        Optional<Checkpoint> checkpoint;
         synchronized (this) {
             if (!running) {
                 return;
             }
             long nowMillis = time.monotonicMillis();
-            edits.settle(reader.fold().catalogue(), nowMillis);
-            readBacks.expire(nowMillis);
-            exchange.tick(reader.isLogOut() || reader.isMissingRecords(), nowMillis);
-            due = dueCheckpoint(nowMillis);
+            editProcessor.completePending(reader.stateMachine().catalogue(), nowMillis);
+            pendingRecords.expire(nowMillis);
+            catalogueExchange.tick(reader.isLogUnavailable() || reader.isMissingRecords(), nowMillis);
+            checkpoint = dueCheckpoint(nowMillis);
         }
-        due.ifPresent(this::publish);
+        checkpoint.ifPresent(this::publish);
         decide();
         time.schedule(settings.tickMillis(), this::tick);
     }
 
     private Optional<Checkpoint> dueCheckpoint(long nowMillis) {
-        long coveredOffset = reader.fold().coveredOffset();
-        if (!reader.isCaughtUp() || reader.isLogOut() || coveredOffset < 0) {
+        long coveredOffset = reader.stateMachine().coveredOffset();
+        if (!reader.isCaughtUp() || reader.isLogUnavailable() || coveredOffset < 0) {
             return Optional.empty();
         }
-        checkpoints.onProgress(coveredOffset, nowMillis);
-        if (!checkpoints.takeDue(coveredOffset, nowMillis)) {
+        checkpointSchedule.onProgress(coveredOffset, nowMillis);
+        if (!checkpointSchedule.takeDue(coveredOffset, nowMillis)) {
             return Optional.empty();
         }
-        return Optional.of(new Checkpoint(newId(), reader.fold().snapshot()));
+        return Optional.of(new Checkpoint(newId(), reader.stateMachine().snapshot()));
     }
 
     private void decide() {
@@ -307,20 +314,21 @@
             if (!running || stopping || !reader.isCaughtUp()) {
                 return;
             }
-            actions = agent.decide(reader.fold().authority(), reader.isLogOut(), time.monotonicMillis());
+            actions =
+                    agent.decide(reader.stateMachine().authority(), reader.isLogUnavailable(), time.monotonicMillis());
         }
         runner.run(actions);
     }
 
     /** To be called under the lock. */
-    private void decideSoon() {
+    private void scheduleDecision() {
         if (!decisionScheduled && running) {
             decisionScheduled = true;
-            later(this::decide);
+            runAsync(this::decide);
         }
     }
 
-    private void later(Runnable task) {
+    private void runAsync(Runnable task) {
         time.schedule(0, task);
     }
 
@@ -329,7 +337,7 @@
     }
 
     private boolean checksFencing(String group) {
-        return reader.fold()
+        return reader.stateMachine()
                 .catalogue()
                 .catalogue()
                 .group(group)
@@ -337,12 +345,12 @@
                 .isPresent();
     }
 
-    private void onFolded(FoldedRecord folded) {
-        readBacks.onFolded(folded);
-        if (folded.record() instanceof Checkpoint checkpoint) {
-            checkpoints.onCheckpoint(checkpoint.snapshot().coveredOffset());
-        } else if (folded.record() instanceof AuthorityRecord record) {
-            agent.onFolded(reader.fold().authority(), folded.offset(), record);
+    private void onApplied(FoldedRecord applied) {
+        pendingRecords.onApplied(applied);
+        if (applied.record() instanceof Checkpoint checkpoint) {
+            checkpointSchedule.onCheckpoint(checkpoint.snapshot().coveredOffset());
+        } else if (applied.record() instanceof AuthorityRecord record) {
+            agent.onFolded(reader.stateMachine().authority(), applied.offset(), record);
         }
     }
 
@@ -350,27 +358,27 @@
         // While it catches up, a starter passes through old revisions; serving them would show callers a catalogue
         // that has long been replaced.
         if (reader.isCaughtUp()) {
-            holder.offer(reader.fold().catalogue().catalogue());
+            catalogueHolder.offer(reader.stateMachine().catalogue().catalogue());
         }
-        edits.settle(reader.fold().catalogue(), time.monotonicMillis());
-        decideSoon();
+        editProcessor.completePending(reader.stateMachine().catalogue(), time.monotonicMillis());
+        scheduleDecision();
     }
 
     /** Lets the runner use the agent under this node's lock. */
-    private final class AgentAccess implements AuthorityRunner.Access {
+    private final class AgentAccess implements AuthorityRunner.LockedAccess {
 
         @Override
-        public void use(Consumer<AuthorityFold> use) {
+        public void update(Consumer<AuthorityFold> action) {
             synchronized (ControlNode.this) {
-                use.accept(reader.fold().authority());
-                decideSoon();
+                action.accept(reader.stateMachine().authority());
+                scheduleDecision();
             }
         }
 
         @Override
-        public boolean ask(Predicate<AuthorityFold> question) {
+        public boolean query(Predicate<AuthorityFold> predicate) {
             synchronized (ControlNode.this) {
-                return question.test(reader.fold().authority());
+                return predicate.test(reader.stateMachine().authority());
             }
         }
     }
--- a/src/main/java/org/dogwoodwinch/control/ControlPolicies.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlPolicies.java
@@ -15,7 +15,7 @@
 
     /** What daemons use. */
     public static final ControlPolicies STANDARD =
-            new ControlPolicies(CheckpointRule.ALL_RECORDS_AT_HAND, LeasePolicy.STANDARD, OrderPolicy.STANDARD);
+            new ControlPolicies(CheckpointRule.NO_MISSING_RECORDS, LeasePolicy.STANDARD, OrderPolicy.STANDARD);
 
     /** Checks the parts. */
     public ControlPolicies {
--- a/src/main/java/org/dogwoodwinch/control/ControlReader.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlReader.java
@@ -13,52 +13,53 @@
 final class ControlReader implements FollowerListener {
 
     private final ControlCodec codec;
-    private final CheckpointRule rule;
-    private final FoldListener listener;
-    private ControlFold fold;
-    private FoldLoader loader;
+    private final CheckpointRule checkpointRule;
+    private final AppliedRecordListener listener;
+    private ControlFold stateMachine;
+    private CheckpointLoader checkpointLoader;
     private boolean caughtUp;
-    private boolean logOut;
+    private boolean logUnavailable;
     private long endOffset = -1;
 
     /**
      * Creates a reader at the beginning of the stream.
      *
      * @param codec reads the records, not null
-     * @param rule decides which checkpoints may be used, not null
+     * @param checkpointRule decides which checkpoints may be used, not null
      * @param listener hears the records that are folded one by one, not null
      */
-    ControlReader(ControlCodec codec, CheckpointRule rule, FoldListener listener) {
+    ControlReader(ControlCodec codec, CheckpointRule checkpointRule, AppliedRecordListener listener) {
         this.codec = Objects.requireNonNull(codec, "codec");
-        this.rule = Objects.requireNonNull(rule, "rule");
+        this.checkpointRule = Objects.requireNonNull(checkpointRule, "rule");
         this.listener = Objects.requireNonNull(listener, "listener");
-        this.fold = new ControlFold(codec, ControlSnapshot.EMPTY);
+        this.stateMachine = new ControlFold(codec, ControlSnapshot.EMPTY);
     }
 
     @Override
     public void onRecords(ReadResult.Records records) {
-        logOut = false;
+        logUnavailable = false;
         endOffset = records.endOffset();
-        records.records().forEach(this::take);
+        records.records().forEach(this::applyOrBuffer);
         long nextOffset = records.records().isEmpty()
                 ? records.endOffset()
                 : records.records().get(records.records().size() - 1).offset() + 1;
-        if (loader == null && nextOffset >= records.endOffset()) {
+        if (checkpointLoader == null && nextOffset >= records.endOffset()) {
             caughtUp = true;
         }
     }
 
     @Override
     public void onExpired(ReadResult.Expired expired) {
-        logOut = false;
+        logUnavailable = false;
         caughtUp = false;
         endOffset = expired.endOffset();
-        loader = new FoldLoader(codec, rule, expired.firstRetainedOffset(), fold.coveredOffset());
+        checkpointLoader = new CheckpointLoader(
+                codec, checkpointRule, expired.firstRetainedOffset(), stateMachine.coveredOffset());
     }
 
     @Override
     public void onUnavailable(String _detail) {
-        logOut = true;
+        logUnavailable = true;
     }
 
     /**
@@ -66,8 +67,8 @@
      *
      * @return the fold; only as new as the last usable record while {@link #isCaughtUp()} is false
      */
-    ControlFold fold() {
-        return fold;
+    ControlFold stateMachine() {
+        return stateMachine;
     }
 
     /**
@@ -84,8 +85,8 @@
      *
      * @return true while the log does not answer
      */
-    boolean isLogOut() {
-        return logOut;
+    boolean isLogUnavailable() {
+        return logUnavailable;
     }
 
     /**
@@ -94,7 +95,7 @@
      * @return true until a usable checkpoint comes by
      */
     boolean isMissingRecords() {
-        return loader != null;
+        return checkpointLoader != null;
     }
 
     /**
@@ -106,15 +107,15 @@
         return endOffset;
     }
 
-    private void take(LogRecord logRecord) {
-        if (loader == null) {
-            fold.apply(logRecord).ifPresent(listener::onFolded);
+    private void applyOrBuffer(LogRecord logRecord) {
+        if (checkpointLoader == null) {
+            stateMachine.apply(logRecord).ifPresent(listener::onApplied);
             return;
         }
-        Optional<ControlFold> loaded = loader.offer(logRecord);
+        Optional<ControlFold> loaded = checkpointLoader.accept(logRecord);
         if (loaded.isPresent()) {
-            fold = loaded.get();
-            loader = null;
+            stateMachine = loaded.get();
+            checkpointLoader = null;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlServices.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlServices.java
@@ -13,30 +13,30 @@
  * What a {@link ControlNode} reaches outside itself.
  *
  * @param log the platform's log, not null
- * @param weights the platform's weight store, not null
- * @param board carries the catalogue to peers that start during an outage, not null
- * @param publishesToPeers whether this instance is one of those that tell the others the catalogue, not null
- * @param clients makes the clients of engines, not null
+ * @param weightStore the platform's weight store, not null
+ * @param peerBoard carries the catalogue to peers that start during an outage, not null
+ * @param isCataloguePublisher whether this instance is one of those that tell the others the catalogue, not null
+ * @param targetClients makes the clients of engines, not null
  * @param fleet the engines and instances, not null
- * @param activity knows what is in flight on targets, not null
+ * @param targetActivity knows what is in flight on targets, not null
  */
 public record ControlServices(
         LogService log,
-        WeightStore weights,
-        PeerBoard board,
-        BooleanSupplier publishesToPeers,
-        TargetClients clients,
+        WeightStore weightStore,
+        PeerBoard peerBoard,
+        BooleanSupplier isCataloguePublisher,
+        TargetClients targetClients,
         FleetView fleet,
-        TargetActivity activity) {
+        TargetActivity targetActivity) {
 
     /** Checks the parts. */
     public ControlServices {
         Objects.requireNonNull(log, "log");
-        Objects.requireNonNull(weights, "weights");
-        Objects.requireNonNull(board, "board");
-        Objects.requireNonNull(publishesToPeers, "publishesToPeers");
-        Objects.requireNonNull(clients, "clients");
+        Objects.requireNonNull(weightStore, "weights");
+        Objects.requireNonNull(peerBoard, "board");
+        Objects.requireNonNull(isCataloguePublisher, "publishesToPeers");
+        Objects.requireNonNull(targetClients, "clients");
         Objects.requireNonNull(fleet, "fleet");
-        Objects.requireNonNull(activity, "activity");
+        Objects.requireNonNull(targetActivity, "activity");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlSettings.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlSettings.java
@@ -12,7 +12,7 @@
  * @param checkpointMillis how long after the last checkpoint the next one is due, in milliseconds; a quarter of the
  *     log's retention leaves time for three more tries and an outage before records that nobody copied expire
  * @param checkpointRecords how many records after the last checkpoint the next one is due, so that a start stays short
- * @param peerGatherMillis during a log outage, how long a starter collects peers' catalogues before it takes the newest
+ * @param peerCollectionMillis during a log outage, how long a starter collects peers' catalogues before it takes the newest
  */
 public record ControlSettings(
         String instance,
@@ -20,11 +20,11 @@
         long tickMillis,
         long checkpointMillis,
         int checkpointRecords,
-        long peerGatherMillis) {
+        long peerCollectionMillis) {
 
     private static final long DEFAULT_TICK_MILLIS = 200;
     private static final int DEFAULT_CHECKPOINT_RECORDS = 20_000;
-    private static final long DEFAULT_GATHER_MILLIS = 2_000;
+    private static final long DEFAULT_PEER_COLLECTION_MILLIS = 2_000;
 
     /** Checks the parts. */
     public ControlSettings {
@@ -46,6 +46,6 @@
                 DEFAULT_TICK_MILLIS,
                 logRetentionMillis / 4,
                 DEFAULT_CHECKPOINT_RECORDS,
-                DEFAULT_GATHER_MILLIS);
+                DEFAULT_PEER_COLLECTION_MILLIS);
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/DrainExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainExchange.java
@@ -31,17 +31,17 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final String KEY = "drain";
-    private static final long PUBLISH_MILLIS = 500;
-    private static final long REPEAT_MILLIS = 2_000;
-    private static final long KEEP_MILLIS = 8_000;
+    private static final long PUBLISH_INTERVAL_MILLIS = 500;
+    private static final long REPUBLISH_INTERVAL_MILLIS = 2_000;
+    private static final long REPORT_TTL_MILLIS = 8_000;
 
-    private final PeerBoard board;
-    private final Function<String, DrainReport.Line> own;
+    private final PeerBoard peerBoard;
+    private final Function<String, DrainReport.TargetInFlight> localInFlight;
     private final Supplier<Set<String>> outOfService;
-    private final Supplier<Set<String>> others;
+    private final Supplier<Set<String>> otherInstances;
     private final TimeSource time;
-    private final Map<String, Heard> heardByInstance = new HashMap<>();
-    private Set<String> lastRound = Set.of();
+    private final Map<String, ReceivedReport> receivedReports = new HashMap<>();
+    private Set<String> previousOutOfService = Set.of();
     private DrainReport lastReport = new DrainReport(List.of());
     private long publishedMillis;
     private boolean running;
@@ -49,31 +49,31 @@
     /**
      * Creates the exchange and subscribes.
      *
-     * @param board carries the reports, not null
-     * @param own counts this instance's work on a target, not null
+     * @param peerBoard carries the reports, not null
+     * @param localInFlight counts this instance's work on a target, not null
      * @param outOfService the targets that this instance sends nothing new to, not null
-     * @param others the names of the other instances, leaving ones too, not null
+     * @param otherInstances the names of the other instances, leaving ones too, not null
      * @param time gives the time and runs the timers, not null
      */
     public DrainExchange(
-            PeerBoard board,
-            Function<String, DrainReport.Line> own,
+            PeerBoard peerBoard,
+            Function<String, DrainReport.TargetInFlight> localInFlight,
             Supplier<Set<String>> outOfService,
-            Supplier<Set<String>> others,
+            Supplier<Set<String>> otherInstances,
             TimeSource time) {
-        this.board = Objects.requireNonNull(board, "board");
-        this.own = Objects.requireNonNull(own, "own");
+        this.peerBoard = Objects.requireNonNull(peerBoard, "board");
+        this.localInFlight = Objects.requireNonNull(localInFlight, "own");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
-        this.others = Objects.requireNonNull(others, "others");
+        this.otherInstances = Objects.requireNonNull(otherInstances, "others");
         this.time = Objects.requireNonNull(time, "time");
-        board.subscribe(PeerTopic.DRAIN, this::onItem);
+        peerBoard.subscribe(PeerTopic.DRAIN, this::onItem);
     }
 
     /** Begins to publish; a second call has no effect. */
     public synchronized void start() {
         if (!running) {
             running = true;
-            time.schedule(PUBLISH_MILLIS, this::publish);
+            time.schedule(PUBLISH_INTERVAL_MILLIS, this::publish);
         }
     }
 
@@ -84,54 +84,57 @@
 
     @Override
     public InFlight of(String target) {
-        DrainReport.Line ownLine = own.apply(target);
-        int urgent = ownLine.urgent();
-        int all = ownLine.all();
+        DrainReport.TargetInFlight local = localInFlight.apply(target);
+        int urgent = local.urgent();
+        int all = local.all();
         boolean known = true;
-        for (String other : others.get()) {
-            Optional<DrainReport.Line> line = heard(other, target);
-            known &= line.isPresent();
-            urgent += line.map(DrainReport.Line::urgent).orElse(0);
-            all += line.map(DrainReport.Line::all).orElse(0);
+        for (String otherInstance : otherInstances.get()) {
+            Optional<DrainReport.TargetInFlight> reported = reportedInFlight(otherInstance, target);
+            known &= reported.isPresent();
+            urgent += reported.map(DrainReport.TargetInFlight::urgent).orElse(0);
+            all += reported.map(DrainReport.TargetInFlight::all).orElse(0);
         }
         return new InFlight(known, urgent, all);
     }
 
-    private synchronized Optional<DrainReport.Line> heard(String instance, String target) {
-        Heard heard = heardByInstance.get(instance);
-        if (heard == null || time.monotonicMillis() - heard.saidMillis() > KEEP_MILLIS) {
+    private synchronized Optional<DrainReport.TargetInFlight> reportedInFlight(String instance, String target) {
+        ReceivedReport received = receivedReports.get(instance);
+        if (received == null || time.monotonicMillis() - received.createdMillis() > REPORT_TTL_MILLIS) {
             return Optional.empty();
         }
-        return heard.report().lines().stream()
-                .filter(line -> line.target().equals(target))
+        return received.report().lines().stream()
+                .filter(entry -> entry.target().equals(target))
                 .findFirst();
     }
 
     private void publish() {
-        Set<String> now = Set.copyOf(outOfService.get());
-        Set<String> before;
+        Set<String> current = Set.copyOf(outOfService.get());
+        Set<String> previous;
         synchronized (this) {
             if (!running) {
                 return;
             }
-            before = lastRound;
-            lastRound = now;
+            previous = previousOutOfService;
+            previousOutOfService = current;
         }
         // A request that was routed just before the mark may be counted just after it, so a target is listed only from
         // the second round on: saying "nothing in flight" in between would let an order cut that request.
-        DrainReport report = new DrainReport(
-                now.stream().filter(before::contains).sorted().map(own).toList());
-        if (isNews(report)) {
-            board.publish(PeerTopic.DRAIN, KEY, encode(report), KEEP_MILLIS);
+        DrainReport report = new DrainReport(current.stream()
+                .filter(previous::contains)
+                .sorted()
+                .map(localInFlight)
+                .toList());
+        if (tryMarkPublished(report)) {
+            peerBoard.publish(PeerTopic.DRAIN, KEY, encode(report), REPORT_TTL_MILLIS);
         }
-        time.schedule(PUBLISH_MILLIS, this::publish);
+        time.schedule(PUBLISH_INTERVAL_MILLIS, this::publish);
     }
 
     /** What has not changed is said again only often enough to stay young: every instance passes it on. */
-    private synchronized boolean isNews(DrainReport report) {
+    private synchronized boolean tryMarkPublished(DrainReport report) {
         long nowMillis = time.monotonicMillis();
-        boolean news = !report.equals(lastReport) || nowMillis - publishedMillis >= REPEAT_MILLIS;
-        if (report.lines().isEmpty() || !news) {
+        boolean changedOrStale = !report.equals(lastReport) || nowMillis - publishedMillis >= REPUBLISH_INTERVAL_MILLIS;
+        if (report.lines().isEmpty() || !changedOrStale) {
             return false;
         }
         lastReport = report;
@@ -143,10 +146,10 @@
         try {
             DrainReport report = MAPPER.readValue(item.payload().toByteArray(), DrainReport.class);
             // Age is what matters: a report that wandered for long says nothing of now.
-            heardByInstance.put(item.origin(), new Heard(report, time.monotonicMillis() - item.ageMillis()));
+            receivedReports.put(item.origin(), new ReceivedReport(report, time.monotonicMillis() - item.ageMillis()));
         } catch (IOException | IllegalArgumentException e) {
             // What cannot be read says nothing; the target then counts as busy.
-            heardByInstance.remove(item.origin());
+            receivedReports.remove(item.origin());
         }
     }
 
@@ -158,5 +161,5 @@
         }
     }
 
-    private record Heard(DrainReport report, long saidMillis) {}
+    private record ReceivedReport(DrainReport report, long createdMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/control/DrainReport.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainReport.java
@@ -9,7 +9,7 @@
  *
  * @param lines one for each target, not null
  */
-public record DrainReport(List<Line> lines) {
+public record DrainReport(List<TargetInFlight> lines) {
 
     /** Copies the list; one that is missing is empty. */
     public DrainReport {
@@ -23,5 +23,5 @@
      * @param urgent urgent requests in flight
      * @param all all requests in flight
      */
-    public record Line(String target, int urgent, int all) {}
+    public record TargetInFlight(String target, int urgent, int all) {}
 }
--- a/src/main/java/org/dogwoodwinch/control/FoldedRecord.java
+++ b/src/main/java/org/dogwoodwinch/control/FoldedRecord.java
@@ -9,13 +9,13 @@
  * @param offset the record's place on the log
  * @param record the record, not null
  * @param accepted whether it changed the state
- * @param detail why not, empty where it did, not null
+ * @param rejectionReason why not, empty where it did, not null
  */
-public record FoldedRecord(long offset, ControlRecord record, boolean accepted, String detail) {
+public record FoldedRecord(long offset, ControlRecord record, boolean accepted, String rejectionReason) {
 
     /** Checks the parts. */
     public FoldedRecord {
         Objects.requireNonNull(record, "record");
-        Objects.requireNonNull(detail, "detail");
+        Objects.requireNonNull(rejectionReason, "detail");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/LockedReader.java
+++ b/src/main/java/org/dogwoodwinch/control/LockedReader.java
@@ -32,7 +32,7 @@
     @Override
     public void onRecords(ReadResult.Records records) {
         synchronized (lock) {
-            if (reader.isLogOut()) {
+            if (reader.isLogUnavailable()) {
                 LogEvent.of("control_log_back").with("end", records.endOffset()).info(log);
             }
             reader.onRecords(records);
@@ -44,7 +44,7 @@
     public void onExpired(ReadResult.Expired expired) {
         synchronized (lock) {
             LogEvent.of("control_records_expired")
-                    .with("read", reader.fold().coveredOffset())
+                    .with("read", reader.stateMachine().coveredOffset())
                     .with("first_retained", expired.firstRetainedOffset())
                     .warn(log);
             reader.onExpired(expired);
@@ -54,7 +54,7 @@
     @Override
     public void onUnavailable(String detail) {
         synchronized (lock) {
-            if (!reader.isLogOut()) {
+            if (!reader.isLogUnavailable()) {
                 LogEvent.of("control_log_out").with("detail", detail).warn(log);
             }
             reader.onUnavailable(detail);
--- a/src/main/java/org/dogwoodwinch/control/RecentIds.java
+++ b/src/main/java/org/dogwoodwinch/control/RecentIds.java
@@ -12,7 +12,7 @@
  */
 final class RecentIds {
 
-    private static final int KEPT = 512;
+    private static final int MAX_IDS = 512;
 
     private final Set<String> ids;
 
@@ -35,7 +35,7 @@
         if (!ids.add(id)) {
             return false;
         }
-        if (ids.size() > KEPT) {
+        if (ids.size() > MAX_IDS) {
             ids.remove(ids.iterator().next());
         }
         return true;
--- a/src/main/java/org/dogwoodwinch/control/SentWork.java
+++ b/src/main/java/org/dogwoodwinch/control/SentWork.java
@@ -20,18 +20,18 @@
  */
 public final class SentWork implements Router {
 
-    private final Router router;
+    private final Router delegate;
     private final Supplier<Set<String>> outOfService;
-    private final Map<String, Sent> sentByAttempt = new ConcurrentHashMap<>();
+    private final Map<String, SentAttempt> sentAttempts = new ConcurrentHashMap<>();
 
     /**
      * Creates the router around another.
      *
-     * @param router chooses among the targets in service, not null
+     * @param delegate chooses among the targets in service, not null
      * @param outOfService the targets that must get no new work, not null
      */
-    public SentWork(Router router, Supplier<Set<String>> outOfService) {
-        this.router = Objects.requireNonNull(router, "router");
+    public SentWork(Router delegate, Supplier<Set<String>> outOfService) {
+        this.delegate = Objects.requireNonNull(delegate, "router");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
     }
 
@@ -41,23 +41,23 @@
      * @param target its name, not null
      * @return the line of a drain report
      */
-    public DrainReport.Line inFlight(String target) {
+    public DrainReport.TargetInFlight inFlight(String target) {
         int urgent = 0;
         int all = 0;
-        for (Sent sent : sentByAttempt.values()) {
-            if (sent.target().equals(target)) {
+        for (SentAttempt attempt : sentAttempts.values()) {
+            if (attempt.target().equals(target)) {
                 all++;
-                urgent += sent.urgent() ? 1 : 0;
+                urgent += attempt.urgent() ? 1 : 0;
             }
         }
-        return new DrainReport.Line(target, urgent, all);
+        return new DrainReport.TargetInFlight(target, urgent, all);
     }
 
     @Override
     public Route route(RouteQuery query) {
         Set<String> excluded = new HashSet<>(query.excludedTargets());
         excluded.addAll(outOfService.get());
-        return router.route(new RouteQuery(
+        return delegate.route(new RouteQuery(
                 query.group(),
                 query.workClass(),
                 query.prompt(),
@@ -70,32 +70,32 @@
 
     @Override
     public void onSent(String attemptId, Target target, RouteQuery query) {
-        sentByAttempt.put(attemptId, new Sent(target.name(), query.workClass() == WorkClass.URGENT));
-        router.onSent(attemptId, target, query);
+        sentAttempts.put(attemptId, new SentAttempt(target.name(), query.workClass() == WorkClass.URGENT));
+        delegate.onSent(attemptId, target, query);
     }
 
     @Override
     public void onFirstToken(String attemptId, long elapsedMillis) {
-        router.onFirstToken(attemptId, elapsedMillis);
+        delegate.onFirstToken(attemptId, elapsedMillis);
     }
 
     @Override
     public void onCompleted(String attemptId, Usage usage) {
-        sentByAttempt.remove(attemptId);
-        router.onCompleted(attemptId, usage);
+        sentAttempts.remove(attemptId);
+        delegate.onCompleted(attemptId, usage);
     }
 
     @Override
     public void onFailed(String attemptId, TargetFailure failure) {
-        sentByAttempt.remove(attemptId);
-        router.onFailed(attemptId, failure);
+        sentAttempts.remove(attemptId);
+        delegate.onFailed(attemptId, failure);
     }
 
     @Override
     public void onCancelled(String attemptId) {
-        sentByAttempt.remove(attemptId);
-        router.onCancelled(attemptId);
+        sentAttempts.remove(attemptId);
+        delegate.onCancelled(attemptId);
     }
 
-    private record Sent(String target, boolean urgent) {}
+    private record SentAttempt(String target, boolean urgent) {}
 }
--- a/src/main/java/org/dogwoodwinch/controllog/LogFollower.java
+++ b/src/main/java/org/dogwoodwinch/controllog/LogFollower.java
@@ -26,9 +26,9 @@
 
     private boolean running;
     /** The first read does not wait, so that a starter learns at once where the log ends. */
-    private boolean waits;
+    private boolean longPolling;
 
-    private Cancellable watchdog = () -> {};
+    private Cancellable readTimeout = () -> {};
 
     /**
      * Creates a follower that does not run yet.
@@ -52,7 +52,7 @@
      */
     public synchronized void start(long fromOffset) {
         running = true;
-        waits = false;
+        longPolling = false;
         nextOffset = fromOffset;
         scheduleRead(0);
     }
@@ -61,7 +61,7 @@
     public synchronized void stop() {
         running = false;
         generation++;
-        watchdog.cancel();
+        readTimeout.cancel();
     }
 
     /**
@@ -74,32 +74,34 @@
     }
 
     private void scheduleRead(long delayMillis) {
-        long expected = ++generation;
-        watchdog.cancel();
-        time.schedule(delayMillis, () -> read(expected));
+        long expectedGeneration = ++generation;
+        readTimeout.cancel();
+        time.schedule(delayMillis, () -> read(expectedGeneration));
     }
 
-    private synchronized void read(long expected) {
-        if (!running || generation != expected) {
+    private synchronized void read(long expectedGeneration) {
+        if (!running || generation != expectedGeneration) {
             return;
         }
         long startedMillis = time.monotonicMillis();
         // A partition can swallow the answer for good; the symptom would be an instance that never hears of an edit
         // again. Reading twice is harmless, so a read without an answer is simply made anew.
-        watchdog = time.schedule(settings.waitMillis() + settings.answerMillis(), () -> giveUp(expected));
-        log.read(settings.stream(), nextOffset, settings.maxRecords(), waits ? settings.waitMillis() : 0)
-                .whenComplete((result, failure) -> onAnswer(expected, startedMillis, result, failure));
+        readTimeout =
+                time.schedule(settings.waitMillis() + settings.answerMillis(), () -> onReadTimeout(expectedGeneration));
+        log.read(settings.stream(), nextOffset, settings.maxRecords(), longPolling ? settings.waitMillis() : 0)
+                .whenComplete((result, failure) -> onAnswer(expectedGeneration, startedMillis, result, failure));
     }
 
-    private synchronized void giveUp(long expected) {
-        if (running && generation == expected) {
+    private synchronized void onReadTimeout(long expectedGeneration) {
+        if (running && generation == expectedGeneration) {
             listener.onUnavailable("no answer to a read");
             scheduleRead(settings.retryMillis());
         }
     }
 
-    private synchronized void onAnswer(long expected, long startedMillis, ReadResult result, Throwable failure) {
-        if (!running || generation != expected) {
+    private synchronized void onAnswer(
+            long expectedGeneration, long startedMillis, ReadResult result, Throwable failure) {
+        if (!running || generation != expectedGeneration) {
             return;
         }
         if (failure != null) {
@@ -112,7 +114,7 @@
                 this::onExpired,
                 unavailable -> onUnavailable(unavailable.detail()));
         // The listener may have stopped this follower, or started it elsewhere.
-        if (running && generation == expected) {
+        if (running && generation == expectedGeneration) {
             scheduleRead(delayMillis);
         }
     }
@@ -125,11 +127,11 @@
         if (!records.isEmpty()) {
             nextOffset = records.get(records.size() - 1).offset() + 1;
         }
-        waits = true;
+        longPolling = true;
         listener.onRecords(result);
         // A service that does not hold reads open answers at once; reading on without a pause would be a busy loop.
-        boolean early = records.isEmpty() && time.monotonicMillis() - startedMillis < settings.retryMillis();
-        return early ? settings.retryMillis() : 0;
+        boolean answeredEarly = records.isEmpty() && time.monotonicMillis() - startedMillis < settings.retryMillis();
+        return answeredEarly ? settings.retryMillis() : 0;
     }
 
     private long onExpired(ReadResult.Expired expired) {
--- a/src/test/java/org/dogwoodwinch/control/ControlHistory1Test.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlHistory1Test.java
@@ -13,17 +13,17 @@
     private static final int SCHEDULES = 700;
 
     @Property(seed = "401", tries = SCHEDULES)
-    void whatMustAlwaysHoldHolds(@ForAll("schedules") List<Disturbance> schedule) {
-        ControlHistoryCheck.check(ControlHistoryCheck.run(schedule, ControlWorld.POLICIES));
+    void invariantsHold(@ForAll("schedules") List<SimulationEvent> schedule) {
+        ControlHistoryCheck.checkInvariants(ControlHistoryCheck.runSchedule(schedule, ControlSimulation.POLICIES));
     }
 
     @AfterContainer
-    static void schedulesReachedWhatTheyCheck() {
-        ControlHistoryCheck.checkThatSchedulesReachedIt(SCHEDULES);
+    static void schedulesExercisedOrdersAndTakeovers() {
+        ControlHistoryCheck.checkCoverage(SCHEDULES);
     }
 
     @Provide
-    Arbitrary<List<Disturbance>> schedules() {
+    Arbitrary<List<SimulationEvent>> schedules() {
         return ControlHistoryCheck.schedules();
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
@@ -10,75 +10,76 @@
 import net.jqwik.api.Tuple;
 import org.dogwoodwinch.authority.PlanRecord;
 
-/** Runs a generated schedule in a {@link ControlWorld} and checks its history. */
+/** Runs a generated schedule in a {@link ControlSimulation} and checks its history. */
 final class ControlHistoryCheck {
 
-    private static final long CALM_MILLIS = 30_000;
+    private static final long RECOVERY_MILLIS = 30_000;
 
-    private static long orders;
-    private static long takeovers;
+    private static long orderCount;
+    private static long takeoverCount;
 
     private ControlHistoryCheck() {}
 
-    static Arbitrary<List<Disturbance>> schedules() {
+    static Arbitrary<List<SimulationEvent>> schedules() {
         return Combinators.combine(
                         kinds(),
                         Arbitraries.longs().between(0, 2_500),
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.integers().between(0, 9))
-                .as(Disturbance::new)
+                .as(SimulationEvent::new)
                 .list()
                 .ofMinSize(6)
                 .ofMaxSize(16);
     }
 
     /** Operators' work comes three times as often as each failure, so that failures meet it. */
-    private static Arbitrary<Disturbance.Kind> kinds() {
+    private static Arbitrary<SimulationEvent.Kind> kinds() {
         return Arbitraries.frequencyOf(
-                Tuple.of(1, Arbitraries.of(Disturbance.Kind.values())),
+                Tuple.of(1, Arbitraries.of(SimulationEvent.Kind.values())),
                 Tuple.of(
                         1,
                         Arbitraries.of(
-                                Disturbance.Kind.ROLE_CHANGE,
-                                Disturbance.Kind.MODEL_LOAD,
-                                Disturbance.Kind.EDIT,
-                                Disturbance.Kind.SLOW_ORDERS)));
+                                SimulationEvent.Kind.ROLE_CHANGE,
+                                SimulationEvent.Kind.MODEL_LOAD,
+                                SimulationEvent.Kind.EDIT,
+                                SimulationEvent.Kind.SLOW_ORDERS)));
     }
 
-    static ControlWorld run(List<Disturbance> schedule, ControlPolicies policies) {
-        ControlWorld world = new ControlWorld(3, policies);
-        world.run(1_500);
-        int number = 0;
-        for (Disturbance each : schedule) {
-            world.run(each.afterMillis());
-            each.happen(world, number++);
+    static ControlSimulation runSchedule(List<SimulationEvent> schedule, ControlPolicies policies) {
+        ControlSimulation simulation = new ControlSimulation(3, policies);
+        simulation.advance(1_500);
+        int eventIndex = 0;
+        for (SimulationEvent event : schedule) {
+            simulation.advance(event.afterMillis());
+            event.applyTo(simulation, eventIndex++);
         }
-        for (int i = 0; i < world.size(); i++) {
-            world.instance(i).network.setOrderDelays(0, 0);
+        for (int i = 0; i < simulation.instanceCount(); i++) {
+            simulation.instance(i).network.setOrderDelays(0, 0);
         }
-        world.run(CALM_MILLIS);
-        return world;
+        simulation.advance(RECOVERY_MILLIS);
+        return simulation;
     }
 
     /** All that must always hold, and that every change that was taken ends by itself. */
-    static void check(ControlWorld world) {
-        orders += world.applied.values().stream().mapToInt(List::size).sum();
-        takeovers += world.truth().authority().leases().leases().values().stream()
+    static void checkInvariants(ControlSimulation simulation) {
+        orderCount +=
+                simulation.appliedOrders.values().stream().mapToInt(List::size).sum();
+        takeoverCount += simulation.referenceState().authority().leases().leases().values().stream()
                 .filter(lease -> !lease.holder().startsWith("entry-0"))
                 .count();
-        world.checkOrders();
-        world.checkSameStateEverywhere();
-        List<String> unfinished = world.truth().authority().plans().plans().stream()
+        simulation.checkOrders();
+        simulation.checkStatesConverged();
+        List<String> unfinished = simulation.referenceState().authority().plans().plans().stream()
                 .filter(PlanRecord::isActive)
                 .map(plan -> plan.id() + " " + plan.state())
                 .toList();
         assertEquals(List.of(), unfinished);
-        assertEquals(List.of(), world.violations);
+        assertEquals(List.of(), simulation.violations);
     }
 
     /** A check that never meets what it checks would pass for nothing. */
-    static void checkThatSchedulesReachedIt(int schedules) {
-        assertTrue(orders > schedules, () -> "orders applied: " + orders);
-        assertTrue(takeovers > schedules / 10, () -> "groups taken over: " + takeovers);
+    static void checkCoverage(int scheduleCount) {
+        assertTrue(orderCount > scheduleCount, () -> "orders applied: " + orderCount);
+        assertTrue(takeoverCount > scheduleCount / 10, () -> "groups taken over: " + takeoverCount);
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
@@ -13,20 +13,20 @@
 /** Shows that the checkers see what goes wrong without a safeguard; the fencing mutant is in {@link OrderPauseTest}. */
 class ControlMutantsTest {
 
-    private static final CheckpointRule ANY_CHECKPOINT = (_covered, _firstRead) -> true;
+    private static final CheckpointRule ACCEPT_ANY_CHECKPOINT = (_coveredOffset, _firstReadOffset) -> true;
 
     /**
      * The holder's clock is slow, the claimant's fast, and the holder is cut off. Without a margin both act for a group at
      * one time; with it the holder has stopped before.
      */
     @Test
-    void withoutAMarginTwoInstancesHoldOneGroup() {
-        ControlWorld sound = holderCutOff(ControlWorld.POLICIES);
-        assertEquals(List.of(), sound.violations);
-        ControlWorld mutant =
-                holderCutOff(ControlWorld.policies(CheckpointRule.ALL_RECORDS_AT_HAND, 0, TokenRule.INTENT_OFFSET));
+    void zeroLeaseMarginLetsTwoInstancesHoldOneGroup() {
+        ControlSimulation safe = runWithPartitionedHolder(ControlSimulation.POLICIES);
+        assertEquals(List.of(), safe.violations);
+        ControlSimulation mutant = runWithPartitionedHolder(
+                ControlSimulation.policies(CheckpointRule.NO_MISSING_RECORDS, 0, TokenRule.INTENT_OFFSET));
         assertTrue(
-                mutant.violations.stream().anyMatch(each -> each.contains("is held by")),
+                mutant.violations.stream().anyMatch(violation -> violation.contains("is held by")),
                 () -> "no overlap: " + mutant.violations);
     }
 
@@ -35,43 +35,48 @@
      * starts later and builds on that checkpoint lacks the edits in between, for good; the rule makes it wait for another.
      */
     @Test
-    void withoutTheRuleAStarterBuildsOnACheckpointWithAGap() {
-        assertEquals(List.of(), startsAfterALateCheckpoint(ControlWorld.POLICIES));
-        List<String> violations =
-                startsAfterALateCheckpoint(ControlWorld.policies(ANY_CHECKPOINT, 500, TokenRule.INTENT_OFFSET));
-        assertTrue(violations.stream().anyMatch(each -> each.contains("did not reach")), () -> "none: " + violations);
+    void uncheckedCheckpointLosesEditsAfterRestart() {
+        assertEquals(List.of(), violationsAfterLateCheckpoint(ControlSimulation.POLICIES));
+        List<String> violations = violationsAfterLateCheckpoint(
+                ControlSimulation.policies(ACCEPT_ANY_CHECKPOINT, 500, TokenRule.INTENT_OFFSET));
+        assertTrue(
+                violations.stream().anyMatch(violation -> violation.contains("did not reach")),
+                () -> "none: " + violations);
     }
 
-    private static ControlWorld holderCutOff(ControlPolicies policies) {
-        ControlWorld world = new ControlWorld(3, policies);
-        world.run(2_000);
-        world.instance(0).network.setCut(true);
-        world.run(10_000);
-        return world;
+    private static ControlSimulation runWithPartitionedHolder(ControlPolicies policies) {
+        ControlSimulation simulation = new ControlSimulation(3, policies);
+        simulation.advance(2_000);
+        simulation.instance(0).network.setPartitioned(true);
+        simulation.advance(10_000);
+        return simulation;
     }
 
-    private static List<String> startsAfterALateCheckpoint(ControlPolicies policies) {
-        ControlWorld world = new ControlWorld(3, policies);
-        world.run(1_000);
-        edit(world, 0);
-        world.instance(2).network.setAppendDelayMillis(3 * ControlWorld.RETENTION_MILLIS / 2);
-        int edits = 1;
+    private static List<String> violationsAfterLateCheckpoint(ControlPolicies policies) {
+        ControlSimulation simulation = new ControlSimulation(3, policies);
+        simulation.advance(1_000);
+        edit(simulation, 0);
+        simulation.instance(2).network.setAppendDelayMillis(3 * ControlSimulation.RETENTION_MILLIS / 2);
+        int editCount = 1;
         for (int second = 0; second < 60; second++) {
-            world.run(500);
-            edit(world, edits++);
-            world.run(500);
+            simulation.advance(500);
+            edit(simulation, editCount++);
+            simulation.advance(500);
             if (second > 25) {
-                world.restart(1);
-                world.run(1_000);
-                world.checkSameStateEverywhere();
+                simulation.restart(1);
+                simulation.advance(1_000);
+                simulation.checkStatesConverged();
             }
         }
-        return world.violations;
+        return simulation.violations;
     }
 
-    private static void edit(ControlWorld world, int number) {
-        Catalogue base = world.truth().catalogue().catalogue();
+    private static void edit(ControlSimulation simulation, int number) {
+        Catalogue base = simulation.referenceState().catalogue().catalogue();
         Catalogue wanted = SampleCatalogues.withDeadline(base.revision(), number + 1);
-        world.instance(0).node.applyEdit(new EditRequest("e" + number, "meera", new CatalogueCodec().write(wanted)));
+        simulation
+                .instance(0)
+                .node
+                .applyEdit(new EditRequest("e" + number, "meera", new CatalogueCodec().write(wanted)));
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
@@ -21,7 +21,7 @@
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     private final MemoryLog log = new MemoryLog(time, new MemoryLogLimits(300, RETENTION_MILLIS));
-    private final SharedBoard board = new SharedBoard();
+    private final InMemoryPeerBoard board = new InMemoryPeerBoard();
     private final ControlNode first = node("entry-1");
     private final ControlNode second = node("entry-2");
 
@@ -30,15 +30,15 @@
      * learns who won.
      */
     @Test
-    void oneOfTwoRacingEditsIsAcceptedEverywhere() {
-        startBoth();
-        CompletionStage<ApplyResult> one = first.applyEdit(edit("e1", "meera", -1, 100));
-        CompletionStage<ApplyResult> other = second.applyEdit(edit("e2", "joao", -1, 200));
+    void concurrentEditsHaveOneWinnerOnAllInstances() {
+        startBothNodes();
+        CompletionStage<ApplyResult> firstAnswer = first.applyEdit(edit("e1", "meera", -1, 100));
+        CompletionStage<ApplyResult> secondAnswer = second.applyEdit(edit("e2", "joao", -1, 200));
         time.advanceMillis(1_000);
-        assertEquals(new ApplyResult.Accepted("e1", 0), now(one));
-        assertEquals(new ApplyResult.Rejected("e2", "e1", "meera", 0), now(other));
+        assertEquals(new ApplyResult.Accepted("e1", 0), resultOf(firstAnswer));
+        assertEquals(new ApplyResult.Rejected("e2", "e1", "meera", 0), resultOf(secondAnswer));
         assertEquals(first.catalogue().current(), second.catalogue().current());
-        assertEquals(now(other), first.editStatus("e2"));
+        assertEquals(resultOf(secondAnswer), first.editStatus("e2"));
     }
 
     /**
@@ -46,42 +46,43 @@
      * it back decides, and applying it again changes nothing.
      */
     @Test
-    void aLostAnswerDoesNotLoseOrDoubleTheEdit() {
-        startBoth();
+    void lostAppendAnswerNeitherLosesNorRepeatsEdit() {
+        startBothNodes();
         log.loseAnswers(1);
         CompletionStage<ApplyResult> answer = first.applyEdit(edit("e1", "meera", -1, 100));
         time.advanceMillis(1_000);
-        assertEquals(new ApplyResult.Accepted("e1", 0), now(answer));
-        assertEquals(now(answer), now(second.applyEdit(edit("e1", "meera", -1, 100))));
+        assertEquals(new ApplyResult.Accepted("e1", 0), resultOf(answer));
+        assertEquals(resultOf(answer), resultOf(second.applyEdit(edit("e1", "meera", -1, 100))));
         assertEquals(1, log.appendCount());
     }
 
     /** The log does not answer: the operator hears "unknown yet" after ten seconds and the accepted outcome later. */
     @Test
-    void anOutageMakesTheAnswerUnknownYet() {
-        startBoth();
+    void logOutageGivesUnknownYet() {
+        startBothNodes();
         log.setMode(MemoryLog.Mode.SILENT);
         CompletionStage<ApplyResult> answer = first.applyEdit(edit("e1", "meera", -1, 100));
         time.advanceMillis(11_000);
-        assertTrue(now(answer) instanceof ApplyResult.UnknownYet);
+        assertTrue(resultOf(answer) instanceof ApplyResult.UnknownYet);
         log.setMode(MemoryLog.Mode.UP);
         time.advanceMillis(1_000);
         CompletionStage<ApplyResult> again = first.applyEdit(edit("e1", "meera", -1, 100));
         time.advanceMillis(1_000);
-        assertTrue(now(again) instanceof ApplyResult.Accepted);
+        assertTrue(resultOf(again) instanceof ApplyResult.Accepted);
     }
 
     /** Records expire long after the edit: a fresh instance still finds the catalogue, in a checkpoint. */
     @Test
-    void aStartAfterExpiryUsesACheckpoint() {
-        startBoth();
+    void startAfterExpiryLoadsCheckpoint() {
+        startBothNodes();
         first.applyEdit(edit("e1", "meera", -1, 100));
         time.advanceMillis(5 * RETENTION_MILLIS);
         ControlNode third = node("entry-3");
         third.start();
         time.advanceMillis(1_000);
         assertEquals(first.catalogue().current(), third.catalogue().current());
-        assertTrue(third.history().stream().anyMatch(line -> line.id().equals("e1")));
+        assertTrue(
+                third.history().stream().anyMatch(editRecord -> editRecord.id().equals("e1")));
     }
 
     /**
@@ -89,8 +90,8 @@
      * one, which keeps it not-ready, and never serves an empty one.
      */
     @Test
-    void aStartDuringAnOutageAsksPeersAndIsNeverEmpty() {
-        startBoth();
+    void startDuringOutageTakesPeerCatalogueAndNeverAnEmptyOne() {
+        startBothNodes();
         first.applyEdit(edit("e1", "meera", -1, 100));
         time.advanceMillis(1_000);
         log.setMode(MemoryLog.Mode.REFUSING);
@@ -100,13 +101,13 @@
         assertEquals(Optional.empty(), third.catalogue().current());
         time.advanceMillis(30_000);
         assertEquals(first.catalogue().current(), third.catalogue().current());
-        ControlNode alone = node("entry-4", new SharedBoard());
-        alone.start();
+        ControlNode isolated = node("entry-4", new InMemoryPeerBoard());
+        isolated.start();
         time.advanceMillis(60_000);
-        assertEquals(Optional.empty(), alone.catalogue().current());
+        assertEquals(Optional.empty(), isolated.catalogue().current());
     }
 
-    private void startBoth() {
+    private void startBothNodes() {
         first.start();
         second.start();
         time.advanceMillis(1_000);
@@ -116,10 +117,10 @@
         return node(name, board);
     }
 
-    private ControlNode node(String name, PeerBoard itsBoard) {
+    private ControlNode node(String name, PeerBoard peerBoard) {
         ControlSettings settings = new ControlSettings(
                 name, new FollowerSettings("control", 100, 1_000, 100, 1_000), 200, RETENTION_MILLIS / 4, 1_000, 2_000);
-        return ControlSamples.node(settings, log, itsBoard, time);
+        return ControlSamples.node(settings, log, peerBoard, time);
     }
 
     private static EditRequest edit(String id, String author, long base, long deadlineMillis) {
@@ -127,7 +128,7 @@
         return new EditRequest(id, author, new CatalogueCodec().write(wanted));
     }
 
-    private static ApplyResult now(CompletionStage<ApplyResult> answer) {
+    private static ApplyResult resultOf(CompletionStage<ApplyResult> answer) {
         return answer.toCompletableFuture().getNow(new ApplyResult.UnknownYet("", "still waiting"));
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlSamples.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSamples.java
@@ -29,7 +29,7 @@
      */
     public static ControlNode startedNode(VirtualTimeSource time) {
         MemoryLog log = new MemoryLog(time, MemoryLogLimits.STANDARD);
-        ControlNode node = node(ControlSettings.of("entry-1", 3_600_000), log, new SharedBoard(), time);
+        ControlNode node = node(ControlSettings.of("entry-1", 3_600_000), log, new InMemoryPeerBoard(), time);
         node.start();
         time.advanceMillis(1_000);
         return node;
--- a/src/test/java/org/dogwoodwinch/control/ControlWorld.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
@@ -44,40 +44,41 @@
  * <p>Engines of group "checking" check fencing tokens, those of group "ignoring" do not. A
  * reader that is never disturbed gives the truth of what the log says.
  */
-final class ControlWorld {
+final class ControlSimulation {
 
-    static final ControlPolicies POLICIES = policies(CheckpointRule.ALL_RECORDS_AT_HAND, 500, TokenRule.INTENT_OFFSET);
+    static final ControlPolicies POLICIES = policies(CheckpointRule.NO_MISSING_RECORDS, 500, TokenRule.INTENT_OFFSET);
     static final long RETENTION_MILLIS = 20_000;
 
     private static final long STEP_MILLIS = 50;
-    private static final double[] SPEEDS = {0.92, 1.0, 1.06};
+    private static final double[] CLOCK_RATES = {0.92, 1.0, 1.06};
 
     final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     final MemoryLog log = new MemoryLog(time, new MemoryLogLimits(300, RETENTION_MILLIS));
     final SortedMap<String, StandInEngine> engines = new TreeMap<>();
     final Map<String, TargetActivity.InFlight> inFlight = new HashMap<>();
     final List<String> violations = new ArrayList<>();
-    final Map<String, List<EngineOrder>> applied = new TreeMap<>();
+    final Map<String, List<EngineOrder>> appliedOrders = new TreeMap<>();
     BiConsumer<Integer, ControlRecord> onAppend = (_instance, _record) -> {};
 
     private final ControlPolicies policies;
     private final ControlCodec codec = new ControlCodec();
-    private final SharedBoard board = new SharedBoard();
+    private final InMemoryPeerBoard peerBoard = new InMemoryPeerBoard();
     private final List<Target> targets = new ArrayList<>();
     private final List<Instance> instances = new ArrayList<>();
-    private final ControlFold truth = new ControlFold(codec, ControlSnapshot.EMPTY);
-    private final Map<String, Long> intents = new HashMap<>();
-    private int started;
+    private final ControlFold referenceState = new ControlFold(codec, ControlSnapshot.EMPTY);
+    private final Map<String, Long> acceptedIntentOffsets = new HashMap<>();
+    private int startedCount;
 
-    ControlWorld(int count, ControlPolicies policies) {
+    ControlSimulation(int count, ControlPolicies policies) {
         this.policies = policies;
         for (String group : List.of("checking", "ignoring")) {
             addEngine(group, group + "-1");
             addEngine(group, group + "-2");
         }
-        new LogFollower(log, new FollowerSettings("control", 500, 2_000, 50, 500), time, new TruthReader()).start(0);
+        new LogFollower(log, new FollowerSettings("control", 500, 2_000, 50, 500), time, new ReferenceReader())
+                .start(0);
         for (int i = 0; i < count; i++) {
-            instances.add(newInstance(i, "entry-" + i, SPEEDS[i % SPEEDS.length]));
+            instances.add(newInstance(i, "entry-" + i, CLOCK_RATES[i % CLOCK_RATES.length]));
         }
     }
 
@@ -92,22 +93,22 @@
         return instances.get(index);
     }
 
-    ControlFold truth() {
-        return truth;
+    ControlFold referenceState() {
+        return referenceState;
     }
 
-    int size() {
+    int instanceCount() {
         return instances.size();
     }
 
     void restart(int index) {
         Instance old = instances.get(index);
         old.clock.kill();
-        instances.set(index, newInstance(index, "entry-" + index, SPEEDS[index % SPEEDS.length]));
+        instances.set(index, newInstance(index, "entry-" + index, CLOCK_RATES[index % CLOCK_RATES.length]));
     }
 
     /** Who may act for a group, by its own word; -1 where nobody. */
-    int holderOf(String group) {
+    int holderIndexOf(String group) {
         for (int i = 0; i < instances.size(); i++) {
             if (instances.get(i).clock.isRunning()
                     && instances.get(i).node.liveGroups().contains(group)) {
@@ -117,37 +118,37 @@
         return -1;
     }
 
-    void run(long millis) {
-        for (long done = 0; done < millis; done += STEP_MILLIS) {
+    void advance(long millis) {
+        for (long elapsedMillis = 0; elapsedMillis < millis; elapsedMillis += STEP_MILLIS) {
             time.advanceMillis(STEP_MILLIS);
-            checkOneHolder();
+            checkSingleHolder();
         }
     }
 
     /** After a calm while every instance must hold what the log says, byte for byte. */
-    void checkSameStateEverywhere() {
-        ControlSnapshot said = truth.snapshot();
-        for (Instance each : instances) {
-            ControlSnapshot own = each.node.snapshot();
-            if (own.coveredOffset() != said.coveredOffset()
-                    || !own.catalogue().equals(said.catalogue())
-                    || !own.edits().equals(said.edits())
-                    || !own.authority().equals(said.authority())) {
-                violations.add("instance " + each.name + " differs at " + own.coveredOffset());
+    void checkStatesConverged() {
+        ControlSnapshot expected = referenceState.snapshot();
+        for (Instance instance : instances) {
+            ControlSnapshot actual = instance.node.snapshot();
+            if (actual.coveredOffset() != expected.coveredOffset()
+                    || !actual.catalogue().equals(expected.catalogue())
+                    || !actual.edits().equals(expected.edits())
+                    || !actual.authority().equals(expected.authority())) {
+                violations.add("instance " + instance.name + " differs at " + actual.coveredOffset());
             }
-            Catalogue inForce = each.node.catalogue().current().orElse(Catalogue.EMPTY);
-            if (!inForce.equals(said.catalogue())) {
-                violations.add("an accepted edit did not reach " + each.name);
+            Catalogue inForce = instance.node.catalogue().current().orElse(Catalogue.EMPTY);
+            if (!inForce.equals(expected.catalogue())) {
+                violations.add("an accepted edit did not reach " + instance.name);
             }
         }
     }
 
     /** No engine applied an order after a later one, nor one that the log does not hold. */
     void checkOrders() {
-        applied.forEach((engine, orders) -> {
+        appliedOrders.forEach((engine, orders) -> {
             long highest = -1;
             for (EngineOrder order : orders) {
-                long offset = intents.getOrDefault(order.orderId(), Long.MIN_VALUE);
+                long offset = acceptedIntentOffsets.getOrDefault(order.orderId(), Long.MIN_VALUE);
                 if (offset < highest) {
                     violations.add(engine + " applied the order of offset " + offset + " after that of " + highest);
                 }
@@ -171,15 +172,15 @@
                 400);
         StandInEngineOptions options =
                 StandInEngineOptions.STANDARD.withCost(fast).withChecksFencing(group.equals("checking"));
-        EngineConfiguration first = new EngineConfiguration(EngineRole.MIXED, "m", "1", new TreeSet<>());
-        engines.put(name, new StandInEngine(name, "10.0.0.1:1", first, options, time, new Truth()));
+        EngineConfiguration initial = new EngineConfiguration(EngineRole.MIXED, "m", "1", new TreeSet<>());
+        engines.put(name, new StandInEngine(name, "10.0.0.1:1", initial, options, time, new EngineRecorder()));
         targets.add(new Target(name, "10.0.0.1", 1, "kochi", group));
-        applied.put(name, new ArrayList<>());
+        appliedOrders.put(name, new ArrayList<>());
     }
 
-    private Instance newInstance(int index, String name, double speed) {
-        InstanceClock clock = new InstanceClock(time, speed, started * 77_000_000_000L);
-        InstanceNetwork network = new InstanceNetwork(
+    private Instance newInstance(int index, String name, double clockRate) {
+        SimulatedClock clock = new SimulatedClock(time, clockRate, startedCount * 77_000_000_000L);
+        SimulatedNetwork network = new SimulatedNetwork(
                 time,
                 log,
                 clock,
@@ -187,52 +188,52 @@
         ControlServices services = new ControlServices(
                 network,
                 () -> CompletableFuture.completedFuture(60),
-                board,
+                peerBoard,
                 () -> true,
-                new Clients(network),
-                new Fleet(index),
+                new SimulatedClients(network),
+                new SimulatedFleet(index),
                 target -> inFlight.getOrDefault(target, new TargetActivity.InFlight(true, 0, 0)));
         ControlSettings settings = new ControlSettings(
                 name, new FollowerSettings("control", 100, 2_000, 100, 500), 100, RETENTION_MILLIS / 4, 10_000, 500);
         ControlNode node = new ControlNode(
-                settings, services, policies, clock, RandomSource.XO_RO_SHI_RO_128_PP.create(1_000L + started++));
+                settings, services, policies, clock, RandomSource.XO_RO_SHI_RO_128_PP.create(1_000L + startedCount++));
         Instance instance = new Instance(name, clock, network, node);
-        node.catalogue().onChange(catalogue -> checkNeverBack(instance, catalogue));
+        node.catalogue().onChange(catalogue -> checkRevisionIncreases(instance, catalogue));
         node.start();
         return instance;
     }
 
-    private void checkNeverBack(Instance instance, Catalogue catalogue) {
+    private void checkRevisionIncreases(Instance instance, Catalogue catalogue) {
         if (catalogue.revision() <= instance.lastRevision) {
             violations.add("the catalogue of " + instance.name + " went back to " + catalogue.revision());
         }
         instance.lastRevision = catalogue.revision();
     }
 
-    private void checkOneHolder() {
+    private void checkSingleHolder() {
         Map<String, String> holders = new HashMap<>();
-        for (Instance each : instances) {
-            if (!each.clock.isRunning()) {
+        for (Instance instance : instances) {
+            if (!instance.clock.isRunning()) {
                 continue;
             }
-            for (String group : each.node.liveGroups()) {
-                String other = holders.put(group, each.name);
-                if (other != null) {
-                    violations.add(group + " is held by " + other + " and by " + each.name);
+            for (String group : instance.node.liveGroups()) {
+                String otherHolder = holders.put(group, instance.name);
+                if (otherHolder != null) {
+                    violations.add(group + " is held by " + otherHolder + " and by " + instance.name);
                 }
             }
         }
     }
 
     /** Notes what engines really did. */
-    private final class Truth implements StandInEngineObserver {
+    private final class EngineRecorder implements StandInEngineObserver {
 
         @Override
         public void onExecuted(String _engine, String _attemptId, String _prompt) {}
 
         @Override
         public void onApplied(String engine, EngineOrder order) {
-            applied.get(engine).add(order);
+            appliedOrders.get(engine).add(order);
         }
 
         @Override
@@ -242,14 +243,17 @@
     }
 
     /** Folds the log from its beginning, undisturbed. */
-    private final class TruthReader implements FollowerListener {
+    private final class ReferenceReader implements FollowerListener {
 
         @Override
         public void onRecords(ReadResult.Records records) {
-            for (LogRecord each : records.records()) {
-                truth.apply(each)
-                        .filter(folded -> folded.accepted() && folded.record() instanceof AuthorityRecord.OrderIntent)
-                        .ifPresent(folded -> intents.put(folded.record().id(), folded.offset()));
+            for (LogRecord logRecord : records.records()) {
+                referenceState
+                        .apply(logRecord)
+                        .filter(applied ->
+                                applied.accepted() && applied.record() instanceof AuthorityRecord.OrderIntent)
+                        .ifPresent(applied ->
+                                acceptedIntentOffsets.put(applied.record().id(), applied.offset()));
             }
         }
 
@@ -266,12 +270,12 @@
     static final class Instance {
 
         final String name;
-        final InstanceClock clock;
-        final InstanceNetwork network;
+        final SimulatedClock clock;
+        final SimulatedNetwork network;
         final ControlNode node;
         private long lastRevision = Catalogue.NO_REVISION;
 
-        Instance(String name, InstanceClock clock, InstanceNetwork network, ControlNode node) {
+        Instance(String name, SimulatedClock clock, SimulatedNetwork network, ControlNode node) {
             this.name = name;
             this.clock = clock;
             this.network = network;
@@ -279,17 +283,18 @@
         }
     }
 
-    private final class Clients implements TargetClients {
+    private final class SimulatedClients implements TargetClients {
 
-        private final InstanceNetwork network;
+        private final SimulatedNetwork network;
 
-        Clients(InstanceNetwork network) {
+        SimulatedClients(SimulatedNetwork network) {
             this.network = network;
         }
 
         @Override
         public EngineClient engine(Target target) {
-            return network.to(engines.get(target.name()), target.group().equals("checking"));
+            return network.engineClient(
+                    engines.get(target.name()), target.group().equals("checking"));
         }
 
         @Override
@@ -298,11 +303,11 @@
         }
     }
 
-    private final class Fleet implements FleetView {
+    private final class SimulatedFleet implements FleetView {
 
         private final int index;
 
-        Fleet(int index) {
+        SimulatedFleet(int index) {
             this.index = index;
         }
 
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
@@ -31,24 +31,24 @@
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final List<Consumer<PeerItem>> listeners = new ArrayList<>();
-    private final Member first = new Member("entry-1", "entry-2");
-    private final Member second = new Member("entry-2", "entry-1");
+    private final SimulatedInstance first = new SimulatedInstance("entry-1", "entry-2");
+    private final SimulatedInstance second = new SimulatedInstance("entry-2", "entry-1");
 
     /**
      * A booking was sent to an engine by another instance before the engine was marked: the one that orders the engine
      * sees it in flight until the other says that it has finished.
      */
     @Test
-    void urgentWorkOfAnotherInstanceIsSeen() {
-        second.work.onSent("a1", ENGINE, query(WorkClass.URGENT));
-        second.work.onSent("a2", ENGINE, query(WorkClass.LONG_READ));
-        mark();
+    void urgentWorkOfOtherInstanceIsCounted() {
+        second.router.onSent("a1", ENGINE, query(WorkClass.URGENT));
+        second.router.onSent("a2", ENGINE, query(WorkClass.LONG_READ));
+        markOutOfService();
         time.advanceMillis(1_000);
-        assertEquals(new TargetActivity.InFlight(true, 1, 2), first.drains.of("engine-1"));
-        second.work.onCompleted("a1", new Usage(1, 0, 1));
-        second.work.onFailed("a2", new TargetFailure.Broken("cut"));
+        assertEquals(new TargetActivity.InFlight(true, 1, 2), first.drainExchange.of("engine-1"));
+        second.router.onCompleted("a1", new Usage(1, 0, 1));
+        second.router.onFailed("a2", new TargetFailure.Broken("cut"));
         time.advanceMillis(1_000);
-        assertEquals(new TargetActivity.InFlight(true, 0, 0), first.drains.of("engine-1"));
+        assertEquals(new TargetActivity.InFlight(true, 0, 0), first.drainExchange.of("engine-1"));
     }
 
     /**
@@ -56,29 +56,29 @@
      * nothing is known to be in flight.
      */
     @Test
-    void anInstanceThatDoesNotListTheTargetKeepsItBusy() {
-        first.marked.add("engine-1");
+    void targetUnreportedByOneInstanceIsNotKnownIdle() {
+        first.outOfService.add("engine-1");
         time.advanceMillis(1_000);
-        assertFalse(first.drains.of("engine-1").known());
-        mark();
+        assertFalse(first.drainExchange.of("engine-1").known());
+        markOutOfService();
         time.advanceMillis(1_000);
-        assertTrue(first.drains.of("engine-1").known());
-        second.cut = true;
+        assertTrue(first.drainExchange.of("engine-1").known());
+        second.partitioned = true;
         time.advanceMillis(9_000);
-        assertFalse(first.drains.of("engine-1").known());
+        assertFalse(first.drainExchange.of("engine-1").known());
     }
 
     @Test
-    void aMarkedTargetIsExcluded() {
-        mark();
-        assertTrue(first.work.route(query(WorkClass.URGENT)) instanceof Route.NoTarget);
-        first.marked.clear();
-        assertTrue(first.work.route(query(WorkClass.URGENT)) instanceof Route.Chosen);
+    void outOfServiceTargetIsExcluded() {
+        markOutOfService();
+        assertTrue(first.router.route(query(WorkClass.URGENT)) instanceof Route.NoTarget);
+        first.outOfService.clear();
+        assertTrue(first.router.route(query(WorkClass.URGENT)) instanceof Route.Chosen);
     }
 
-    private void mark() {
-        first.marked.add("engine-1");
-        second.marked.add("engine-1");
+    private void markOutOfService() {
+        first.outOfService.add("engine-1");
+        second.outOfService.add("engine-1");
     }
 
     private static RouteQuery query(WorkClass workClass) {
@@ -86,23 +86,24 @@
     }
 
     /** One instance with a board that reaches the other one unless it is cut off. */
-    private final class Member implements PeerBoard {
+    private final class SimulatedInstance implements PeerBoard {
 
         private final String name;
-        private final Set<String> marked = new HashSet<>();
-        private final SentWork work = new SentWork(new OneTarget(), () -> marked);
-        private final DrainExchange drains;
-        private boolean cut;
+        private final Set<String> outOfService = new HashSet<>();
+        private final SentWork router = new SentWork(new SingleTargetRouter(), () -> outOfService);
+        private final DrainExchange drainExchange;
+        private boolean partitioned;
 
-        Member(String name, String other) {
+        SimulatedInstance(String name, String other) {
             this.name = name;
-            this.drains = new DrainExchange(this, work::inFlight, () -> marked, () -> Set.of(other), time);
-            drains.start();
+            this.drainExchange =
+                    new DrainExchange(this, router::inFlight, () -> outOfService, () -> Set.of(other), time);
+            drainExchange.start();
         }
 
         @Override
         public void publish(PeerTopic topic, String key, Bytes payload, long _keepMillis) {
-            if (!cut) {
+            if (!partitioned) {
                 listeners.forEach(listener -> listener.accept(new PeerItem(name, topic, key, 1, payload, 10)));
             }
         }
@@ -114,7 +115,7 @@
     }
 
     /** Chooses the one engine unless it is excluded. */
-    private static final class OneTarget implements Router {
+    private static final class SingleTargetRouter implements Router {
 
         @Override
         public Route route(RouteQuery query) {
--- a/src/test/java/org/dogwoodwinch/control/SharedBoard.java
+++ b/src/test/java/org/dogwoodwinch/control/InMemoryPeerBoard.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.peer.PeerTopic;
 
 /** A board that delivers every item to every subscriber at once. */
-final class SharedBoard implements PeerBoard {
+final class InMemoryPeerBoard implements PeerBoard {
 
     private final List<Consumer<PeerItem>> listeners = new ArrayList<>();
     private long version;
--- a/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
+++ b/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
@@ -20,9 +20,9 @@
  */
 class OrderPauseTest {
 
-    private static final long LONG_MILLIS = 15_000;
+    private static final long LONG_PAUSE_MILLIS = 15_000;
 
-    private ControlWorld world = new ControlWorld(3, ControlWorld.POLICIES);
+    private ControlSimulation simulation = new ControlSimulation(3, ControlSimulation.POLICIES);
     private int holder;
 
     /** Paused at any step of its own, the woken holder finds its lease over before it writes: engines see nothing of it. */
@@ -31,15 +31,15 @@
         "checking,DRAINED", "checking,APPENDED", "checking,READ_BACK", "checking,SENT", "checking,SETTLED",
         "ignoring,DRAINED", "ignoring,APPENDED", "ignoring,READ_BACK", "ignoring,SENT", "ignoring,SETTLED"
     })
-    void aHolderThatWakesUpChangesNothing(String group, Step step) {
+    void resumedHolderChangesNothing(String group, Step step) {
         pauseHolderAt(group, step);
-        world.run(LONG_MILLIS);
+        simulation.advance(LONG_PAUSE_MILLIS);
         assertEquals(EngineRole.PREFILL, roleOf(group), "the successor finished the change");
-        secondChange(group);
-        world.instance(holder).clock.resume();
-        world.run(LONG_MILLIS);
+        requestSecondChange(group);
+        simulation.instance(holder).clock.resume();
+        simulation.advance(LONG_PAUSE_MILLIS);
         assertEquals(EngineRole.DECODE, roleOf(group));
-        assertClean();
+        assertNoViolations();
     }
 
     /**
@@ -47,23 +47,24 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {500, 5_000, 20_000})
-    void aCheckingEngineRefusesAnOrderThatArrivesLate(long lateMillis) {
-        lateOrder("checking", lateMillis);
-        world.run(30_000);
+    void fencingEngineRefusesLateOrder(long lateMillis) {
+        delayFirstOrder("checking", lateMillis);
+        simulation.advance(30_000);
         assertEquals(EngineRole.DECODE, roleOf("checking"));
-        assertClean();
+        assertNoViolations();
     }
 
     /** The mutant: all tokens are equal. The checker sees the late order applied after the later one. */
     @ParameterizedTest
     @ValueSource(longs = {20_000})
-    void withoutFencingTheCheckerSeesTheLateOrder(long lateMillis) {
+    void equalTokensLetLateOrderThrough(long lateMillis) {
         TokenRule equalTokens = _offset -> 1;
-        world = new ControlWorld(3, ControlWorld.policies(CheckpointRule.ALL_RECORDS_AT_HAND, 500, equalTokens));
-        lateOrder("checking", lateMillis);
-        world.run(30_000);
-        world.checkOrders();
-        assertFalse(world.violations.isEmpty());
+        simulation = new ControlSimulation(
+                3, ControlSimulation.policies(CheckpointRule.NO_MISSING_RECORDS, 500, equalTokens));
+        delayFirstOrder("checking", lateMillis);
+        simulation.advance(30_000);
+        simulation.checkOrders();
+        assertFalse(simulation.violations.isEmpty());
     }
 
     /**
@@ -72,89 +73,97 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {20_000})
-    void anIgnoringEngineIsPutRightAfterAnOrderThatArrivesLate(long lateMillis) {
-        lateOrder("ignoring", lateMillis);
-        world.run(30_000);
-        world.checkOrders();
-        assertTrue(world.violations.stream().anyMatch(each -> each.contains("after that of")), "the late order came");
+    void nonFencingEngineIsCorrectedAfterLateOrder(long lateMillis) {
+        delayFirstOrder("ignoring", lateMillis);
+        simulation.advance(30_000);
+        simulation.checkOrders();
+        assertTrue(
+                simulation.violations.stream().anyMatch(violation -> violation.contains("after that of")),
+                "the late order came");
         assertEquals(EngineRole.DECODE, roleOf("ignoring"), "and was put right");
     }
 
     private void pauseHolderAt(String group, Step step) {
-        world.run(2_000);
-        holder = world.holderOf(group + "@kochi");
-        world.onAppend = (index, record) -> {
-            boolean intent = record instanceof AuthorityRecord.OrderIntent;
+        simulation.advance(2_000);
+        holder = simulation.holderIndexOf(group + "@kochi");
+        simulation.onAppend = (index, record) -> {
+            boolean isIntent = record instanceof AuthorityRecord.OrderIntent;
             if (index == holder
-                    && ((intent && step == Step.APPENDED)
+                    && ((isIntent && step == Step.APPENDED)
                             || (record instanceof AuthorityRecord.OrderSettled && step == Step.SETTLED))) {
-                world.instance(holder).clock.pause();
+                simulation.instance(holder).clock.pause();
             }
         };
-        request(group, "p1", EngineRole.PREFILL);
-        for (int i = 0; i < 10_000 && !reached(group, step); i++) {
-            world.time.advanceMillis(1);
+        requestRoleChange(group, "p1", EngineRole.PREFILL);
+        for (int i = 0; i < 10_000 && !hasReached(group, step); i++) {
+            simulation.time.advanceMillis(1);
         }
-        world.instance(holder).clock.pause();
-        world.onAppend = (_index, _record) -> {};
+        simulation.instance(holder).clock.pause();
+        simulation.onAppend = (_index, _record) -> {};
     }
 
-    private boolean reached(String group, Step step) {
+    private boolean hasReached(String group, Step step) {
         return switch (step) {
-            case DRAINED -> world.instance(holder).node.outOfService().contains(group + "-1");
+            case DRAINED -> simulation.instance(holder).node.outOfService().contains(group + "-1");
             case READ_BACK ->
-                world.truth().authority().engines().engine(group + "-1").isPresent();
-            case SENT -> !world.applied.get(group + "-1").isEmpty();
-            case APPENDED, SETTLED -> !world.instance(holder).clock.isRunning();
+                simulation
+                        .referenceState()
+                        .authority()
+                        .engines()
+                        .engine(group + "-1")
+                        .isPresent();
+            case SENT -> !simulation.appliedOrders.get(group + "-1").isEmpty();
+            case APPENDED, SETTLED -> !simulation.instance(holder).clock.isRunning();
         };
     }
 
-    private void lateOrder(String group, long lateMillis) {
-        world.run(2_000);
-        holder = world.holderOf(group + "@kochi");
-        world.instance(holder).network.setOrderDelays(lateMillis, lateMillis);
-        request(group, "p1", EngineRole.PREFILL);
+    private void delayFirstOrder(String group, long lateMillis) {
+        simulation.advance(2_000);
+        holder = simulation.holderIndexOf(group + "@kochi");
+        simulation.instance(holder).network.setOrderDelays(lateMillis, lateMillis);
+        requestRoleChange(group, "p1", EngineRole.PREFILL);
         for (int i = 0;
                 i < 200
-                        && world.truth()
+                        && simulation
+                                .referenceState()
                                 .authority()
                                 .engines()
                                 .engine(group + "-1")
                                 .isEmpty();
                 i++) {
-            world.run(50);
+            simulation.advance(50);
         }
-        world.run(200);
-        world.instance(holder).clock.pause();
-        world.run(10_000);
+        simulation.advance(200);
+        simulation.instance(holder).clock.pause();
+        simulation.advance(10_000);
         assertEquals(EngineRole.PREFILL, roleOf(group));
-        secondChange(group);
-        world.instance(holder).network.setOrderDelays(0, 0);
-        world.instance(holder).clock.resume();
+        requestSecondChange(group);
+        simulation.instance(holder).network.setOrderDelays(0, 0);
+        simulation.instance(holder).clock.resume();
     }
 
-    private void secondChange(String group) {
-        request(group, "p2", EngineRole.DECODE);
-        world.run(6_000);
+    private void requestSecondChange(String group) {
+        requestRoleChange(group, "p2", EngineRole.DECODE);
+        simulation.advance(6_000);
         assertEquals(EngineRole.DECODE, roleOf(group));
     }
 
-    private void request(String group, String planId, EngineRole role) {
+    private void requestRoleChange(String group, String planId, EngineRole role) {
         PlannedChange change = PlannedChange.changeRole(group + "-1", role);
-        world.instance((holder + 1) % 3).node.requestPlan(new PlanRequest(planId, "meera", change));
+        simulation.instance((holder + 1) % 3).node.requestPlan(new PlanRequest(planId, "meera", change));
     }
 
     private EngineRole roleOf(String group) {
-        List<EngineOrder> orders = world.applied.get(group + "-1");
+        List<EngineOrder> orders = simulation.appliedOrders.get(group + "-1");
         return orders.isEmpty()
                 ? EngineRole.MIXED
                 : orders.get(orders.size() - 1).configuration().role();
     }
 
-    private void assertClean() {
-        world.checkOrders();
-        world.checkSameStateEverywhere();
-        assertEquals(List.of(), world.violations);
+    private void assertNoViolations() {
+        simulation.checkOrders();
+        simulation.checkStatesConverged();
+        assertEquals(List.of(), simulation.violations);
     }
 
     /** Where the holder is when it is paused. */
--- a/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
@@ -18,38 +18,39 @@
 
 class PlannedChangeTest {
 
-    private final ControlWorld world = new ControlWorld(3, ControlWorld.POLICIES);
+    private final ControlSimulation simulation = new ControlSimulation(3, ControlSimulation.POLICIES);
 
     /** An operator changes a role: the engine drains, gets one order, and serves with the new role; three appends more. */
     @Test
-    void aRoleChangeIsDrainedThenOrdered() {
-        world.run(2_000);
+    void roleChangeDrainsBeforeItsOrder() {
+        simulation.advance(2_000);
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
-        world.run(400);
-        assertEquals(Set.of("checking-1"), world.instance(2).node.outOfService());
-        world.run(4_000);
-        assertEquals(PlanState.DONE, state("p1"));
-        assertEquals(EngineRole.PREFILL, stateOf("checking-1").configuration().role());
-        assertEquals(Set.of(), world.instance(2).node.outOfService());
-        assertEquals(1, world.applied.get("checking-1").size());
-        assertClean();
+        simulation.advance(400);
+        assertEquals(Set.of("checking-1"), simulation.instance(2).node.outOfService());
+        simulation.advance(4_000);
+        assertEquals(PlanState.DONE, planState("p1"));
+        assertEquals(
+                EngineRole.PREFILL, engineState("checking-1").configuration().role());
+        assertEquals(Set.of(), simulation.instance(2).node.outOfService());
+        assertEquals(1, simulation.appliedOrders.get("checking-1").size());
+        assertNoViolations();
     }
 
     /** A booking runs on the target for a long time: no order goes out until it is finished, however long that takes. */
     @Test
-    void urgentWorkIsNeverCut() {
-        world.run(2_000);
-        world.inFlight.put("checking-1", new TargetActivity.InFlight(true, 1, 1));
+    void orderWaitsForUrgentWork() {
+        simulation.advance(2_000);
+        simulation.inFlight.put("checking-1", new TargetActivity.InFlight(true, 1, 1));
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
-        world.run(30_000);
-        assertEquals(PlanState.DRAINING, state("p1"));
-        assertEquals(List.of(), world.applied.get("checking-1"));
-        world.inFlight.put("checking-1", new TargetActivity.InFlight(false, 0, 0));
-        world.run(5_000);
-        assertEquals(PlanState.DRAINING, state("p1"));
-        world.inFlight.remove("checking-1");
-        world.run(4_000);
-        assertEquals(PlanState.DONE, state("p1"));
+        simulation.advance(30_000);
+        assertEquals(PlanState.DRAINING, planState("p1"));
+        assertEquals(List.of(), simulation.appliedOrders.get("checking-1"));
+        simulation.inFlight.put("checking-1", new TargetActivity.InFlight(false, 0, 0));
+        simulation.advance(5_000);
+        assertEquals(PlanState.DRAINING, planState("p1"));
+        simulation.inFlight.remove("checking-1");
+        simulation.advance(4_000);
+        assertEquals(PlanState.DONE, planState("p1"));
     }
 
     /**
@@ -57,89 +58,99 @@
      * finishes the change; the engine gets one order, at most repeated.
      */
     @Test
-    void aSuccessorFinishesWhatAKilledHolderBegan() {
+    void successorFinishesChangeOfKilledHolder() {
         for (int killedAfterMillis = 100; killedAfterMillis <= 2_500; killedAfterMillis += 200) {
-            ControlWorld each = new ControlWorld(3, ControlWorld.POLICIES);
-            each.run(2_000);
-            int holder = each.holderOf("ignoring@kochi");
-            each.instance((holder + 1) % 3)
+            ControlSimulation otherSimulation = new ControlSimulation(3, ControlSimulation.POLICIES);
+            otherSimulation.advance(2_000);
+            int holder = otherSimulation.holderIndexOf("ignoring@kochi");
+            otherSimulation
+                    .instance((holder + 1) % 3)
                     .node
                     .requestPlan(
                             new PlanRequest("p1", "meera", PlannedChange.changeRole("ignoring-1", EngineRole.DECODE)));
-            each.run(killedAfterMillis);
-            each.restart(holder);
-            each.run(12_000);
+            otherSimulation.advance(killedAfterMillis);
+            otherSimulation.restart(holder);
+            otherSimulation.advance(12_000);
             assertEquals(
                     PlanState.DONE,
-                    each.truth().authority().plans().plan("p1").orElseThrow().state(),
+                    otherSimulation
+                            .referenceState()
+                            .authority()
+                            .plans()
+                            .plan("p1")
+                            .orElseThrow()
+                            .state(),
                     "killed after " + killedAfterMillis);
-            each.checkOrders();
-            each.checkSameStateEverywhere();
-            assertEquals(List.of(), each.violations);
+            otherSimulation.checkOrders();
+            otherSimulation.checkStatesConverged();
+            assertEquals(List.of(), otherSimulation.violations);
         }
     }
 
     /** The engine crashes while it applies an order and forgets it: the order goes out again and the change is finished. */
     @Test
-    void anEngineThatCrashesInTheMiddleGetsItsOrderAgain() {
-        world.run(2_000);
+    void orderIsRepeatedAfterEngineCrash() {
+        simulation.advance(2_000);
         request("p1", new PlannedChange(PlannedChange.Kind.LOAD_MODEL, "checking-1", "", null, "m", "2", "", ""));
-        world.run(900);
-        for (int i = 0; i < 20 && world.applied.get("checking-1").isEmpty(); i++) {
-            world.run(50);
+        simulation.advance(900);
+        for (int i = 0; i < 20 && simulation.appliedOrders.get("checking-1").isEmpty(); i++) {
+            simulation.advance(50);
         }
-        world.engines.get("checking-1").crash();
-        world.run(10_000);
-        assertEquals(PlanState.DONE, state("p1"));
-        assertEquals("2", stateOf("checking-1").configuration().modelVersion());
-        assertClean();
+        simulation.engines.get("checking-1").crash();
+        simulation.advance(10_000);
+        assertEquals(PlanState.DONE, planState("p1"));
+        assertEquals("2", engineState("checking-1").configuration().modelVersion());
+        assertNoViolations();
     }
 
     /** An engine runs something else than was ordered, because someone else changed it: the order is asserted again. */
     @Test
-    void anEngineThatStrayedIsPutRight() {
-        world.run(2_000);
+    void divergedEngineIsCorrected() {
+        simulation.advance(2_000);
         request("p1", PlannedChange.changeRole("ignoring-1", EngineRole.PREFILL));
-        world.run(4_000);
-        world.engines
+        simulation.advance(4_000);
+        simulation
+                .engines
                 .get("ignoring-1")
                 .order(new org.dogwoodwinch.target.EngineOrder(
-                        "stray", 0, stateOf("ignoring-1").configuration().withRole(EngineRole.DECODE)));
-        world.run(4_000);
-        assertEquals(EngineRole.PREFILL, stateOf("ignoring-1").configuration().role());
+                        "stray", 0, engineState("ignoring-1").configuration().withRole(EngineRole.DECODE)));
+        simulation.advance(4_000);
+        assertEquals(
+                EngineRole.PREFILL, engineState("ignoring-1").configuration().role());
     }
 
     @Test
-    void drainRestoreReplaceAndWithdrawMarkTheirTargets() {
-        world.run(2_000);
+    void drainRestoreAndReplaceMarkTargets() {
+        simulation.advance(2_000);
         request("p1", PlannedChange.of(PlannedChange.Kind.DRAIN, "checking-1"));
         request("p2", new PlannedChange(PlannedChange.Kind.REPLACE, "ignoring-1", "", null, "", "", "", "ignoring-2"));
-        world.run(8_000);
-        assertEquals(Set.of("checking-1", "ignoring-1"), world.instance(0).node.outOfService());
+        simulation.advance(8_000);
+        assertEquals(
+                Set.of("checking-1", "ignoring-1"), simulation.instance(0).node.outOfService());
         assertEquals(
                 StandingMark.WITHDRAWN,
-                world.truth().authority().plans().standing().get("ignoring-1"));
+                simulation.referenceState().authority().plans().standing().get("ignoring-1"));
         request("p3", PlannedChange.of(PlannedChange.Kind.RESTORE, "checking-1"));
-        world.run(500);
-        assertEquals(Set.of("ignoring-1"), world.instance(0).node.outOfService());
-        assertClean();
+        simulation.advance(500);
+        assertEquals(Set.of("ignoring-1"), simulation.instance(0).node.outOfService());
+        assertNoViolations();
     }
 
     /** Cancelling works until the order is on the log, and is refused afterwards. */
     @Test
-    void aPlanIsCancelledUntilItsOrderIsOnTheLog() {
-        world.run(2_000);
-        world.inFlight.put("checking-1", new TargetActivity.InFlight(true, 1, 1));
+    void planIsCancellableUntilOrderIsLogged() {
+        simulation.advance(2_000);
+        simulation.inFlight.put("checking-1", new TargetActivity.InFlight(true, 1, 1));
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
-        world.run(1_000);
-        world.instance(1).node.cancelPlan("p1", "joao");
-        world.run(500);
-        assertEquals(PlanState.CANCELLED, state("p1"));
-        assertFalse(world.instance(0).node.outOfService().contains("checking-1"));
+        simulation.advance(1_000);
+        simulation.instance(1).node.cancelPlan("p1", "joao");
+        simulation.advance(500);
+        assertEquals(PlanState.CANCELLED, planState("p1"));
+        assertFalse(simulation.instance(0).node.outOfService().contains("checking-1"));
         request("p2", PlannedChange.changeRole("ignoring-1", EngineRole.PREFILL));
-        world.run(5_000);
-        CompletionStage<PlanAnswer> answer = world.instance(1).node.cancelPlan("p2", "joao");
-        world.run(500);
+        simulation.advance(5_000);
+        CompletionStage<PlanAnswer> answer = simulation.instance(1).node.cancelPlan("p2", "joao");
+        simulation.advance(500);
         assertEquals(
                 PlanAnswer.Verdict.REFUSED,
                 answer.toCompletableFuture().getNow(null).verdict());
@@ -147,27 +158,28 @@
 
     /** The log goes out in the middle of a change: nothing is ordered meanwhile, and the change is finished afterwards. */
     @Test
-    void anOutageHoldsChangesUp() {
-        world.run(2_000);
+    void logOutageDelaysChange() {
+        simulation.advance(2_000);
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
-        world.run(400);
-        world.log.setMode(org.dogwoodwinch.standin.MemoryLog.Mode.REFUSING);
-        world.run(15_000);
-        assertEquals(List.of(), world.applied.get("checking-1"));
-        world.log.setMode(org.dogwoodwinch.standin.MemoryLog.Mode.UP);
-        world.run(12_000);
-        assertEquals(PlanState.DONE, state("p1"));
-        assertClean();
+        simulation.advance(400);
+        simulation.log.setMode(org.dogwoodwinch.standin.MemoryLog.Mode.REFUSING);
+        simulation.advance(15_000);
+        assertEquals(List.of(), simulation.appliedOrders.get("checking-1"));
+        simulation.log.setMode(org.dogwoodwinch.standin.MemoryLog.Mode.UP);
+        simulation.advance(12_000);
+        assertEquals(PlanState.DONE, planState("p1"));
+        assertNoViolations();
     }
 
     @Test
-    void faultyRequestsAreRefusedByField() {
-        world.run(2_000);
+    void invalidRequestNamesItsField() {
+        simulation.advance(2_000);
         PlannedChange change =
                 new PlannedChange(PlannedChange.Kind.LOAD_MODEL, "checking-1", "", null, "m", "", "", "");
         assertEquals(
                 PlanAnswer.refused("p1", "modelVersion: is missing"),
-                world.instance(0)
+                simulation
+                        .instance(0)
                         .node
                         .requestPlan(new PlanRequest("p1", "meera", change))
                         .toCompletableFuture()
@@ -175,23 +187,29 @@
     }
 
     private void request(String planId, PlannedChange change) {
-        world.instance(1).node.requestPlan(new PlanRequest(planId, "meera", change));
+        simulation.instance(1).node.requestPlan(new PlanRequest(planId, "meera", change));
     }
 
-    private PlanState state(String planId) {
-        return world.truth().authority().plans().plan(planId).orElseThrow().state();
+    private PlanState planState(String planId) {
+        return simulation
+                .referenceState()
+                .authority()
+                .plans()
+                .plan(planId)
+                .orElseThrow()
+                .state();
     }
 
-    private EngineState stateOf(String engine) {
+    private EngineState engineState(String engine) {
         TargetReply<EngineState> reply =
-                world.engines.get(engine).state().toCompletableFuture().getNow(null);
+                simulation.engines.get(engine).state().toCompletableFuture().getNow(null);
         assertTrue(reply instanceof TargetReply.Answer<EngineState>, () -> "no state: " + reply);
         return ((TargetReply.Answer<EngineState>) reply).value();
     }
 
-    private void assertClean() {
-        world.checkOrders();
-        world.checkSameStateEverywhere();
-        assertEquals(List.of(), world.violations);
+    private void assertNoViolations() {
+        simulation.checkOrders();
+        simulation.checkStatesConverged();
+        assertEquals(List.of(), simulation.violations);
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/InstanceNetwork.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulatedNetwork.java
@@ -23,27 +23,28 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** What lies between one instance and the log and engines: delays, partitions, duplicates; bytes travel though the process is paused. */
-final class InstanceNetwork implements LogService {
+final class SimulatedNetwork implements LogService {
 
-    private final VirtualTimeSource world;
+    private final VirtualTimeSource simulationTime;
     private final LogService log;
-    private final InstanceClock clock;
+    private final SimulatedClock clock;
     private final Consumer<String> onAppend;
-    private boolean cut;
+    private boolean partitioned;
     private long appendDelayMillis;
-    private long checkedOrderDelayMillis;
-    private long otherOrderDelayMillis;
-    private int duplicates;
+    private long fencedOrderDelayMillis;
+    private long unfencedOrderDelayMillis;
+    private int remainingDuplicates;
 
-    InstanceNetwork(VirtualTimeSource world, LogService log, InstanceClock clock, Consumer<String> onAppend) {
-        this.world = world;
+    SimulatedNetwork(
+            VirtualTimeSource simulationTime, LogService log, SimulatedClock clock, Consumer<String> onAppend) {
+        this.simulationTime = simulationTime;
         this.log = log;
         this.clock = clock;
         this.onAppend = onAppend;
     }
 
-    void setCut(boolean newCut) {
-        cut = newCut;
+    void setPartitioned(boolean newPartitioned) {
+        partitioned = newPartitioned;
     }
 
     void setAppendDelayMillis(long millis) {
@@ -51,39 +52,39 @@
     }
 
     /** Engines that check tokens and those that do not may get their orders late by different times. */
-    void setOrderDelays(long checkedMillis, long otherMillis) {
-        checkedOrderDelayMillis = checkedMillis;
-        otherOrderDelayMillis = otherMillis;
+    void setOrderDelays(long fencedMillis, long unfencedMillis) {
+        fencedOrderDelayMillis = fencedMillis;
+        unfencedOrderDelayMillis = unfencedMillis;
     }
 
     void duplicateAppends(int count) {
-        duplicates = count;
+        remainingDuplicates = count;
     }
 
     @Override
     public CompletionStage<AppendResult> append(String stream, String payload) {
         onAppend.accept(payload);
-        if (duplicates > 0) {
-            duplicates--;
-            world.schedule(appendDelayMillis + 4_000, () -> log.append(stream, payload));
+        if (remainingDuplicates > 0) {
+            remainingDuplicates--;
+            simulationTime.schedule(appendDelayMillis + 4_000, () -> log.append(stream, payload));
         }
-        return travel(appendDelayMillis, () -> log.append(stream, payload));
+        return transmit(appendDelayMillis, () -> log.append(stream, payload));
     }
 
     @Override
     public CompletionStage<ReadResult> read(String stream, long fromOffset, int maxRecords, long waitMillis) {
-        return travel(0, () -> log.read(stream, fromOffset, maxRecords, waitMillis));
+        return transmit(0, () -> log.read(stream, fromOffset, maxRecords, waitMillis));
     }
 
     /** The request arrives after a delay, unless the instance is cut off; the answer is lost where it is cut off by then. */
-    private <T> CompletionStage<T> travel(long delayMillis, Supplier<CompletionStage<T>> call) {
+    private <T> CompletionStage<T> transmit(long delayMillis, Supplier<CompletionStage<T>> call) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        if (!cut) {
-            world.schedule(
+        if (!partitioned) {
+            simulationTime.schedule(
                     delayMillis,
                     () -> call.get().whenComplete((value, _failure) -> {
-                        if (!cut) {
-                            clock.deliver(() -> answer.complete(value));
+                        if (!partitioned) {
+                            clock.runOrDefer(() -> answer.complete(value));
                         }
                     }));
         }
@@ -91,28 +92,29 @@
     }
 
     /** The way to one engine. */
-    EngineClient to(StandInEngine engine, boolean checks) {
-        return new Link(engine, checks);
+    EngineClient engineClient(StandInEngine engine, boolean checksFencing) {
+        return new EngineLink(engine, checksFencing);
     }
 
-    private final class Link implements EngineClient {
+    private final class EngineLink implements EngineClient {
 
         private final StandInEngine engine;
-        private final boolean checks;
+        private final boolean checksFencing;
 
-        Link(StandInEngine engine, boolean checks) {
+        EngineLink(StandInEngine engine, boolean checksFencing) {
             this.engine = engine;
-            this.checks = checks;
+            this.checksFencing = checksFencing;
         }
 
         @Override
         public CompletionStage<OrderResult> order(EngineOrder order) {
-            return travel(checks ? checkedOrderDelayMillis : otherOrderDelayMillis, () -> engine.order(order));
+            return transmit(
+                    checksFencing ? fencedOrderDelayMillis : unfencedOrderDelayMillis, () -> engine.order(order));
         }
 
         @Override
         public CompletionStage<TargetReply<EngineState>> state() {
-            return travel(1, engine::state);
+            return transmit(1, engine::state);
         }
 
         @Override
--- a/src/test/java/org/dogwoodwinch/controllog/LogFollowerTest.java
+++ b/src/test/java/org/dogwoodwinch/controllog/LogFollowerTest.java
@@ -21,80 +21,80 @@
     private static final FollowerSettings SETTINGS = new FollowerSettings("control", 10, 2_000, 100, 500);
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final MemoryLog memory = new MemoryLog(time, new MemoryLogLimits(1_000, 30_000));
-    private final SwallowingLog log = new SwallowingLog();
-    private final Heard heard = new Heard();
-    private final LogFollower follower = new LogFollower(log, SETTINGS, time, heard);
+    private final MemoryLog memoryLog = new MemoryLog(time, new MemoryLogLimits(1_000, 30_000));
+    private final AnswerDroppingLog log = new AnswerDroppingLog();
+    private final RecordingListener listener = new RecordingListener();
+    private final LogFollower follower = new LogFollower(log, SETTINGS, time, listener);
 
     @Test
-    void recordsComeInOrderAndOnce() {
+    void recordsAreDeliveredInOrderAndOnce() {
         follower.start(0);
         for (int i = 0; i < 35; i++) {
-            memory.append("control", "r" + i);
+            memoryLog.append("control", "r" + i);
             time.advanceMillis(i * 7L);
         }
         time.advanceMillis(1_000);
-        assertEquals(35, heard.payloads.size());
-        assertEquals("r34", heard.payloads.get(34));
+        assertEquals(35, listener.payloads.size());
+        assertEquals("r34", listener.payloads.get(34));
         assertEquals(35, follower.nextOffset());
     }
 
     /** A partition swallows the answer to a read for good: the follower reads again and misses nothing. */
     @Test
-    void aReadWithoutAnAnswerIsMadeAnew() {
+    void unansweredReadIsRepeated() {
         follower.start(0);
         time.advanceMillis(500);
-        log.swallowing = true;
+        log.droppingAnswers = true;
         time.advanceMillis(2_500);
-        memory.append("control", "r0");
-        log.swallowing = false;
+        memoryLog.append("control", "r0");
+        log.droppingAnswers = false;
         time.advanceMillis(3_000);
-        assertEquals(List.of("r0"), heard.payloads);
-        assertEquals(1, heard.unavailable);
+        assertEquals(List.of("r0"), listener.payloads);
+        assertEquals(1, listener.unavailableCount);
     }
 
     /** Records expired while this instance was away: it is told, and goes on at the oldest that is left. */
     @Test
-    void expiryIsToldAndReadingGoesOn() {
-        memory.append("control", "old");
+    void expiryIsReportedAndReadingContinues() {
+        memoryLog.append("control", "old");
         time.advanceMillis(40_000);
-        memory.append("control", "new");
+        memoryLog.append("control", "new");
         follower.start(0);
         time.advanceMillis(1_000);
-        assertEquals(1, heard.expired);
-        assertEquals(List.of("new"), heard.payloads);
+        assertEquals(1, listener.expiredCount);
+        assertEquals(List.of("new"), listener.payloads);
     }
 
     /** An outage must not turn into a storm of reads, nor a service that answers empty at once. */
     @Test
-    void readsArePacedDuringAnOutage() {
-        memory.setMode(MemoryLog.Mode.REFUSING);
+    void readsArePacedDuringOutage() {
+        memoryLog.setMode(MemoryLog.Mode.REFUSING);
         follower.start(0);
         time.advanceMillis(10_000);
-        assertTrue(log.reads <= 101, () -> "reads: " + log.reads);
+        assertTrue(log.readCount <= 101, () -> "reads: " + log.readCount);
         follower.stop();
-        int before = log.reads;
+        int readsBeforeStop = log.readCount;
         time.advanceMillis(10_000);
-        assertEquals(before, log.reads);
+        assertEquals(readsBeforeStop, log.readCount);
     }
 
     /** Swallows answers while it is told to. */
-    private final class SwallowingLog implements LogService {
+    private final class AnswerDroppingLog implements LogService {
 
-        private boolean swallowing;
-        private int reads;
+        private boolean droppingAnswers;
+        private int readCount;
 
         @Override
         public CompletionStage<AppendResult> append(String stream, String payload) {
-            return memory.append(stream, payload);
+            return memoryLog.append(stream, payload);
         }
 
         @Override
         public CompletionStage<ReadResult> read(String stream, long fromOffset, int maxRecords, long waitMillis) {
-            reads++;
+            readCount++;
             CompletableFuture<ReadResult> answer = new CompletableFuture<>();
-            memory.read(stream, fromOffset, maxRecords, waitMillis).whenComplete((result, _failure) -> {
-                if (!swallowing) {
+            memoryLog.read(stream, fromOffset, maxRecords, waitMillis).whenComplete((result, _failure) -> {
+                if (!droppingAnswers) {
                     answer.complete(result);
                 }
             });
@@ -103,11 +103,11 @@
     }
 
     /** Notes what it hears. */
-    private static final class Heard implements FollowerListener {
+    private static final class RecordingListener implements FollowerListener {
 
         private final List<String> payloads = new ArrayList<>();
-        private int expired;
-        private int unavailable;
+        private int expiredCount;
+        private int unavailableCount;
 
         @Override
         public void onRecords(ReadResult.Records records) {
@@ -116,12 +116,12 @@
 
         @Override
         public void onExpired(ReadResult.Expired _expired) {
-            expired++;
+            expiredCount++;
         }
 
         @Override
         public void onUnavailable(String _detail) {
-            unavailable++;
+            unavailableCount++;
         }
     }
 }
