--- a/src/main/java/org/dogwoodwinch/control/AppliedRecordListener.java
+++ b/src/main/java/org/dogwoodwinch/control/AppliedRecordListener.java
@@ -1,13 +1,13 @@
 package org.dogwoodwinch.control;
 
-/** Hears what the fold made of each record, in log order. */
+/** Receives each record that was applied to the state machine, in log order. */
 @FunctionalInterface
 public interface AppliedRecordListener {
 
     /**
-     * Takes one record.
+     * Called after a record was applied.
      *
-     * @param applied the record and what became of it, not null
+     * @param applied the record and whether it was accepted, not null
      */
     void onApplied(FoldedRecord applied);
 }
--- a/src/main/java/org/dogwoodwinch/control/ApplyAnswer.java
+++ b/src/main/java/org/dogwoodwinch/control/ApplyAnswer.java
@@ -6,15 +6,15 @@
 import org.dogwoodwinch.catalogue.CatalogueProblem;
 
 /**
- * What the control endpoint writes about an edit.
+ * The response of the control endpoint to a catalogue edit.
  *
- * @param verdict what became of it, not null
- * @param editId the edit, not null
- * @param revision the revision that it made, or the one in force where it was rejected; -1 elsewhere
- * @param winnerId where rejected, the edit that came first, not null
- * @param winnerAuthor where rejected, who made that one, not null
- * @param problems where faulty, all faults, not null
- * @param detail where not known yet, what is waited for, not null
+ * @param verdict the outcome of the edit, not null
+ * @param editId the id of the edit, not null
+ * @param revision the revision that the edit created if accepted, the current revision if rejected; otherwise -1
+ * @param winnerId the id of the conflicting edit that was accepted first, if rejected; otherwise empty, not null
+ * @param winnerAuthor the author of that conflicting edit, if rejected; otherwise empty, not null
+ * @param problems all validation errors, if the edit is invalid; otherwise empty, not null
+ * @param detail the reason why the outcome is not known yet; otherwise empty, not null
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
 public record ApplyAnswer(
@@ -26,19 +26,19 @@
         List<CatalogueProblem> problems,
         String detail) {
 
-    /** What can become of an edit. */
+    /** The outcomes of an edit. */
     public enum Verdict {
-        /** In force, or soon, on every instance. */
+        /** The edit was accepted and takes effect on every instance. */
         ACCEPTED,
-        /** Another edit of the same base came first. */
+        /** Another edit of the same base revision was accepted first. */
         REJECTED,
-        /** It has faults and was not published. */
+        /** The edit is invalid and was not published. */
         FAULTY,
-        /** Ask again. */
+        /** The outcome is not known yet; the client polls again. */
         UNKNOWN_YET
     }
 
-    /** Checks and copies the parts; what is missing is empty. */
+    /** Validates and copies the components. Missing optional components become empty. */
     public ApplyAnswer {
         Objects.requireNonNull(verdict, "verdict");
         Objects.requireNonNull(editId, "editId");
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Makes the answer of a result.
+     * Converts a result to a response.
      *
      * @param result the result, not null
-     * @return the answer
+     * @return the response
      */
     public static ApplyAnswer of(ApplyResult result) {
         if (result instanceof ApplyResult.Accepted value) {
--- a/src/main/java/org/dogwoodwinch/control/ApplyResult.java
+++ b/src/main/java/org/dogwoodwinch/control/ApplyResult.java
@@ -3,47 +3,47 @@
 import java.util.List;
 import org.dogwoodwinch.catalogue.CatalogueProblem;
 
-/** What an operator hears of an edit. */
+/** The outcome of a catalogue edit, as reported to the operator. */
 public sealed interface ApplyResult {
 
     /**
-     * The edit is accepted, on every instance alike.
+     * The edit is accepted. Every instance reaches the same decision.
      *
-     * @param editId the edit, not null
-     * @param revision the revision that it made
+     * @param editId the id of the edit, not null
+     * @param revision the revision that it created
      */
     record Accepted(String editId, long revision) implements ApplyResult {}
 
     /**
-     * Another edit of the same base came first.
+     * Another edit of the same base revision was accepted first.
      *
-     * @param editId the edit, not null
-     * @param winnerId the edit that came first, empty where it is forgotten, not null
-     * @param winnerAuthor who made that one, empty where it is forgotten, not null
-     * @param revision the revision in force
+     * @param editId the id of the edit, not null
+     * @param winnerId the id of the edit that was accepted first, empty if no longer in the history, not null
+     * @param winnerAuthor the author of that edit, empty if no longer in the history, not null
+     * @param revision the current revision
      */
     record Rejected(String editId, String winnerId, String winnerAuthor, long revision) implements ApplyResult {}
 
     /**
-     * The edit has faults and was not published.
+     * The edit is invalid and was not published.
      *
-     * @param editId the edit, not null
-     * @param problems the faults, one or more
+     * @param editId the id of the edit, not null
+     * @param problems the validation errors, one or more
      */
     record Faulty(String editId, List<CatalogueProblem> problems) implements ApplyResult {
 
-        /** Copies the list. */
+        /** Copies the list of problems. */
         public Faulty {
             problems = List.copyOf(problems);
         }
     }
 
     /**
-     * It is not known yet: the log was not read as far as the edit. Asking again, or applying the same edit id again, is
-     * safe.
+     * The outcome is not known yet, because this instance has not read the log up to the edit. Querying the status
+     * again or applying the same edit id again is safe.
      *
-     * @param editId the edit, not null
-     * @param detail what is waited for, not null
+     * @param editId the id of the edit, not null
+     * @param detail the reason why the outcome is not known, not null
      */
     record UnknownYet(String editId, String detail) implements ApplyResult {}
 }
--- a/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
+++ b/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
@@ -19,7 +19,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out what the {@link AuthorityAgent} decides, and tells it what came of it. Thread-safe. */
+/**
+ * Executes the actions that the {@link AuthorityAgent} decides on and reports their results back to it. Thread-safe.
+ */
 final class AuthorityRunner {
 
     private static final Logger log = LoggerFactory.getLogger(AuthorityRunner.class);
@@ -33,11 +35,11 @@
     /**
      * Creates a runner.
      *
-     * @param agent decides, not null
-     * @param services reaches the engines and the weight store, not null
-     * @param time gives the time, not null
-     * @param access lets the agent and the fold be used, under their owner's lock, not null
-     * @param appender puts a record on the control stream, not null
+     * @param agent decides on the actions and receives their results, not null
+     * @param services provides the engines and the weight store, not null
+     * @param time provides the monotonic time, not null
+     * @param access gives access to the agent and the replicated state under their owner's lock, not null
+     * @param appender appends a record to the control stream, not null
      */
     AuthorityRunner(
             AuthorityAgent agent,
@@ -49,13 +51,13 @@
         this.services = Objects.requireNonNull(services, "services");
         this.time = Objects.requireNonNull(time, "time");
         this.access = Objects.requireNonNull(access, "access");
-        this.appender = Objects.requireNonNull(appender, "append");
+        this.appender = Objects.requireNonNull(appender, "appender");
     }
 
     /**
-     * Carries out actions; to be called outside the owner's lock.
+     * Executes actions. The caller must not hold the owner's lock.
      *
-     * @param actions the actions in order, not null
+     * @param actions the actions in execution order, not null
      */
     void run(List<AuthorityAction> actions) {
         for (AuthorityAction action : actions) {
@@ -80,7 +82,8 @@
             onResult(send, new OrderResult.Refused("the engine is not in the instance list"));
             return;
         }
-        // Asked here and not where it was decided: whatever time went by since, the lease covers the write.
+        // The lease is checked immediately before the write rather than at the time of the decision, so that the lease
+        // covers the write however much time has passed in between.
         if (!access.query(authorityState -> agent.maySend(authorityState, send, time.monotonicMillis()))) {
             onResult(send, new OrderResult.Refused("the lease has lapsed"));
             return;
@@ -124,20 +127,20 @@
                 .map((Target target) -> services.targetClients().engine(target));
     }
 
-    /** Lets the agent be used under its owner's lock. */
+    /** Gives access to the agent under its owner's lock. */
     interface LockedAccess {
 
         /**
-         * Tells the agent something; the owner decides anew afterwards.
+         * Runs an action that updates the agent. The owner schedules a new decision afterwards.
          *
-         * @param action takes the state as far as it was read, not null
+         * @param action receives the replicated state as of the last applied record, not null
          */
         void update(Consumer<AuthorityFold> action);
 
         /**
-         * Asks the agent something.
+         * Evaluates a predicate against the replicated state.
          *
-         * @param predicate takes the state as far as it was read, not null
+         * @param predicate receives the replicated state as of the last applied record, not null
          * @return its answer
          */
         boolean query(Predicate<AuthorityFold> predicate);
--- a/src/main/java/org/dogwoodwinch/control/CancelRequest.java
+++ b/src/main/java/org/dogwoodwinch/control/CancelRequest.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * An operator's wish to cancel a planned change.
+ * An operator's request to cancel a planned change.
  *
- * @param author who cancels, not null
+ * @param author the author of the cancellation, not null
  */
 public record CancelRequest(String author) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public CancelRequest {
         Objects.requireNonNull(author, "author");
     }
--- a/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
@@ -16,10 +16,12 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Lets an instance that starts during a log outage take the newest catalogue from its peers. Thread-safe.
+ * Distributes the catalogue among peers, so that an instance that starts during a log outage gets the newest one.
+ * Thread-safe.
  *
- * <p>What peers say is put in force only while the log does not answer, and only once a while has gone by in which the
- * newest could arrive: otherwise a starter would serve the first, possibly older, catalogue that it hears of.
+ * <p>A catalogue from a peer is put in force only while the log is unavailable, and only after a collection period that
+ * leaves time for the newest one to arrive. Otherwise a starting instance would serve the first catalogue that it
+ * receives, which may be outdated.
  */
 final class CatalogueExchange {
 
@@ -38,26 +40,28 @@
     private long publishedMillis = NEVER;
 
     /**
-     * Creates the exchange and subscribes.
+     * Creates the exchange and subscribes to the catalogues of peers.
      *
-     * @param peerBoard carries the catalogues, not null
-     * @param catalogueHolder what is in force here, not null
-     * @param isPublisher whether this instance is one of those that tell the others, not null
-     * @param collectionMillis how long to collect before the newest is taken, in milliseconds
+     * @param peerBoard distributes the catalogues among peers, not null
+     * @param catalogueHolder holds the catalogue in force on this instance, not null
+     * @param isPublisher whether this instance publishes its catalogue to peers, not null
+     * @param collectionMillis how long to collect the catalogues of peers before the newest one is used, in
+     *     milliseconds
      */
     CatalogueExchange(
             PeerBoard peerBoard, CatalogueHolder catalogueHolder, BooleanSupplier isPublisher, long collectionMillis) {
-        this.peerBoard = Objects.requireNonNull(peerBoard, "board");
-        this.catalogueHolder = Objects.requireNonNull(catalogueHolder, "holder");
-        this.isPublisher = Objects.requireNonNull(isPublisher, "publishes");
+        this.peerBoard = Objects.requireNonNull(peerBoard, "peerBoard");
+        this.catalogueHolder = Objects.requireNonNull(catalogueHolder, "catalogueHolder");
+        this.isPublisher = Objects.requireNonNull(isPublisher, "isPublisher");
         this.collectionMillis = collectionMillis;
         peerBoard.subscribe(PeerTopic.CATALOGUE, this::onItem);
     }
 
     /**
-     * Publishes what is in force, and puts a peer's catalogue in force where the log is out and it is newer.
+     * Publishes the catalogue in force. During a log outage, puts the newest catalogue of a peer in force if it is
+     * newer.
      *
-     * @param logUnavailable whether the log does not answer
+     * @param logUnavailable whether the log is unavailable
      * @param nowMillis the monotonic time in milliseconds
      */
     synchronized void tick(boolean logUnavailable, long nowMillis) {
@@ -82,7 +86,7 @@
             byte[] payload = MAPPER.writeValueAsBytes(CatalogueDocument.of(catalogue));
             peerBoard.publish(PeerTopic.CATALOGUE, KEY, Bytes.of(payload), ITEM_TTL_MILLIS);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a catalogue is always writable", e);
+            throw new IllegalStateException("cannot serialize the catalogue", e);
         }
     }
 
@@ -92,7 +96,7 @@
             received = MAPPER.readValue(item.payload().toByteArray(), CatalogueDocument.class)
                     .toCatalogue();
         } catch (IOException | IllegalArgumentException e) {
-            // A peer of another version may write what this one does not read; it counts as not having spoken.
+            // A peer of another version may publish a format that this version cannot read; such an item is ignored.
             return;
         }
         if (received.revision() > newestReceived.revision()
--- a/src/main/java/org/dogwoodwinch/control/Checkpoint.java
+++ b/src/main/java/org/dogwoodwinch/control/Checkpoint.java
@@ -4,14 +4,14 @@
 import org.dogwoodwinch.controllog.ControlRecord;
 
 /**
- * A copy of the folded state, put on the stream before the records that made it expire.
+ * A snapshot of the replicated state, appended to the control stream before the records that produced the state expire.
  *
- * @param id the record's id, not null
- * @param snapshot the state, not null
+ * @param id the id of the record, not null
+ * @param snapshot the snapshot, not null
  */
 public record Checkpoint(String id, ControlSnapshot snapshot) implements ControlRecord {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Checkpoint {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(snapshot, "snapshot");
--- a/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
@@ -8,9 +8,10 @@
 import org.dogwoodwinch.external.LogRecord;
 
 /**
- * Finds a state to go on from when the first records of the stream have expired. Not thread-safe.
+ * Restores the state from a checkpoint if the first records of the stream have expired. Not thread-safe.
  *
- * <p>It keeps the records that it is given until a usable checkpoint comes by, and then folds the kept records onto it.
+ * <p>It buffers the records that it receives until one of them is a usable checkpoint, and then applies the buffered
+ * records to that checkpoint.
  */
 final class CheckpointLoader {
 
@@ -23,10 +24,11 @@
     /**
      * Creates a loader.
      *
-     * @param codec reads the records, not null
+     * @param codec decodes the records, not null
      * @param checkpointRule decides which checkpoints may be used, not null
-     * @param firstReadOffset the offset from which on every record is given to {@link #accept(LogRecord)}
-     * @param previousCoveredOffset what this instance had folded before the gap; a state that covers less would be a step back
+     * @param firstReadOffset the offset from which every record is passed to {@link #accept(LogRecord)}
+     * @param previousCoveredOffset the last offset that this instance had applied before records expired; restoring
+     *     from a checkpoint record at or before it would set the state back
      */
     CheckpointLoader(
             ControlCodec codec, CheckpointRule checkpointRule, long firstReadOffset, long previousCoveredOffset) {
@@ -37,10 +39,10 @@
     }
 
     /**
-     * Takes the next record.
+     * Receives the next record.
      *
      * @param logRecord the record, not null
-     * @return the fold up to this record once there is a usable checkpoint
+     * @return the state machine up to this record if the record is a usable checkpoint
      */
     Optional<ControlFold> accept(LogRecord logRecord) {
         bufferedRecords.add(logRecord);
--- a/src/main/java/org/dogwoodwinch/control/CheckpointSchedule.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointSchedule.java
@@ -5,11 +5,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Decides when this instance puts the next checkpoint on the stream. Not thread-safe.
+ * Decides when this instance appends the next checkpoint to the control stream. Not thread-safe.
  *
- * <p>The age of a checkpoint is counted from when its covered offset was read here, not from when the checkpoint was: a
- * paused writer's old checkpoint, published late, must not put off the next one until the records after it have expired.
- * Each instance adds a random part to the wait, so that mostly one of them publishes and the others see it in time.
+ * <p>The age of a checkpoint is measured from the time at which this instance read its covered offset, not from the
+ * time at which it read the checkpoint itself. Otherwise an old checkpoint that a paused writer appends late would
+ * delay the next one until the records after its covered offset have expired. Each instance adds random jitter to the
+ * interval, so that usually one instance publishes and the others read its checkpoint before they are due.
  */
 final class CheckpointSchedule {
 
@@ -24,11 +25,11 @@
     private long coveredOffset = -1;
 
     /**
-     * Creates the clock.
+     * Creates a schedule.
      *
-     * @param intervalMillis the wait between checkpoints, in milliseconds
-     * @param intervalRecords the records between checkpoints
-     * @param random spreads the instances, not null
+     * @param intervalMillis the interval between checkpoints, in milliseconds
+     * @param intervalRecords the number of records between checkpoints
+     * @param random the source of the jitter, not null
      */
     CheckpointSchedule(long intervalMillis, int intervalRecords, UniformRandomProvider random) {
         this.intervalMillis = intervalMillis;
@@ -37,14 +38,15 @@
     }
 
     /**
-     * Notes how far the stream was read.
+     * Records how far this instance has read the stream.
      *
-     * @param offset the last offset read
+     * @param offset the last offset that was read
      * @param nowMillis the monotonic time in milliseconds
      */
     void onProgress(long offset, long nowMillis) {
         if (dueMillis == Long.MAX_VALUE) {
-            // A fresh instance does not know how old the last checkpoint is.
+            // A newly started instance does not know the age of the last checkpoint, so it waits a quarter of the
+            // interval.
             dueMillis = nowMillis + intervalMillis / INTERVAL_DIVISOR + jitterMillis();
             coveredOffset = offset;
         }
@@ -58,9 +60,9 @@
     }
 
     /**
-     * Notes a checkpoint that was read.
+     * Records that a checkpoint was read from the stream.
      *
-     * @param checkpointOffset the last offset that it has folded in
+     * @param checkpointOffset the last offset that the checkpoint covers
      */
     void onCheckpoint(long checkpointOffset) {
         if (checkpointOffset < coveredOffset) {
@@ -79,11 +81,12 @@
     }
 
     /**
-     * Says whether a checkpoint is due; after true it says false until another wait is over.
+     * Tests whether a checkpoint is due. If so, the next one is scheduled, so that further calls return false until
+     * then.
      *
-     * @param offset the last offset read
+     * @param offset the last offset that was read
      * @param nowMillis the monotonic time in milliseconds
-     * @return whether to publish one now
+     * @return true if a checkpoint is to be published now
      */
     boolean takeDue(long offset, long nowMillis) {
         boolean due = nowMillis >= dueMillis || offset - coveredOffset >= intervalRecords + jitterRecords();
--- a/src/main/java/org/dogwoodwinch/control/ControlApi.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlApi.java
@@ -7,89 +7,89 @@
 import org.dogwoodwinch.catalogue.CatalogueView;
 import org.dogwoodwinch.catalogue.EditRecord;
 
-/** What operators and the role planner ask of one instance. Thread-safe. */
+/** The operations that one instance offers to operators and to the role planner. Thread-safe. */
 public interface ControlApi {
 
     /**
-     * Returns the catalogue in force on this instance.
+     * Returns a view of the catalogue in force on this instance.
      *
      * @return the view
      */
     CatalogueView catalogue();
 
     /**
-     * Publishes an edit and waits for the log to decide.
+     * Publishes an edit and waits until it is read back from the log, whose order decides its outcome.
      *
-     * @param request the edit, not null
-     * @return completes within ten seconds with accepted, rejected, faulty or unknown-yet
+     * @param request the edit to publish, not null
+     * @return completes within ten seconds with the outcome with accepted, rejected, faulty or unknown yet
      */
     CompletionStage<ApplyResult> applyEdit(EditRequest request);
 
     /**
-     * Asks what became of an edit.
+     * Returns the outcome of an edit.
      *
-     * @param editId the edit, not null
-     * @return accepted, rejected, faulty, or unknown-yet where this instance has not read it
+     * @param editId the id of the edit, not null
+     * @return accepted, rejected or faulty; unknown yet if this instance has not read the edit from the log
      */
     ApplyResult editStatus(String editId);
 
     /**
-     * Returns the last edits, accepted or not.
+     * Returns the most recent edits, including rejected ones.
      *
-     * @return the lines, oldest first
+     * @return the edits, oldest first
      */
     List<EditRecord> history();
 
     /**
-     * Publishes a planned change and waits for the log to take it; carrying it out takes longer.
+     * Publishes a planned change and waits until it is read back from the log. The change itself is carried out later.
      *
-     * @param request the change, not null
-     * @return completes within ten seconds
+     * @param request the requested change, not null
+     * @return completes within ten seconds with the outcome
      */
     CompletionStage<PlanAnswer> requestPlan(PlanRequest request);
 
     /**
-     * Cancels a planned change whose order is not on the log yet.
+     * Cancels a planned change. This succeeds only while the order for the change is not on the log yet.
      *
-     * @param planId the plan, not null
-     * @param author who cancels, not null
-     * @return completes within ten seconds
+     * @param planId the id of the plan, not null
+     * @param author the author of the cancellation, not null
+     * @return completes within ten seconds with the outcome
      */
     CompletionStage<PlanAnswer> cancelPlan(String planId, String author);
 
     /**
-     * Asks how far a planned change is.
+     * Returns the progress of a planned change.
      *
-     * @param planId the plan, not null
-     * @return the answer; unknown-yet where this instance has not read it, or has forgotten it
+     * @param planId the id of the plan, not null
+     * @return the answer; unknown yet if this instance has not read the plan from the log or no longer retains it
      */
     PlanAnswer planStatus(String planId);
 
     /**
-     * Returns the planned changes under way and the last ones that are over.
+     * Returns the planned changes in progress and the most recently finished ones.
      *
-     * @return the plans in order of their requests
+     * @return the plans in the order of their requests
      */
     List<PlanRecord> plans();
 
     /**
-     * Returns the targets that must get no new work: draining, drained, being changed, withdrawn.
+     * Returns the targets that must not receive new requests: draining, drained, being changed or withdrawn.
      *
-     * @return their names
+     * @return the names of the targets
      */
     Set<String> outOfService();
 
     /**
-     * Returns the engine groups that this instance may act for now.
+     * Returns the engine groups for which this instance currently holds the lease.
      *
-     * @return the groups whose lease is live here
+     * @return the groups whose lease is valid on this instance
      */
     List<String> liveGroups();
 
     /**
-     * Returns how far this instance has read the log.
+     * Returns the read position of this instance on the log and the state of its connection to the log.
      *
-     * @return the figures
+     * @return the status
      */
     ControlStatus status();
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlCodec.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlCodec.java
@@ -10,7 +10,7 @@
 import org.dogwoodwinch.catalogue.CatalogueEdit;
 import org.dogwoodwinch.controllog.ControlRecord;
 
-/** Turns records of the control stream into JSON and back. Thread-safe. */
+/** Encodes records of the control stream as JSON and decodes them. Thread-safe. */
 public final class ControlCodec {
 
     private static final ObjectMapper MAPPER = JsonMapper.builder()
@@ -29,7 +29,7 @@
             .build();
 
     /**
-     * Writes a record.
+     * Encodes a record.
      *
      * @param record the record, not null
      * @return one line of JSON
@@ -38,16 +38,16 @@
         try {
             return MAPPER.writerFor(ControlRecord.class).writeValueAsString(record);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a control record is always writable", e);
+            throw new IllegalStateException("cannot serialize the control record", e);
         }
     }
 
     /**
-     * Reads a record.
+     * Decodes a record.
      *
-     * @param payload what stands on the log, not null
-     * @return the record, or empty where it is none that this version knows; every instance of one version decides the
-     *     same, because nothing but the text is looked at
+     * @param payload the payload of a log record, not null
+     * @return the record, or empty if this version does not know its kind. The result depends on the payload alone, so
+     *     every instance of the same version gets the same result.
      */
     public Optional<ControlRecord> decode(String payload) {
         try {
--- a/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
@@ -10,17 +10,17 @@
 import org.dogwoodwinch.catalogue.CatalogueCodec;
 
 /**
- * Maps HTTP requests below {@code /control} to {@link ControlApi}; it does no I/O, so any listener can carry it.
+ * Maps HTTP requests below {@code /control} to {@link ControlApi}; it does no I/O, so it works with any HTTP listener.
  * Thread-safe.
  *
- * <p>Paths: {@code GET /control/status}, {@code GET /control/catalogue}, {@code GET /control/catalogue/history},
- * {@code POST /control/catalogue/edits} with an {@link EditRequest}, {@code GET /control/catalogue/edits/ID},
- * {@code GET /control/plans}, {@code POST /control/plans} with a {@link PlanRequest}, {@code GET /control/plans/ID},
- * {@code POST /control/plans/ID/cancel} with a {@link CancelRequest}.
+ * <p>Paths: {@code GET /control/status}, {@code GET /control/catalogue}, {@code GET /control/catalogue/history}, {@code
+ * POST /control/catalogue/edits} with an {@link EditRequest}, {@code GET /control/catalogue/edits/ID}, {@code GET
+ * /control/plans}, {@code POST /control/plans} with a {@link PlanRequest}, {@code GET /control/plans/ID}, {@code POST
+ * /control/plans/ID/cancel} with a {@link CancelRequest}.
  */
 public final class ControlEndpoint {
 
-    /** All paths of this endpoint begin so. */
+    /** The common prefix of all paths of this endpoint. */
     public static final String PREFIX = "/control/";
 
     private static final String CATALOGUE = PREFIX + "catalogue";
@@ -42,19 +42,19 @@
     /**
      * Creates the endpoint.
      *
-     * @param api does the work, not null
+     * @param api executes the requests, not null
      */
     public ControlEndpoint(ControlApi api) {
         this.api = Objects.requireNonNull(api, "api");
     }
 
     /**
-     * Serves one request.
+     * Handles one request.
      *
      * @param method the HTTP method, not null
      * @param path the path without its query, not null
-     * @param body the body, empty where there is none, not null
-     * @return completes with the answer, at the latest after the time that the API takes to decide
+     * @param body the body, empty if there is none, not null
+     * @return completes with the response, at the latest when the API call completes
      */
     public CompletionStage<ControlResponse> handle(String method, String path, String body) {
         if (method.equals("GET")) {
@@ -75,8 +75,7 @@
                     CancelRequest.class,
                     request -> api.cancelPlan(planId, request.author()).thenApply(this::planResponse));
         }
-        return CompletableFuture.completedFuture(
-                problemResponse(NOT_FOUND, "there is nothing at " + method + " " + path));
+        return CompletableFuture.completedFuture(problemResponse(NOT_FOUND, "no resource for " + method + " " + path));
     }
 
     private ControlResponse get(String path) {
@@ -103,7 +102,7 @@
         if (path.startsWith(PLANS + "/")) {
             return planResponse(api.planStatus(path.substring(PLANS.length() + 1)));
         }
-        return problemResponse(NOT_FOUND, "there is nothing at GET " + path);
+        return problemResponse(NOT_FOUND, "no resource for GET " + path);
     }
 
     private ControlResponse catalogueResponse(Catalogue catalogue) {
@@ -119,7 +118,7 @@
             return CompletableFuture.completedFuture(problemResponse(BAD_REQUEST, e.getOriginalMessage()));
         }
         return request == null
-                ? CompletableFuture.completedFuture(problemResponse(BAD_REQUEST, "an object is wanted"))
+                ? CompletableFuture.completedFuture(problemResponse(BAD_REQUEST, "the body must be a JSON object"))
                 : handler.apply(request);
     }
 
@@ -158,7 +157,7 @@
         try {
             return mapper.writerWithDefaultPrettyPrinter().writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("control answers are always writable", e);
+            throw new IllegalStateException("cannot serialize the control response", e);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/control/ControlFold.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlFold.java
@@ -10,10 +10,11 @@
 import org.dogwoodwinch.external.LogRecord;
 
 /**
- * The state that the control stream makes, read in offset order. Not thread-safe.
+ * A replicated state machine that applies the records of the control stream in offset order. Not thread-safe.
  *
- * <p>It looks at nothing but the records: no clock, no settings, no chance. Two instances that have read up to the same
- * offset therefore hold the same state, and what the fold accepts is accepted everywhere.
+ * <p>Its state depends on the records alone: it uses no clock, no settings and no randomness. Instances that have read
+ * up to the same offset therefore hold the same state, and a record that is accepted on one instance is accepted on
+ * all.
  */
 public final class ControlFold {
 
@@ -24,10 +25,10 @@
     private long coveredOffset;
 
     /**
-     * Creates the fold as it was left.
+     * Restores the state machine from a snapshot.
      *
-     * @param codec reads the records, not null
-     * @param snapshot the state to go on from, not null
+     * @param codec decodes the records, not null
+     * @param snapshot the state to continue from, not null
      */
     public ControlFold(ControlCodec codec, ControlSnapshot snapshot) {
         this.codec = codec;
@@ -38,10 +39,10 @@
     }
 
     /**
-     * Reads one record; one at or before the covered offset is passed over.
+     * Applies one record. A record at or before the covered offset is skipped.
      *
      * @param logRecord the record, not null
-     * @return what became of it, or empty where it was passed over or is no control record
+     * @return the outcome, or empty if the record was skipped or cannot be decoded as a control record
      */
     public Optional<FoldedRecord> apply(LogRecord logRecord) {
         if (logRecord.offset() <= coveredOffset) {
@@ -52,36 +53,36 @@
     }
 
     /**
-     * Returns the last offset that was read.
+     * Returns the last offset that was applied.
      *
-     * @return the offset; -1 before the first
+     * @return the offset; -1 before the first record
      */
     public long coveredOffset() {
         return coveredOffset;
     }
 
     /**
-     * Returns the catalogue's part of the state.
+     * Returns the state of the catalogue.
      *
-     * @return the fold of the edits
+     * @return the state that results from the catalogue edits
      */
     public CatalogueFold catalogue() {
         return catalogue;
     }
 
     /**
-     * Returns the part of the state that leases, orders and plans make.
+     * Returns the state of leases, orders and plans.
      *
-     * @return the fold of their records
+     * @return the state that results from the authority records
      */
     public AuthorityFold authority() {
         return authority;
     }
 
     /**
-     * Copies the state.
+     * Returns a snapshot of the state.
      *
-     * @return the copy
+     * @return the snapshot
      */
     public ControlSnapshot snapshot() {
         return new ControlSnapshot(
@@ -93,14 +94,14 @@
             return new FoldedRecord(offset, record, true, "");
         }
         if (!recentIds.add(record.id())) {
-            return new FoldedRecord(offset, record, false, "read before");
+            return new FoldedRecord(offset, record, false, "duplicate record id");
         }
         if (record instanceof CatalogueEdit edit) {
             String detail = catalogue
                     .apply(offset, edit)
                     .match(
                             _applied -> "",
-                            rejected -> "revision " + rejected.winnerRevision() + " is in force",
+                            rejected -> "conflicts with current revision " + rejected.winnerRevision(),
                             EditOutcome.Invalid::detail);
             return new FoldedRecord(offset, record, detail.isEmpty(), detail);
         }
@@ -108,6 +109,6 @@
             Optional<String> reason = authority.apply(offset, authorityRecord);
             return new FoldedRecord(offset, record, reason.isEmpty(), reason.orElse(""));
         }
-        return new FoldedRecord(offset, record, false, "unknown kind");
+        return new FoldedRecord(offset, record, false, "unknown kind of record");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlNode.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlNode.java
@@ -29,11 +29,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This instance's part in the control stream: it follows the log, keeps the fold and the catalogue in force, publishes
- * edits and checkpoints, and carries out what {@link AuthorityAgent} decides.
+ * Runs the control stream on this instance: follows the log, maintains the replicated state and the catalogue in force,
+ * publishes edits and checkpoints, and executes the actions of the {@link AuthorityAgent}.
  *
- * <p>It has no thread of its own: the log client's completions and timers of the {@link TimeSource} drive it, all under
- * one lock. Thread-safe. Listeners of the catalogue are called under that lock and must not wait.
+ * <p>It has no thread of its own: completions of the log client and timers of the {@link TimeSource} drive it, all
+ * under one lock. Thread-safe. Catalogue listeners are called under that lock and must not block.
  */
 public final class ControlNode implements ControlApi {
 
@@ -61,13 +61,13 @@
     private boolean decisionScheduled;
 
     /**
-     * Creates a node that does not run yet.
+     * Creates a node. It follows the log once {@link #start()} is called.
      *
-     * @param settings how it takes part, not null
-     * @param services what it reaches outside itself, not null
-     * @param policies the rules that keep the stream safe, not null
-     * @param time gives the time and runs the timers, not null
-     * @param random spreads the instances' timers and makes ids, not null; used under this node's lock alone
+     * @param settings the settings of this instance, not null
+     * @param services the external services that the node uses, not null
+     * @param policies the safety policies, the same on every instance, not null
+     * @param time provides the time and runs the timers, not null
+     * @param random source of timer jitter and ids, not null; used only under the lock of this node
      */
     public ControlNode(
             ControlSettings settings,
@@ -89,7 +89,8 @@
         this.reader = new ControlReader(codec, policies.checkpoints(), this::onApplied);
         this.follower = new LogFollower(
                 services.log(), settings.follower(), time, new LockedReader(this, reader, this::afterRead));
-        // A restarted process has forgotten when it sent its renewals, so it must not pass for its predecessor.
+        // A restarted process does not know when its predecessor sent lease renewals, so it takes a new id and cannot
+        // use the leases of its predecessor.
         this.agent = new AuthorityAgent(
                 newId(),
                 policies.leases(),
@@ -101,7 +102,7 @@
         this.runner = new AuthorityRunner(agent, services, time, new AgentAccess(), this::publish);
     }
 
-    /** Starts to follow the log; a second call has no effect. */
+    /** Starts following the log. Has no effect if the node is already running. */
     public void start() {
         synchronized (this) {
             if (running) {
@@ -114,8 +115,8 @@
     }
 
     /**
-     * Gives the leases back, as far as no order is under way, so that successors need not wait out the term; the node
-     * decides nothing more but still follows the log until {@link #stop()}.
+     * Releases the leases of all groups without an order in progress, so that successors need not wait for the leases
+     * to expire. The node takes no further decisions but follows the log until {@link #stop()}.
      */
     public void release() {
         Optional<AuthorityRecord> release;
@@ -126,7 +127,7 @@
         release.ifPresent(this::publish);
     }
 
-    /** Stops; a second call has no effect. */
+    /** Stops following the log. Further calls have no effect. */
     public void stop() {
         synchronized (this) {
             running = false;
@@ -163,7 +164,7 @@
                 .find(editId)
                 .map(EditProcessor::result)
                 .orElseGet(
-                        () -> new ApplyResult.UnknownYet(editId, "not read from the log as far as this instance is"));
+                        () -> new ApplyResult.UnknownYet(editId, "this instance has not read the edit from the log"));
     }
 
     @Override
@@ -241,9 +242,10 @@
     }
 
     /**
-     * Copies the folded state, for support and for comparing instances: two that cover the same offset hold the same.
+     * Returns a snapshot of the replicated state for diagnostics and for comparing instances: instances that cover the
+     * same offset hold the same state.
      *
-     * @return the copy
+     * @return the snapshot
      */
     public synchronized ControlSnapshot snapshot() {
         return reader.stateMachine().snapshot();
@@ -320,7 +322,7 @@
         runner.run(actions);
     }
 
-    /** To be called under the lock. */
+    /** Must be called under the lock. */
     private void scheduleDecision() {
         if (!decisionScheduled && running) {
             decisionScheduled = true;
@@ -355,8 +357,8 @@
     }
 
     private void afterRead() {
-        // While it catches up, a starter passes through old revisions; serving them would show callers a catalogue
-        // that has long been replaced.
+        // While it catches up, a starting instance passes through old revisions. Serving them would expose a catalogue
+        // that was replaced long ago.
         if (reader.isCaughtUp()) {
             catalogueHolder.offer(reader.stateMachine().catalogue().catalogue());
         }
@@ -364,7 +366,7 @@
         scheduleDecision();
     }
 
-    /** Lets the runner use the agent under this node's lock. */
+    /** Gives the runner access to the agent under the lock of this node. */
     private final class AgentAccess implements AuthorityRunner.LockedAccess {
 
         @Override
--- a/src/main/java/org/dogwoodwinch/control/ControlPolicies.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlPolicies.java
@@ -5,19 +5,19 @@
 import org.dogwoodwinch.authority.OrderPolicy;
 
 /**
- * The rules that keep the control stream safe; every instance must use the same.
+ * The safety policies of the control stream. Every instance must use the same ones.
  *
- * @param checkpoints decides which checkpoints a start may build on, not null
- * @param leases the times of leases, not null
- * @param orders the times and rules of orders, not null
+ * @param checkpoints decides from which checkpoints a starting instance may restore its state, not null
+ * @param leases the durations of leases, not null
+ * @param orders the time limits and rules of orders, not null
  */
 public record ControlPolicies(CheckpointRule checkpoints, LeasePolicy leases, OrderPolicy orders) {
 
-    /** What daemons use. */
+    /** The policies that daemons use. */
     public static final ControlPolicies STANDARD =
             new ControlPolicies(CheckpointRule.NO_MISSING_RECORDS, LeasePolicy.STANDARD, OrderPolicy.STANDARD);
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlPolicies {
         Objects.requireNonNull(checkpoints, "checkpoints");
         Objects.requireNonNull(leases, "leases");
--- a/src/main/java/org/dogwoodwinch/control/ControlReader.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlReader.java
@@ -7,8 +7,8 @@
 import org.dogwoodwinch.external.ReadResult;
 
 /**
- * Keeps the fold up to date with what the follower reads, through starts, gaps and outages. Not thread-safe: its owner
- * calls it under one lock.
+ * Applies the records that the follower reads to the state machine, and handles starts, expired records and outages.
+ * Not thread-safe: its owner calls it under one lock.
  */
 final class ControlReader implements FollowerListener {
 
@@ -22,11 +22,11 @@
     private long endOffset = -1;
 
     /**
-     * Creates a reader at the beginning of the stream.
+     * Creates a reader with the empty state before the first record of the stream.
      *
-     * @param codec reads the records, not null
+     * @param codec decodes the records, not null
      * @param checkpointRule decides which checkpoints may be used, not null
-     * @param listener hears the records that are folded one by one, not null
+     * @param listener receives each record that is applied individually, not null
      */
     ControlReader(ControlCodec codec, CheckpointRule checkpointRule, AppliedRecordListener listener) {
         this.codec = Objects.requireNonNull(codec, "codec");
@@ -63,43 +63,44 @@
     }
 
     /**
-     * Returns the state.
+     * Returns the state machine.
      *
-     * @return the fold; only as new as the last usable record while {@link #isCaughtUp()} is false
+     * @return the state machine; while {@link #isCaughtUp()} is false, its state may be older than the log
      */
     ControlFold stateMachine() {
         return stateMachine;
     }
 
     /**
-     * Says whether the state has once been as new as the log since the start or the last gap.
+     * Tests whether the state has reached the end of the log since the start or since the last expiry of unread
+     * records.
      *
-     * @return false during the start and while records are missing
+     * @return false while starting and while records are missing
      */
     boolean isCaughtUp() {
         return caughtUp;
     }
 
     /**
-     * Says whether the last read failed.
+     * Tests whether the last read failed.
      *
-     * @return true while the log does not answer
+     * @return true while the log is unavailable
      */
     boolean isLogUnavailable() {
         return logUnavailable;
     }
 
     /**
-     * Says whether records have expired that no checkpoint read so far makes up for.
+     * Tests whether records expired before they were read and no usable checkpoint was read since.
      *
-     * @return true until a usable checkpoint comes by
+     * @return true until a usable checkpoint is read
      */
     boolean isMissingRecords() {
         return checkpointLoader != null;
     }
 
     /**
-     * Returns where the log ended at the last answer.
+     * Returns the end offset of the log as of its last answer.
      *
      * @return the offset that the next append would have got; -1 before the first answer
      */
--- a/src/main/java/org/dogwoodwinch/control/ControlResponse.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlResponse.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * An answer of the control endpoint, for any HTTP listener to write out.
+ * A response of the control endpoint, independent of the HTTP listener that sends it.
  *
- * @param status the HTTP status
- * @param contentType the body's media type, not null
- * @param body the body, JSON, not null
+ * @param status the HTTP status code
+ * @param contentType the media type of the body, not null
+ * @param body the JSON body, not null
  */
 public record ControlResponse(int status, String contentType, String body) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlResponse {
         Objects.requireNonNull(contentType, "contentType");
         Objects.requireNonNull(body, "body");
--- a/src/main/java/org/dogwoodwinch/control/ControlServices.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlServices.java
@@ -10,15 +10,15 @@
 import org.dogwoodwinch.target.TargetClients;
 
 /**
- * What a {@link ControlNode} reaches outside itself.
+ * The external services that a {@link ControlNode} uses.
  *
  * @param log the platform's log, not null
  * @param weightStore the platform's weight store, not null
- * @param peerBoard carries the catalogue to peers that start during an outage, not null
- * @param isCataloguePublisher whether this instance is one of those that tell the others the catalogue, not null
- * @param targetClients makes the clients of engines, not null
- * @param fleet the engines and instances, not null
- * @param targetActivity knows what is in flight on targets, not null
+ * @param peerBoard distributes the catalogue to peers that start during a log outage, not null
+ * @param isCataloguePublisher whether this instance publishes its catalogue to peers, not null
+ * @param targetClients creates the clients of engines, not null
+ * @param fleet the view of the known engines and instances, not null
+ * @param targetActivity provides the number of requests in flight on each target, not null
  */
 public record ControlServices(
         LogService log,
@@ -29,14 +29,14 @@
         FleetView fleet,
         TargetActivity targetActivity) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlServices {
         Objects.requireNonNull(log, "log");
-        Objects.requireNonNull(weightStore, "weights");
-        Objects.requireNonNull(peerBoard, "board");
-        Objects.requireNonNull(isCataloguePublisher, "publishesToPeers");
-        Objects.requireNonNull(targetClients, "clients");
+        Objects.requireNonNull(weightStore, "weightStore");
+        Objects.requireNonNull(peerBoard, "peerBoard");
+        Objects.requireNonNull(isCataloguePublisher, "isCataloguePublisher");
+        Objects.requireNonNull(targetClients, "targetClients");
         Objects.requireNonNull(fleet, "fleet");
-        Objects.requireNonNull(targetActivity, "activity");
+        Objects.requireNonNull(targetActivity, "targetActivity");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlSettings.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlSettings.java
@@ -4,15 +4,17 @@
 import org.dogwoodwinch.controllog.FollowerSettings;
 
 /**
- * How an instance takes part in the control stream.
+ * Settings of an instance for following and maintaining the control stream.
  *
- * @param instance this instance's name, not null
- * @param follower how the stream is followed, not null
- * @param tickMillis how often timers of leases and plans are looked at, in milliseconds
+ * @param instance the name of this instance, not null
+ * @param follower the settings for following the stream, not null
+ * @param tickMillis the interval at which the timers of leases and plans are checked, in milliseconds
  * @param checkpointMillis how long after the last checkpoint the next one is due, in milliseconds; a quarter of the
- *     log's retention leaves time for three more tries and an outage before records that nobody copied expire
- * @param checkpointRecords how many records after the last checkpoint the next one is due, so that a start stays short
- * @param peerCollectionMillis during a log outage, how long a starter collects peers' catalogues before it takes the newest
+ *     log's retention leaves time for three more attempts and an outage before records that no checkpoint covers expire
+ * @param checkpointRecords how many records after the last checkpoint the next one is due; this bounds the number of
+ *     records that a starting instance replays
+ * @param peerCollectionMillis how long an instance that starts during a log outage collects the catalogues of peers
+ *     before it uses the newest, in milliseconds
  */
 public record ControlSettings(
         String instance,
@@ -26,16 +28,16 @@
     private static final int DEFAULT_CHECKPOINT_RECORDS = 20_000;
     private static final long DEFAULT_PEER_COLLECTION_MILLIS = 2_000;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlSettings {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(follower, "follower");
     }
 
     /**
-     * Returns the settings of a daemon.
+     * Returns the settings that a daemon uses.
      *
-     * @param instance this instance's name, not null
+     * @param instance the name of this instance, not null
      * @param logRetentionMillis how long the log keeps a record, in milliseconds
      * @return the settings
      */
--- a/src/main/java/org/dogwoodwinch/control/ControlSnapshot.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlSnapshot.java
@@ -7,13 +7,13 @@
 import org.dogwoodwinch.catalogue.EditRecord;
 
 /**
- * The whole folded state of the control stream up to an offset.
+ * A snapshot of the replicated state of the control stream up to an offset.
  *
- * @param coveredOffset the last offset that is folded in; -1 before the first
- * @param recentIds ids of the last records, oldest first, not null
- * @param catalogue the catalogue, not null
- * @param edits the catalogue's history, oldest first, not null
- * @param authority leases, orders and plans, not null
+ * @param coveredOffset the last offset that the snapshot covers; -1 before the first record
+ * @param recentIds the ids of the most recent records, oldest first, used to drop duplicates, not null
+ * @param catalogue the current catalogue, not null
+ * @param edits the history of catalogue edits, oldest first, not null
+ * @param authority the state of leases, orders and plans, not null
  */
 public record ControlSnapshot(
         long coveredOffset,
@@ -26,7 +26,7 @@
     public static final ControlSnapshot EMPTY =
             new ControlSnapshot(-1, List.of(), Catalogue.EMPTY, List.of(), AuthoritySnapshot.EMPTY);
 
-    /** Checks and copies the parts. */
+    /** Validates and copies the components. */
     public ControlSnapshot {
         recentIds = List.copyOf(recentIds);
         Objects.requireNonNull(catalogue, "catalogue");
--- a/src/main/java/org/dogwoodwinch/control/ControlStatus.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlStatus.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * How far an instance has read the control stream.
+ * The read position of an instance on the control stream and the state of its connection to the log.
  *
- * @param instance the instance's name, not null
- * @param catalogueRevision the revision in force here; -1 where there is none
- * @param coveredOffset the last offset folded in; -1 before the first
- * @param endOffset where the stream ended at the log's last answer; -1 before the first answer
- * @param caughtUp whether the state has been as new as the log since the start or the last gap
- * @param logOut whether the log did not answer the last read
- * @param appendCount how many records this instance has tried to append since it started
+ * @param instance the name of the instance, not null
+ * @param catalogueRevision the catalogue revision in force on the instance; -1 if there is none
+ * @param coveredOffset the last offset that the instance has applied; -1 before the first record
+ * @param endOffset the end offset of the stream as of the last answer of the log; -1 before the first answer
+ * @param caughtUp whether the state has reached the end of the log since the start or since the last expiry of unread
+ *     records
+ * @param logOut whether the last read of the log failed
+ * @param appendCount the number of records that the instance has tried to append since it started
  */
 public record ControlStatus(
         String instance,
@@ -22,7 +23,7 @@
         boolean logOut,
         long appendCount) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlStatus {
         Objects.requireNonNull(instance, "instance");
     }
--- a/src/main/java/org/dogwoodwinch/control/DrainExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainExchange.java
@@ -20,12 +20,12 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Tells the instances of each other's work on targets that are out of service, so that the one that orders a target knows
- * when the last urgent request has finished. Thread-safe.
+ * Exchanges, between instances, the number of requests in flight on targets that are out of service, so that the
+ * instance that sends an order to a target knows when the last urgent request has finished. Thread-safe.
  *
- * <p>An instance that lists a target has read that it is out of service, and counts what it sent before. So a target is
- * known to be free only once every listed instance has listed it of late; one that is cut off keeps it busy, because it
- * may not know of the drain and may still be sending.
+ * <p>An instance that reports a target has read that it is out of service, and counts the requests that it sent before.
+ * A target is therefore known to be idle only once every other instance has reported it recently. While an instance is
+ * partitioned, the target counts as busy, because that instance may not know of the drain and may still be sending.
  */
 public final class DrainExchange implements TargetActivity {
 
@@ -47,13 +47,13 @@
     private boolean running;
 
     /**
-     * Creates the exchange and subscribes.
+     * Creates the exchange and subscribes to the reports of other instances.
      *
-     * @param peerBoard carries the reports, not null
-     * @param localInFlight counts this instance's work on a target, not null
-     * @param outOfService the targets that this instance sends nothing new to, not null
-     * @param otherInstances the names of the other instances, leaving ones too, not null
-     * @param time gives the time and runs the timers, not null
+     * @param peerBoard distributes the reports among instances, not null
+     * @param localInFlight counts the requests of this instance in flight on a target, not null
+     * @param outOfService the targets to which this instance sends no new requests, not null
+     * @param otherInstances the names of the other instances, including those that are shutting down, not null
+     * @param time provides the time and runs the timers, not null
      */
     public DrainExchange(
             PeerBoard peerBoard,
@@ -61,15 +61,15 @@
             Supplier<Set<String>> outOfService,
             Supplier<Set<String>> otherInstances,
             TimeSource time) {
-        this.peerBoard = Objects.requireNonNull(peerBoard, "board");
-        this.localInFlight = Objects.requireNonNull(localInFlight, "own");
+        this.peerBoard = Objects.requireNonNull(peerBoard, "peerBoard");
+        this.localInFlight = Objects.requireNonNull(localInFlight, "localInFlight");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
-        this.otherInstances = Objects.requireNonNull(otherInstances, "others");
+        this.otherInstances = Objects.requireNonNull(otherInstances, "otherInstances");
         this.time = Objects.requireNonNull(time, "time");
         peerBoard.subscribe(PeerTopic.DRAIN, this::onItem);
     }
 
-    /** Begins to publish; a second call has no effect. */
+    /** Starts publishing. Further calls have no effect. */
     public synchronized void start() {
         if (!running) {
             running = true;
@@ -117,8 +117,9 @@
             previous = previousOutOfService;
             previousOutOfService = current;
         }
-        // A request that was routed just before the mark may be counted just after it, so a target is listed only from
-        // the second round on: saying "nothing in flight" in between would let an order cut that request.
+        // A request that was routed just before its target went out of service may be counted just after, so a target
+        // is reported only from the second interval on. Reporting zero requests in flight in between would let an order
+        // interrupt that request.
         DrainReport report = new DrainReport(current.stream()
                 .filter(previous::contains)
                 .sorted()
@@ -130,7 +131,10 @@
         time.schedule(PUBLISH_INTERVAL_MILLIS, this::publish);
     }
 
-    /** What has not changed is said again only often enough to stay young: every instance passes it on. */
+    /**
+     * Tests whether a report must be published, and if so records it as the last published one. An unchanged report is
+     * repeated only as often as needed to keep it from expiring, because every instance relays it.
+     */
     private synchronized boolean tryMarkPublished(DrainReport report) {
         long nowMillis = time.monotonicMillis();
         boolean changedOrStale = !report.equals(lastReport) || nowMillis - publishedMillis >= REPUBLISH_INTERVAL_MILLIS;
@@ -145,10 +149,11 @@
     private synchronized void onItem(PeerItem item) {
         try {
             DrainReport report = MAPPER.readValue(item.payload().toByteArray(), DrainReport.class);
-            // Age is what matters: a report that wandered for long says nothing of now.
+            // The age counts from the creation of the report, because a report that was relayed for long does not
+            // describe the present.
             receivedReports.put(item.origin(), new ReceivedReport(report, time.monotonicMillis() - item.ageMillis()));
         } catch (IOException | IllegalArgumentException e) {
-            // What cannot be read says nothing; the target then counts as busy.
+            // Without a readable report from this instance, the target counts as busy.
             receivedReports.remove(item.origin());
         }
     }
@@ -157,7 +162,7 @@
         try {
             return Bytes.of(MAPPER.writeValueAsBytes(report));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a drain report is always writable", e);
+            throw new IllegalStateException("cannot serialize the drain report", e);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/control/DrainReport.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainReport.java
@@ -3,25 +3,25 @@
 import java.util.List;
 
 /**
- * What one instance has in flight on the targets that it knows to be out of service.
+ * The numbers of requests that one instance has in flight on targets that it knows to be out of service.
  *
- * <p>A target that is listed is one that the instance sends nothing new to; one that is not listed says nothing.
+ * <p>The instance sends no new requests to a listed target. Nothing is known about a target that is not listed.
  *
- * @param lines one for each target, not null
+ * @param lines one line for each target, not null
  */
 public record DrainReport(List<TargetInFlight> lines) {
 
-    /** Copies the list; one that is missing is empty. */
+    /** Copies the list. A missing list becomes empty. */
     public DrainReport {
         lines = lines == null ? List.of() : List.copyOf(lines);
     }
 
     /**
-     * One target.
+     * The number of requests in flight on one target.
      *
-     * @param target its name, not null
-     * @param urgent urgent requests in flight
-     * @param all all requests in flight
+     * @param target the name of the target, not null
+     * @param urgent the number of urgent requests in flight
+     * @param all the number of all requests in flight
      */
     public record TargetInFlight(String target, int urgent, int all) {}
 }
--- a/src/main/java/org/dogwoodwinch/control/EditProcessor.java
+++ b/src/main/java/org/dogwoodwinch/control/EditProcessor.java
@@ -17,8 +17,8 @@
 import org.dogwoodwinch.catalogue.EditRecord;
 
 /**
- * Takes operators' edits, publishes them and answers once the fold has read them back. Not thread-safe: its owner calls
- * it under one lock.
+ * Validates operators' edits, prepares them for publication and completes their results once they are read back from
+ * the log. Not thread-safe: its owner calls it under one lock.
  */
 final class EditProcessor {
 
@@ -29,21 +29,22 @@
     private final Consumer<Runnable> executor;
 
     /**
-     * Creates a desk.
+     * Creates a processor.
      *
-     * @param executor runs a task soon and outside the owner's lock, so that those who wait may call back, not null
+     * @param executor runs tasks asynchronously and outside the owner's lock, so that completed futures may call back
+     *     into the owner, not null
      */
     EditProcessor(Consumer<Runnable> executor) {
         this.executor = executor;
     }
 
     /**
-     * Takes an edit.
+     * Validates an edit and decides whether it needs to be published.
      *
      * @param request the edit, not null
-     * @param catalogueState the catalogue as far as it was read, not null
-     * @param wallMillis the time of day, in milliseconds since 1970
-     * @return the edit to publish, or the answer
+     * @param catalogueState the catalogue state as of the last applied record, not null
+     * @param wallMillis the wall-clock time, in milliseconds since 1970
+     * @return the edit to publish, or the result if nothing needs to be published
      */
     Decision prepare(EditRequest request, CatalogueFold catalogueState, long wallMillis) {
         Optional<EditRecord> earlier = catalogueState.find(request.editId());
@@ -57,16 +58,16 @@
     }
 
     /**
-     * Waits for an edit to be read back.
+     * Waits for an edit to be read back from the log.
      *
-     * @param editId the edit, not null
-     * @param deadlineMillis when to give up, by the monotonic time
-     * @return completes with the answer
+     * @param editId the id of the edit, not null
+     * @param deadlineMillis the monotonic time at which the wait times out, in milliseconds
+     * @return completes with the result, or with unknown yet after a timeout
      */
     CompletionStage<ApplyResult> await(String editId, long deadlineMillis) {
         if (pendingEdits.size() >= MAX_PENDING_EDITS) {
             return CompletableFuture.completedFuture(
-                    new ApplyResult.UnknownYet(editId, "too many edits wait on this instance"));
+                    new ApplyResult.UnknownYet(editId, "too many edits are pending on this instance"));
         }
         return pendingEdits
                 .computeIfAbsent(editId, _id -> new PendingEdit(new CompletableFuture<>(), deadlineMillis))
@@ -74,9 +75,9 @@
     }
 
     /**
-     * Answers those who wait for edits that have been read, and those who have waited long enough.
+     * Completes the pending edits that have been read back or whose deadline has passed.
      *
-     * @param catalogueState the catalogue as far as it was read, not null
+     * @param catalogueState the catalogue state as of the last applied record, not null
      * @param nowMillis the monotonic time in milliseconds
      */
     void completePending(CatalogueFold catalogueState, long nowMillis) {
@@ -101,10 +102,10 @@
     }
 
     /**
-     * Turns a line of the history into an operator's answer.
+     * Converts an entry of the edit history to a result.
      *
-     * @param editRecord the line, not null
-     * @return the answer
+     * @param editRecord the history entry, not null
+     * @return the result
      */
     static ApplyResult result(EditRecord editRecord) {
         return editRecord
@@ -128,7 +129,8 @@
                     request.editId(), "this instance has not read revision " + requested.revision() + " yet"));
         }
         if (requested.revision() < base.revision()) {
-            // The base is gone for good, so publishing could only be rejected; the log is spared an append.
+            // The base revision has been replaced, so publishing the edit could only lead to its rejection. Answering
+            // here saves an append.
             Optional<EditRecord> winner = catalogueState.history().stream()
                     .filter(editRecord -> editRecord.verdict() == EditRecord.Verdict.ACCEPTED
                             && editRecord.offset() == base.revision())
@@ -145,10 +147,10 @@
     }
 
     /**
-     * What becomes of an edit that was handed in: exactly one of the two is there.
+     * The decision about a submitted edit. Exactly one of the two components is present.
      *
-     * @param result the answer, where nothing needs to be published
-     * @param edit the edit to publish
+     * @param result the result, if nothing needs to be published
+     * @param edit the edit, if it needs to be published
      */
     record Decision(Optional<ApplyResult> result, Optional<CatalogueEdit> edit) {
 
--- a/src/main/java/org/dogwoodwinch/control/EditRequest.java
+++ b/src/main/java/org/dogwoodwinch/control/EditRequest.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * An operator's edit.
+ * An operator's request to edit the catalogue.
  *
- * @param editId names the edit; handing the same one in again is safe, not null
- * @param author who makes it, not null
- * @param document the whole catalogue wanted, as JSON with comments; its {@code revision} is the base, not null
+ * @param editId the id of the edit; submitting the same id again is idempotent, not null
+ * @param author the author of the edit, not null
+ * @param document the complete requested catalogue, as JSON with comments; its {@code revision} is the base revision,
+ *     not null
  */
 public record EditRequest(String editId, String author, String document) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public EditRequest {
         Objects.requireNonNull(editId, "editId");
         Objects.requireNonNull(author, "author");
--- a/src/main/java/org/dogwoodwinch/control/FoldedRecord.java
+++ b/src/main/java/org/dogwoodwinch/control/FoldedRecord.java
@@ -4,18 +4,18 @@
 import org.dogwoodwinch.controllog.ControlRecord;
 
 /**
- * What the fold made of one record.
+ * A record that was applied to the state machine, with the outcome.
  *
- * @param offset the record's place on the log
+ * @param offset the offset of the record on the log
  * @param record the record, not null
- * @param accepted whether it changed the state
- * @param rejectionReason why not, empty where it did, not null
+ * @param accepted whether the state machine accepted the record
+ * @param rejectionReason why the record was rejected, empty if it was accepted, not null
  */
 public record FoldedRecord(long offset, ControlRecord record, boolean accepted, String rejectionReason) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public FoldedRecord {
         Objects.requireNonNull(record, "record");
-        Objects.requireNonNull(rejectionReason, "detail");
+        Objects.requireNonNull(rejectionReason, "rejectionReason");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/LockedReader.java
+++ b/src/main/java/org/dogwoodwinch/control/LockedReader.java
@@ -7,7 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Passes what the follower reads to a {@link ControlReader} under its owner's lock, and logs what operators should see. */
+/**
+ * Passes what the follower reads to a {@link ControlReader} under the owner's lock, and logs outages, recoveries and
+ * expired records for operators.
+ */
 final class LockedReader implements FollowerListener {
 
     private static final Logger log = LoggerFactory.getLogger(LockedReader.class);
@@ -20,8 +23,8 @@
      * Creates a reader.
      *
      * @param lock the owner's lock, not null
-     * @param reader keeps the fold, not null
-     * @param afterRead is called under the lock after each answer of the log, not null
+     * @param reader applies the records, not null
+     * @param afterRead called under the lock after records, or an empty answer, were read from the log, not null
      */
     LockedReader(Object lock, ControlReader reader, Runnable afterRead) {
         this.lock = Objects.requireNonNull(lock, "lock");
--- a/src/main/java/org/dogwoodwinch/control/PendingRecords.java
+++ b/src/main/java/org/dogwoodwinch/control/PendingRecords.java
@@ -8,27 +8,30 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 
-/** Answers those who wait for a record to be read back. Not thread-safe: its owner calls it under one lock. */
+/**
+ * Tracks appended records until they are read back from the log. Not thread-safe: its owner calls it under one lock.
+ */
 final class PendingRecords {
 
     private final Map<String, PendingRecord> pendingById = new HashMap<>();
     private final Consumer<Runnable> executor;
 
     /**
-     * Creates the list.
+     * Creates an empty set of pending records.
      *
-     * @param executor runs a task soon and outside the owner's lock, so that those who wait may call back, not null
+     * @param executor runs tasks asynchronously and outside the owner's lock, so that completed futures may call back
+     *     into the owner, not null
      */
     PendingRecords(Consumer<Runnable> executor) {
         this.executor = executor;
     }
 
     /**
-     * Waits for a record.
+     * Waits for a record to be read back from the log.
      *
-     * @param recordId its id, not null
-     * @param deadlineMillis when to give up, by the monotonic time
-     * @return completes with what the fold made of it, or with empty once the time is over
+     * @param recordId the id of the record, not null
+     * @param deadlineMillis the monotonic time at which the wait times out, in milliseconds
+     * @return completes with the applied record, or with empty after a timeout
      */
     CompletionStage<Optional<FoldedRecord>> await(String recordId, long deadlineMillis) {
         return pendingById
@@ -37,9 +40,9 @@
     }
 
     /**
-     * Hears that a record was read.
+     * Completes the wait for a record that was read back.
      *
-     * @param applied the record, not null
+     * @param applied the record and whether it was accepted, not null
      */
     void onApplied(FoldedRecord applied) {
         PendingRecord pendingRecord = pendingById.remove(applied.record().id());
@@ -49,7 +52,7 @@
     }
 
     /**
-     * Answers those who have waited long enough.
+     * Completes the waits whose deadline has passed.
      *
      * @param nowMillis the monotonic time in milliseconds
      */
--- a/src/main/java/org/dogwoodwinch/control/PlanAnswer.java
+++ b/src/main/java/org/dogwoodwinch/control/PlanAnswer.java
@@ -6,27 +6,27 @@
 import org.dogwoodwinch.authority.PlanRecord;
 
 /**
- * What is known of a planned change.
+ * The response of the control endpoint about a planned change.
  *
- * @param verdict whether the log has taken it, not null
- * @param planId the plan, not null
- * @param detail why it was refused, or what is waited for; else empty, not null
- * @param plan how far it is, where it was taken; else null
+ * @param verdict the outcome of the request, not null
+ * @param planId the id of the plan, not null
+ * @param detail why the request was refused or why its outcome is not known yet; otherwise empty, not null
+ * @param plan the progress of the plan if it was taken; otherwise null
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
 public record PlanAnswer(Verdict verdict, String planId, String detail, PlanRecord plan) {
 
-    /** Whether the log has taken a plan or its cancellation. */
+    /** The outcomes of a request for a plan or for its cancellation. */
     public enum Verdict {
-        /** It was taken, on every instance alike. */
+        /** The request was accepted on every instance. */
         TAKEN,
-        /** It was refused, on every instance alike, or before it was published. */
+        /** The request was refused on every instance, or before it was published. */
         REFUSED,
-        /** Ask again. */
+        /** The outcome is not known yet; the client polls again. */
         UNKNOWN_YET
     }
 
-    /** Checks the parts; a detail that is missing is empty. */
+    /** Validates the components. A missing detail becomes empty. */
     public PlanAnswer {
         Objects.requireNonNull(verdict, "verdict");
         Objects.requireNonNull(planId, "planId");
@@ -43,6 +43,6 @@
 
     static PlanAnswer of(String planId, Optional<PlanRecord> plan) {
         return plan.map(found -> new PlanAnswer(Verdict.TAKEN, planId, "", found))
-                .orElseGet(() -> unknownYet(planId, "not read from the log as far as this instance is"));
+                .orElseGet(() -> unknownYet(planId, "this instance has not read the plan from the log"));
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/PlanRequest.java
+++ b/src/main/java/org/dogwoodwinch/control/PlanRequest.java
@@ -4,15 +4,15 @@
 import org.dogwoodwinch.authority.PlannedChange;
 
 /**
- * An operator's, or the role planner's, wish for a change.
+ * A request of an operator or of the role planner for a planned change.
  *
- * @param planId names the plan; handing the same one in again is safe, not null
- * @param author who asks, not null
- * @param change the change; its group is filled in, not null
+ * @param planId the id of the plan; submitting the same id again is idempotent, not null
+ * @param author the author of the request, not null
+ * @param change the change, not null; its group is determined from the engine
  */
 public record PlanRequest(String planId, String author, PlannedChange change) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public PlanRequest {
         Objects.requireNonNull(planId, "planId");
         Objects.requireNonNull(author, "author");
--- a/src/main/java/org/dogwoodwinch/control/PlanValidator.java
+++ b/src/main/java/org/dogwoodwinch/control/PlanValidator.java
@@ -6,22 +6,24 @@
 import org.dogwoodwinch.authority.PlannedChange;
 import org.dogwoodwinch.target.Target;
 
-/** Checks planned changes before they are published, so that a typing error costs no append and drains no engine. */
+/**
+ * Validates planned changes before they are published, so that an input error causes no append and drains no engine.
+ */
 final class PlanValidator {
 
     private PlanValidator() {}
 
     /**
-     * Names the change's group and checks its fields.
+     * Validates a change and adds the group of its engine.
      *
-     * @param change the change, not null
-     * @param engines the engines that there are, not null
-     * @return the change with its group, or the fault
+     * @param change the change to validate, not null
+     * @param engines the known engines, not null
+     * @return the change with its group, or the error
      */
     static Result validate(PlannedChange change, List<Target> engines) {
         Optional<Target> engine = find(engines, change.engine());
         if (engine.isEmpty()) {
-            return Result.error("engine: there is no engine '" + change.engine() + "' in the instance list");
+            return Result.error("engine: no engine '" + change.engine() + "' in the instance list");
         }
         String group = EngineGroups.keyOf(engine.get());
         String error = switch (change.kind()) {
@@ -45,7 +47,7 @@
         boolean sameGroup = find(engines, change.replacement())
                 .filter(other -> EngineGroups.keyOf(other).equals(group))
                 .isPresent();
-        return sameGroup ? "" : "replacement: an engine of group " + group + " in the instance list is wanted";
+        return sameGroup ? "" : "replacement: must be an engine of group " + group + " in the instance list";
     }
 
     private static Optional<String> missingError(String field, String value) {
@@ -57,10 +59,10 @@
     }
 
     /**
-     * The outcome of a check: exactly one of the two is there.
+     * The outcome of a validation. Exactly one of the two components is present.
      *
-     * @param change the change with its group
-     * @param error what is wrong
+     * @param change the change with its group, if it is valid
+     * @param error the error message, if the change is invalid
      */
     record Result(Optional<PlannedChange> change, Optional<String> error) {
 
--- a/src/main/java/org/dogwoodwinch/control/RecentIds.java
+++ b/src/main/java/org/dogwoodwinch/control/RecentIds.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /**
- * The ids of the last records, so that a record which was put on the log twice counts once. Not thread-safe.
+ * The ids of the most recent records, used to apply a record only once if it was appended twice. Not thread-safe.
  *
- * <p>Only so many are kept. That is enough because a second copy that comes later is void anyway: each kind of record
- * names the state that it was made from.
+ * <p>The number of retained ids is bounded. This is sufficient because a duplicate that arrives later is rejected
+ * anyway: each kind of record names the state that it is based on.
  */
 final class RecentIds {
 
@@ -17,7 +17,7 @@
     private final Set<String> ids;
 
     /**
-     * Creates the set as it was left.
+     * Restores the set from a snapshot.
      *
      * @param ids the ids, oldest first, not null
      */
@@ -29,7 +29,7 @@
      * Adds an id.
      *
      * @param id the id, not null
-     * @return whether it is new
+     * @return true if the id is not among the retained ones
      */
     boolean add(String id) {
         if (!ids.add(id)) {
--- a/src/main/java/org/dogwoodwinch/control/SentWork.java
+++ b/src/main/java/org/dogwoodwinch/control/SentWork.java
@@ -15,8 +15,8 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * Keeps new work from targets that are out of service, and counts what is in flight on each target by way of this
- * instance. Thread-safe.
+ * A router that sends no new requests to targets that are out of service, and counts the requests of this instance in
+ * flight on each target. Thread-safe.
  */
 public final class SentWork implements Router {
 
@@ -25,21 +25,21 @@
     private final Map<String, SentAttempt> sentAttempts = new ConcurrentHashMap<>();
 
     /**
-     * Creates the router around another.
+     * Creates a router that delegates to another.
      *
      * @param delegate chooses among the targets in service, not null
-     * @param outOfService the targets that must get no new work, not null
+     * @param outOfService the targets that must not receive new requests, not null
      */
     public SentWork(Router delegate, Supplier<Set<String>> outOfService) {
-        this.delegate = Objects.requireNonNull(delegate, "router");
+        this.delegate = Objects.requireNonNull(delegate, "delegate");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
     }
 
     /**
-     * Counts what is in flight on a target by way of this instance.
+     * Counts the requests of this instance in flight on a target.
      *
-     * @param target its name, not null
-     * @return the line of a drain report
+     * @param target the name of the target, not null
+     * @return the counts, as a line of a drain report
      */
     public DrainReport.TargetInFlight inFlight(String target) {
         int urgent = 0;
--- a/src/main/java/org/dogwoodwinch/control/package-info.java
+++ b/src/main/java/org/dogwoodwinch/control/package-info.java
@@ -1,2 +1,2 @@
-/** The control stream folded into one state on every instance, and what operators ask of it. */
+/** The replicated state that every instance derives from the control stream, and the operations on it for operators. */
 package org.dogwoodwinch.control;
--- a/src/main/java/org/dogwoodwinch/controllog/FollowerListener.java
+++ b/src/main/java/org/dogwoodwinch/controllog/FollowerListener.java
@@ -2,28 +2,29 @@
 
 import org.dogwoodwinch.external.ReadResult;
 
-/** Hears what a {@link LogFollower} reads; calls come one at a time. */
+/** Receives what a {@link LogFollower} reads. Calls are never concurrent. */
 public interface FollowerListener {
 
     /**
-     * Takes the records that come next; the list is empty where the service answered that there is none yet.
+     * Receives the next records in offset order. The list is empty if the log has no record yet at the requested
+     * offset.
      *
      * @param records the records, not null
      */
     void onRecords(ReadResult.Records records);
 
     /**
-     * Hears that records were lost to retention before they were read here. The follower goes on at the oldest record
-     * that is retained, once this method has returned.
+     * Called when records expired from the log before they were read. After this method returns, the follower continues
+     * at the oldest retained record.
      *
-     * @param expired where the retained records begin, not null
+     * @param expired the range that the log still retains, not null
      */
     void onExpired(ReadResult.Expired expired);
 
     /**
-     * Hears that the service did not answer; the follower tries again.
+     * Called when a read failed or timed out. The follower retries the read.
      *
-     * @param detail what went wrong, not null
+     * @param detail a description of the failure, not null
      */
     void onUnavailable(String detail);
 }
--- a/src/main/java/org/dogwoodwinch/controllog/LogFollower.java
+++ b/src/main/java/org/dogwoodwinch/controllog/LogFollower.java
@@ -9,10 +9,10 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Reads one stream of the log from an offset on, for as long as it runs, with one read outstanding at a time.
+ * Reads one stream of the log continuously from a given offset, with one outstanding read at a time.
  *
- * <p>It has no thread: reads complete on the log client's threads and timers of the {@link TimeSource} start the next.
- * Thread-safe.
+ * <p>It has no thread of its own: reads complete on the threads of the log client, and timers of the {@link TimeSource}
+ * start the next read. Thread-safe.
  */
 public final class LogFollower {
 
@@ -21,22 +21,22 @@
     private final TimeSource time;
     private final FollowerListener listener;
     private long nextOffset;
-    /** Grows with each read and each stop, so that the answer to a read that was given up is known and dropped. */
+    /** Incremented by each read and each stop, so that a late answer to an abandoned read is recognised and dropped. */
     private long generation;
 
     private boolean running;
-    /** The first read does not wait, so that a starter learns at once where the log ends. */
+    /** False for the first read, so that a starting instance gets the end offset of the log without a long poll. */
     private boolean longPolling;
 
     private Cancellable readTimeout = () -> {};
 
     /**
-     * Creates a follower that does not run yet.
+     * Creates a follower. It reads nothing until {@link #start(long)} is called.
      *
-     * @param log the log, not null
-     * @param settings what and how to read, not null
+     * @param log the log to read, not null
+     * @param settings the stream and the timing of its reads, not null
      * @param time runs the timers, not null
-     * @param listener hears the records, not null
+     * @param listener receives the records, not null
      */
     public LogFollower(LogService log, FollowerSettings settings, TimeSource time, FollowerListener listener) {
         this.log = Objects.requireNonNull(log, "log");
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Starts to read, or starts again from another offset; a read that is under way is forgotten.
+     * Starts reading, or restarts from another offset. The answer to a read in progress is dropped.
      *
-     * @param fromOffset the first offset wanted
+     * @param fromOffset the first offset to read
      */
     public synchronized void start(long fromOffset) {
         running = true;
@@ -57,7 +57,7 @@
         scheduleRead(0);
     }
 
-    /** Stops; the listener hears nothing more once this returns, and a second call has no effect. */
+    /** Stops reading. The listener is not called after this method returns. Further calls have no effect. */
     public synchronized void stop() {
         running = false;
         generation++;
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Returns the next offset to be read.
+     * Returns the offset of the next read.
      *
      * @return the offset
      */
@@ -84,8 +84,8 @@
             return;
         }
         long startedMillis = time.monotonicMillis();
-        // A partition can swallow the answer for good; the symptom would be an instance that never hears of an edit
-        // again. Reading twice is harmless, so a read without an answer is simply made anew.
+        // A network partition can drop the answer without an error. Without this timeout the instance would receive no
+        // further edit. Reading is idempotent, so an unanswered read is repeated.
         readTimeout =
                 time.schedule(settings.waitMillis() + settings.answerMillis(), () -> onReadTimeout(expectedGeneration));
         log.read(settings.stream(), nextOffset, settings.maxRecords(), longPolling ? settings.waitMillis() : 0)
@@ -94,7 +94,7 @@
 
     private synchronized void onReadTimeout(long expectedGeneration) {
         if (running && generation == expectedGeneration) {
-            listener.onUnavailable("no answer to a read");
+            listener.onUnavailable("read timed out without an answer");
             scheduleRead(settings.retryMillis());
         }
     }
@@ -113,7 +113,7 @@
                 records -> onRecords(records, startedMillis),
                 this::onExpired,
                 unavailable -> onUnavailable(unavailable.detail()));
-        // The listener may have stopped this follower, or started it elsewhere.
+        // The listener may have stopped this follower or restarted it at another offset.
         if (running && generation == expectedGeneration) {
             scheduleRead(delayMillis);
         }
@@ -122,14 +122,14 @@
     private long onRecords(ReadResult.Records result, long startedMillis) {
         List<LogRecord> records = result.records();
         if (records.isEmpty() && result.endOffset() < nextOffset) {
-            return onUnavailable("the log ends at " + result.endOffset() + ", before what was read of it");
+            return onUnavailable("the log ends at offset " + result.endOffset() + ", before the next offset to read");
         }
         if (!records.isEmpty()) {
             nextOffset = records.get(records.size() - 1).offset() + 1;
         }
         longPolling = true;
         listener.onRecords(result);
-        // A service that does not hold reads open answers at once; reading on without a pause would be a busy loop.
+        // A service without long polling answers immediately. Reading again without a delay would be a busy loop.
         boolean answeredEarly = records.isEmpty() && time.monotonicMillis() - startedMillis < settings.retryMillis();
         return answeredEarly ? settings.retryMillis() : 0;
     }
--- a/src/main/java/org/dogwoodwinch/controllog/package-info.java
+++ b/src/main/java/org/dogwoodwinch/controllog/package-info.java
@@ -1,2 +1,2 @@
-/** Following one stream of the platform's log, and the kind of records that the control stream carries. */
+/** A follower of one stream of the platform's log, and the base type of the records on the control stream. */
 package org.dogwoodwinch.controllog;
--- a/src/test/java/org/dogwoodwinch/control/ControlHistory2Test.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlHistory2Test.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.lifecycle.AfterContainer;
 
-/** A third of the generated schedules; three classes, so that three test processes share them. */
+/** Runs one third of the generated schedules. Three classes allow three test processes to run in parallel. */
 class ControlHistory2Test {
 
     private static final int SCHEDULES = 700;
--- a/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Tuple;
 import org.dogwoodwinch.authority.PlanRecord;
 
-/** Runs a generated schedule in a {@link ControlSimulation} and checks its history. */
+/** Runs a generated schedule in a {@link ControlSimulation} and checks the invariants on its history. */
 final class ControlHistoryCheck {
 
     private static final long RECOVERY_MILLIS = 30_000;
@@ -32,7 +32,9 @@
                 .ofMaxSize(16);
     }
 
-    /** Operators' work comes three times as often as each failure, so that failures meet it. */
+    /**
+     * Operators' requests are generated several times as often as each failure, so that failures coincide with them.
+     */
     private static Arbitrary<SimulationEvent.Kind> kinds() {
         return Arbitraries.frequencyOf(
                 Tuple.of(1, Arbitraries.of(SimulationEvent.Kind.values())),
@@ -60,7 +62,7 @@
         return simulation;
     }
 
-    /** All that must always hold, and that every change that was taken ends by itself. */
+    /** Checks all invariants, and that every accepted change reaches a final state without intervention. */
     static void checkInvariants(ControlSimulation simulation) {
         orderCount +=
                 simulation.appliedOrders.values().stream().mapToInt(List::size).sum();
@@ -77,9 +79,12 @@
         assertEquals(List.of(), simulation.violations);
     }
 
-    /** A check that never meets what it checks would pass for nothing. */
+    /**
+     * Guards against schedules that produce no orders or takeovers, for which the checks would pass without testing
+     * anything.
+     */
     static void checkCoverage(int scheduleCount) {
-        assertTrue(orderCount > scheduleCount, () -> "orders applied: " + orderCount);
-        assertTrue(takeoverCount > scheduleCount / 10, () -> "groups taken over: " + takeoverCount);
+        assertTrue(orderCount > scheduleCount, () -> "applied orders: " + orderCount);
+        assertTrue(takeoverCount > scheduleCount / 10, () -> "takeovers of groups: " + takeoverCount);
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
@@ -10,14 +10,17 @@
 import org.dogwoodwinch.catalogue.SampleCatalogues;
 import org.junit.jupiter.api.Test;
 
-/** Shows that the checkers see what goes wrong without a safeguard; the fencing mutant is in {@link OrderPauseTest}. */
+/**
+ * Verifies that the checkers detect a violation when a safeguard is removed. {@link OrderPauseTest} holds the mutant
+ * without fencing.
+ */
 class ControlMutantsTest {
 
     private static final CheckpointRule ACCEPT_ANY_CHECKPOINT = (_coveredOffset, _firstReadOffset) -> true;
 
     /**
-     * The holder's clock is slow, the claimant's fast, and the holder is cut off. Without a margin both act for a group at
-     * one time; with it the holder has stopped before.
+     * A partitioned holder has a slow clock and the claimant a fast one: without the margin, both hold the lease at the
+     * same time.
      */
     @Test
     void zeroLeaseMarginLetsTwoInstancesHoldOneGroup() {
@@ -27,12 +30,12 @@
                 ControlSimulation.policies(CheckpointRule.NO_MISSING_RECORDS, 0, TokenRule.INTENT_OFFSET));
         assertTrue(
                 mutant.violations.stream().anyMatch(violation -> violation.contains("is held by")),
-                () -> "no overlap: " + mutant.violations);
+                () -> "no overlapping leases: " + mutant.violations);
     }
 
     /**
-     * A writer is held up for longer than records are kept between copying its state and appending it. An instance that
-     * starts later and builds on that checkpoint lacks the edits in between, for good; the rule makes it wait for another.
+     * A checkpoint is appended later than the retention period after its snapshot: restoring from it would lose the
+     * edits in between permanently.
      */
     @Test
     void uncheckedCheckpointLosesEditsAfterRestart() {
@@ -41,7 +44,7 @@
                 ControlSimulation.policies(ACCEPT_ANY_CHECKPOINT, 500, TokenRule.INTENT_OFFSET));
         assertTrue(
                 violations.stream().anyMatch(violation -> violation.contains("did not reach")),
-                () -> "none: " + violations);
+                () -> "no lost edit: " + violations);
     }
 
     private static ControlSimulation runWithPartitionedHolder(ControlPolicies policies) {
--- a/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
@@ -25,10 +25,7 @@
     private final ControlNode first = node("entry-1");
     private final ControlNode second = node("entry-2");
 
-    /**
-     * Two operators race on two instances: exactly one edit is accepted, both instances name the same one, and the loser
-     * learns who won.
-     */
+    /** Two concurrent edits on two instances: exactly one is accepted, and both instances name the same one. */
     @Test
     void concurrentEditsHaveOneWinnerOnAllInstances() {
         startBothNodes();
@@ -42,8 +39,7 @@
     }
 
     /**
-     * The log takes an edit but its answer is lost: the operator still hears that it is accepted, because only reading
-     * it back decides, and applying it again changes nothing.
+     * The answer to an append is lost: the edit is accepted once it is read back, and applying it again has no effect.
      */
     @Test
     void lostAppendAnswerNeitherLosesNorRepeatsEdit() {
@@ -56,7 +52,7 @@
         assertEquals(1, log.appendCount());
     }
 
-    /** The log does not answer: the operator hears "unknown yet" after ten seconds and the accepted outcome later. */
+    /** During a log outage, an edit completes as unknown yet within ten seconds; it is accepted after the outage. */
     @Test
     void logOutageGivesUnknownYet() {
         startBothNodes();
@@ -71,7 +67,7 @@
         assertTrue(resultOf(again) instanceof ApplyResult.Accepted);
     }
 
-    /** Records expire long after the edit: a fresh instance still finds the catalogue, in a checkpoint. */
+    /** A newly started instance restores the catalogue from a checkpoint after the record of the edit has expired. */
     @Test
     void startAfterExpiryLoadsCheckpoint() {
         startBothNodes();
@@ -86,8 +82,8 @@
     }
 
     /**
-     * An instance starts while the log is out: it takes the newest catalogue of its peers. With no peers it stays without
-     * one, which keeps it not-ready, and never serves an empty one.
+     * Guards against an instance that starts during a log outage, finds no peers, and serves an empty catalogue instead
+     * of staying not ready.
      */
     @Test
     void startDuringOutageTakesPeerCatalogueAndNeverAnEmptyOne() {
@@ -129,6 +125,6 @@
     }
 
     private static ApplyResult resultOf(CompletionStage<ApplyResult> answer) {
-        return answer.toCompletableFuture().getNow(new ApplyResult.UnknownYet("", "still waiting"));
+        return answer.toCompletableFuture().getNow(new ApplyResult.UnknownYet("", "still pending"));
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlSamples.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSamples.java
@@ -16,15 +16,15 @@
 import org.dogwoodwinch.time.TimeSource;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** Control nodes without engines, for tests. */
+/** Creates control nodes without engines for tests. */
 public final class ControlSamples {
 
     private ControlSamples() {}
 
     /**
-     * Starts a node alone with a log of its own and lets it read the log to its end.
+     * Starts a single node with its own log and lets it read the log to its end.
      *
-     * @param time its clock
+     * @param time the clock of the node
      * @return the node
      */
     public static ControlNode startedNode(VirtualTimeSource time) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Clients that are never asked for, since there are no engines. */
+    /** Creates no clients, since there are no engines. */
     private static final class NoTargets implements TargetClients {
 
         @Override
--- a/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
@@ -39,10 +39,10 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /**
- * Several instances, a log and engines in one paused time, with the checkers of what must always hold.
+ * Simulates several instances, a log and engines in virtual time, and checks the invariants of the control stream.
  *
- * <p>Engines of group "checking" check fencing tokens, those of group "ignoring" do not. A
- * reader that is never disturbed gives the truth of what the log says.
+ * <p>Engines of group "checking" check fencing tokens; those of group "ignoring" do not. A reader without faults
+ * provides the reference state that the log defines.
  */
 final class ControlSimulation {
 
@@ -107,7 +107,7 @@
         instances.set(index, newInstance(index, "entry-" + index, CLOCK_RATES[index % CLOCK_RATES.length]));
     }
 
-    /** Who may act for a group, by its own word; -1 where nobody. */
+    /** Returns the index of the instance that considers itself the lease holder of a group; -1 if there is none. */
     int holderIndexOf(String group) {
         for (int i = 0; i < instances.size(); i++) {
             if (instances.get(i).clock.isRunning()
@@ -125,7 +125,7 @@
         }
     }
 
-    /** After a calm while every instance must hold what the log says, byte for byte. */
+    /** Checks, after a period without faults, that every instance holds the reference state exactly. */
     void checkStatesConverged() {
         ControlSnapshot expected = referenceState.snapshot();
         for (Instance instance : instances) {
@@ -134,7 +134,8 @@
                     || !actual.catalogue().equals(expected.catalogue())
                     || !actual.edits().equals(expected.edits())
                     || !actual.authority().equals(expected.authority())) {
-                violations.add("instance " + instance.name + " differs at " + actual.coveredOffset());
+                violations.add("instance " + instance.name + " differs from the reference state at offset "
+                        + actual.coveredOffset());
             }
             Catalogue inForce = instance.node.catalogue().current().orElse(Catalogue.EMPTY);
             if (!inForce.equals(expected.catalogue())) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /** No engine applied an order after a later one, nor one that the log does not hold. */
+    /** Checks that no engine applied an order after a later one, or one without an accepted intent on the log. */
     void checkOrders() {
         appliedOrders.forEach((engine, orders) -> {
             long highest = -1;
@@ -205,7 +206,7 @@
 
     private void checkRevisionIncreases(Instance instance, Catalogue catalogue) {
         if (catalogue.revision() <= instance.lastRevision) {
-            violations.add("the catalogue of " + instance.name + " went back to " + catalogue.revision());
+            violations.add("the catalogue of " + instance.name + " went back to revision " + catalogue.revision());
         }
         instance.lastRevision = catalogue.revision();
     }
@@ -225,7 +226,7 @@
         }
     }
 
-    /** Notes what engines really did. */
+    /** Records the orders that engines applied, and each interrupted request as a violation. */
     private final class EngineRecorder implements StandInEngineObserver {
 
         @Override
@@ -242,7 +243,7 @@
         }
     }
 
-    /** Folds the log from its beginning, undisturbed. */
+    /** Applies the log from its beginning, without faults. */
     private final class ReferenceReader implements FollowerListener {
 
         @Override
@@ -259,14 +260,14 @@
 
         @Override
         public void onExpired(ReadResult.Expired expired) {
-            throw new IllegalStateException("the undisturbed reader missed records: " + expired);
+            throw new IllegalStateException("the reference reader missed records: " + expired);
         }
 
         @Override
         public void onUnavailable(String _detail) {}
     }
 
-    /** One process. */
+    /** A simulated instance of the daemon. */
     static final class Instance {
 
         final String name;
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
@@ -35,8 +35,8 @@
     private final SimulatedInstance second = new SimulatedInstance("entry-2", "entry-1");
 
     /**
-     * A booking was sent to an engine by another instance before the engine was marked: the one that orders the engine
-     * sees it in flight until the other says that it has finished.
+     * An urgent request that another instance sent before the drain counts as in flight until that instance reports its
+     * end.
      */
     @Test
     void urgentWorkOfOtherInstanceIsCounted() {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * The other instance has not read the mark yet, or is cut off: it may still send, so the target counts as busy though
-     * nothing is known to be in flight.
+     * An instance that has not read the drain, or is partitioned, may still send requests, so the target is not known
+     * to be idle.
      */
     @Test
     void targetUnreportedByOneInstanceIsNotKnownIdle() {
@@ -85,7 +85,7 @@
         return new RouteQuery("reading", workClass, "", 1, 1, 1_000, Set.of(), false);
     }
 
-    /** One instance with a board that reaches the other one unless it is cut off. */
+    /** An instance whose reports reach the other one unless it is partitioned. */
     private final class SimulatedInstance implements PeerBoard {
 
         private final String name;
--- a/src/test/java/org/dogwoodwinch/control/InMemoryPeerBoard.java
+++ b/src/test/java/org/dogwoodwinch/control/InMemoryPeerBoard.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.peer.PeerItem;
 import org.dogwoodwinch.peer.PeerTopic;
 
-/** A board that delivers every item to every subscriber at once. */
+/** A peer board that delivers every item to every subscriber immediately. */
 final class InMemoryPeerBoard implements PeerBoard {
 
     private final List<Consumer<PeerItem>> listeners = new ArrayList<>();
--- a/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
+++ b/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The holder is paused at one step of sending an order, for longer than its lease. A successor takes the group over,
- * settles the order, and carries out another change of the same engine. Then the old holder wakes up and goes on.
+ * Guards against a lease holder that is paused while sending an order, loses its lease to a successor, and continues
+ * with the outdated order when it resumes.
  */
 class OrderPauseTest {
 
@@ -25,7 +25,7 @@
     private ControlSimulation simulation = new ControlSimulation(3, ControlSimulation.POLICIES);
     private int holder;
 
-    /** Paused at any step of its own, the woken holder finds its lease over before it writes: engines see nothing of it. */
+    /** Whatever the step of the pause, the resumed holder finds its lease expired before it writes to an engine. */
     @ParameterizedTest
     @CsvSource({
         "checking,DRAINED", "checking,APPENDED", "checking,READ_BACK", "checking,SENT", "checking,SETTLED",
@@ -34,7 +34,7 @@
     void resumedHolderChangesNothing(String group, Step step) {
         pauseHolderAt(group, step);
         simulation.advance(LONG_PAUSE_MILLIS);
-        assertEquals(EngineRole.PREFILL, roleOf(group), "the successor finished the change");
+        assertEquals(EngineRole.PREFILL, roleOf(group), "role after the successor finished the change");
         requestSecondChange(group);
         simulation.instance(holder).clock.resume();
         simulation.advance(LONG_PAUSE_MILLIS);
@@ -42,9 +42,7 @@
         assertNoViolations();
     }
 
-    /**
-     * The order's bytes stay on their way until a later order was applied. An engine that checks tokens refuses them.
-     */
+    /** An engine that checks fencing tokens refuses an order that arrives after a later one was applied. */
     @ParameterizedTest
     @ValueSource(longs = {500, 5_000, 20_000})
     void fencingEngineRefusesLateOrder(long lateMillis) {
@@ -54,7 +52,7 @@
         assertNoViolations();
     }
 
-    /** The mutant: all tokens are equal. The checker sees the late order applied after the later one. */
+    /** Mutant with equal fencing tokens: the checker must detect that the late order was applied after a later one. */
     @ParameterizedTest
     @ValueSource(longs = {20_000})
     void equalTokensLetLateOrderThrough(long lateMillis) {
@@ -68,8 +66,8 @@
     }
 
     /**
-     * The window that remains: an engine that ignores tokens applies an order whose bytes were under way for longer than
-     * the lease and a successor's change together. The holder reads the engine's state and puts it right.
+     * Known limit: an engine that ignores tokens applies an order delayed beyond the lease and a successor's change;
+     * the holder corrects it.
      */
     @ParameterizedTest
     @ValueSource(longs = {20_000})
@@ -79,8 +77,8 @@
         simulation.checkOrders();
         assertTrue(
                 simulation.violations.stream().anyMatch(violation -> violation.contains("after that of")),
-                "the late order came");
-        assertEquals(EngineRole.DECODE, roleOf("ignoring"), "and was put right");
+                "no late order was applied");
+        assertEquals(EngineRole.DECODE, roleOf("ignoring"), "role after the correction");
     }
 
     private void pauseHolderAt(String group, Step step) {
@@ -166,17 +164,17 @@
         assertEquals(List.of(), simulation.violations);
     }
 
-    /** Where the holder is when it is paused. */
+    /** The step at which the holder is paused. */
     enum Step {
-        /** The target is marked, the intent is not made. */
+        /** The target is out of service; the intent is not created yet. */
         DRAINED,
-        /** The intent is on its way to the log. */
+        /** The append of the intent is in transit. */
         APPENDED,
-        /** The intent is on the log, the order is not out. */
+        /** The intent is on the log; the order is not sent yet. */
         READ_BACK,
-        /** The order is out and applied, its answer is not read. */
+        /** The order is sent and applied; its answer is not read yet. */
         SENT,
-        /** The end of the order is on its way to the log. */
+        /** The append of the order's outcome is in transit. */
         SETTLED
     }
 }
--- a/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
@@ -20,7 +20,7 @@
 
     private final ControlSimulation simulation = new ControlSimulation(3, ControlSimulation.POLICIES);
 
-    /** An operator changes a role: the engine drains, gets one order, and serves with the new role; three appends more. */
+    /** A role change drains the engine, sends it exactly one order, and puts it back in service with the new role. */
     @Test
     void roleChangeDrainsBeforeItsOrder() {
         simulation.advance(2_000);
@@ -36,7 +36,7 @@
         assertNoViolations();
     }
 
-    /** A booking runs on the target for a long time: no order goes out until it is finished, however long that takes. */
+    /** Guards against an order that interrupts an urgent request, however long that request runs. */
     @Test
     void orderWaitsForUrgentWork() {
         simulation.advance(2_000);
@@ -54,8 +54,8 @@
     }
 
     /**
-     * The daemon that carries a change out is killed at one moment or another: another instance takes the group over and
-     * finishes the change; the engine gets one order, at most repeated.
+     * After a kill of the lease holder at any moment, a successor finishes the change; the engine gets one order,
+     * repeated at most.
      */
     @Test
     void successorFinishesChangeOfKilledHolder() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** The engine crashes while it applies an order and forgets it: the order goes out again and the change is finished. */
+    /** An engine that crashes while it applies an order loses the order; it is sent again and the change completes. */
     @Test
     void orderIsRepeatedAfterEngineCrash() {
         simulation.advance(2_000);
@@ -103,7 +103,7 @@
         assertNoViolations();
     }
 
-    /** An engine runs something else than was ordered, because someone else changed it: the order is asserted again. */
+    /** An engine whose configuration was changed by another party gets its last order again. */
     @Test
     void divergedEngineIsCorrected() {
         simulation.advance(2_000);
@@ -136,7 +136,7 @@
         assertNoViolations();
     }
 
-    /** Cancelling works until the order is on the log, and is refused afterwards. */
+    /** A plan can be cancelled until its order is on the log; a later cancellation is refused. */
     @Test
     void planIsCancellableUntilOrderIsLogged() {
         simulation.advance(2_000);
@@ -156,7 +156,7 @@
                 answer.toCompletableFuture().getNow(null).verdict());
     }
 
-    /** The log goes out in the middle of a change: nothing is ordered meanwhile, and the change is finished afterwards. */
+    /** During a log outage no order is sent; the change completes after the outage. */
     @Test
     void logOutageDelaysChange() {
         simulation.advance(2_000);
--- a/src/test/java/org/dogwoodwinch/control/SimulatedClock.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulatedClock.java
@@ -6,7 +6,10 @@
 import org.dogwoodwinch.time.TimeSource;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** The clock of one instance of a {@link ControlSimulation}: it runs at its own speed, and its process can be paused or killed. */
+/**
+ * The clock of one instance of a {@link ControlSimulation}: It runs at its own rate, and its process can be paused or
+ * killed.
+ */
 final class SimulatedClock implements TimeSource {
 
     private final VirtualTimeSource simulationTime;
@@ -37,7 +40,10 @@
         return simulationTime.schedule((long) Math.ceil(delayMillis / rate), () -> runOrDefer(task));
     }
 
-    /** Runs a task of this process now, or once it is no longer paused, or never. */
+    /**
+     * Runs a task of this process immediately, defers it while the process is paused, or drops it if the process was
+     * killed.
+     */
     void runOrDefer(Runnable task) {
         if (paused) {
             deferredTasks.add(task);
--- a/src/test/java/org/dogwoodwinch/control/SimulatedNetwork.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulatedNetwork.java
@@ -22,7 +22,10 @@
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** What lies between one instance and the log and engines: delays, partitions, duplicates; bytes travel though the process is paused. */
+/**
+ * The network between one instance, the log and the engines, with delays, partitions and duplicates. Messages in
+ * transit arrive even while the process is paused.
+ */
 final class SimulatedNetwork implements LogService {
 
     private final VirtualTimeSource simulationTime;
@@ -51,7 +54,7 @@
         appendDelayMillis = millis;
     }
 
-    /** Engines that check tokens and those that do not may get their orders late by different times. */
+    /** Sets separate order delays for engines that check fencing tokens and for those that do not. */
     void setOrderDelays(long fencedMillis, long unfencedMillis) {
         fencedOrderDelayMillis = fencedMillis;
         unfencedOrderDelayMillis = unfencedMillis;
@@ -76,7 +79,10 @@
         return transmit(0, () -> log.read(stream, fromOffset, maxRecords, waitMillis));
     }
 
-    /** The request arrives after a delay, unless the instance is cut off; the answer is lost where it is cut off by then. */
+    /**
+     * Delivers a request after a delay unless the instance is partitioned. The answer is dropped if the instance is
+     * partitioned by then.
+     */
     private <T> CompletionStage<T> transmit(long delayMillis, Supplier<CompletionStage<T>> call) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         if (!partitioned) {
@@ -91,7 +97,7 @@
         return answer;
     }
 
-    /** The way to one engine. */
+    /** Returns a client that reaches one engine over this network. */
     EngineClient engineClient(StandInEngine engine, boolean checksFencing) {
         return new EngineLink(engine, checksFencing);
     }
--- a/src/test/java/org/dogwoodwinch/control/SimulationEvent.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulationEvent.java
@@ -8,18 +8,18 @@
 import org.dogwoodwinch.target.EngineRole;
 
 /**
- * One thing that happens in a generated schedule.
+ * One event of a generated schedule: a request of an operator or a fault.
  *
- * @param kind what
- * @param afterMillis how long after the one before it
- * @param instance to which instance, or by way of which
- * @param magnitude a number from 0 to 9 that shapes it
+ * @param kind the kind of event
+ * @param afterMillis the delay after the previous event, in milliseconds
+ * @param instance the index of the instance that is affected or that receives the request
+ * @param magnitude a number from 0 to 9 that determines the details of the event, such as its duration
  */
 record SimulationEvent(Kind kind, long afterMillis, int instance, int magnitude) {
 
     private static final long UNIT_MILLIS = 1_000;
 
-    /** What can happen: operators' work and everything that fails. */
+    /** The kinds of events: operators' requests and faults. */
     enum Kind {
         EDIT,
         RACING_EDITS,
@@ -38,7 +38,10 @@
         WALL_JUMP
     }
 
-    /** Makes it happen. Orders to engines that ignore tokens are delayed by less than their time-out, as promised. */
+    /**
+     * Applies the event to a simulation. Orders to engines that ignore fencing tokens are delayed by less than their
+     * time-out, because only for such delays is the order of execution guaranteed.
+     */
     void applyTo(ControlSimulation simulation, int number) {
         int index = instance % simulation.instanceCount();
         ControlSimulation.Instance affected = simulation.instance(index);
@@ -87,7 +90,7 @@
         };
     }
 
-    /** Mostly one engine of each group, so that changes meet on it. */
+    /** Returns mostly the same engine of each group, so that changes coincide on it. */
     private String engineName() {
         return (magnitude % 2 == 0 ? "checking-" : "ignoring-") + (instance == 0 ? 2 : 1);
     }
--- a/src/test/java/org/dogwoodwinch/controllog/LogFollowerTest.java
+++ b/src/test/java/org/dogwoodwinch/controllog/LogFollowerTest.java
@@ -39,7 +39,7 @@
         assertEquals(35, follower.nextOffset());
     }
 
-    /** A partition swallows the answer to a read for good: the follower reads again and misses nothing. */
+    /** Guards against a follower that waits forever after a partition has dropped the answer to a read. */
     @Test
     void unansweredReadIsRepeated() {
         follower.start(0);
@@ -53,7 +53,7 @@
         assertEquals(1, listener.unavailableCount);
     }
 
-    /** Records expired while this instance was away: it is told, and goes on at the oldest that is left. */
+    /** Records that expired before they were read are reported, and reading continues at the oldest retained record. */
     @Test
     void expiryIsReportedAndReadingContinues() {
         memoryLog.append("control", "old");
@@ -65,7 +65,7 @@
         assertEquals(List.of("new"), listener.payloads);
     }
 
-    /** An outage must not turn into a storm of reads, nor a service that answers empty at once. */
+    /** Guards against a busy loop of reads while the log refuses them. */
     @Test
     void readsArePacedDuringOutage() {
         memoryLog.setMode(MemoryLog.Mode.REFUSING);
@@ -78,7 +78,7 @@
         assertEquals(readsBeforeStop, log.readCount);
     }
 
-    /** Swallows answers while it is told to. */
+    /** Drops the answers to reads while {@code droppingAnswers} is set. */
     private final class AnswerDroppingLog implements LogService {
 
         private boolean droppingAnswers;
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Notes what it hears. */
+    /** Records what the follower reports. */
     private static final class RecordingListener implements FollowerListener {
 
         private final List<String> payloads = new ArrayList<>();
