--- a/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
+++ b/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
@@ -85,7 +85,7 @@
         // The lease is checked immediately before the write rather than at the time of the decision, so that the lease
         // covers the write however much time has passed in between.
         if (!access.query(authorityState -> agent.maySend(authorityState, send, time.monotonicMillis()))) {
-            onResult(send, new OrderResult.Refused("the lease has lapsed"));
+            onResult(send, new OrderResult.Refused("the lease has expired"));
             return;
         }
         client.get()
@@ -141,7 +141,7 @@
          * Evaluates a predicate against the replicated state.
          *
          * @param predicate receives the replicated state as of the last applied record, not null
-         * @return its answer
+         * @return the result of the predicate
          */
         boolean query(Predicate<AuthorityFold> predicate);
     }
--- a/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
@@ -33,7 +33,7 @@
     CheckpointLoader(
             ControlCodec codec, CheckpointRule checkpointRule, long firstReadOffset, long previousCoveredOffset) {
         this.codec = Objects.requireNonNull(codec, "codec");
-        this.checkpointRule = Objects.requireNonNull(checkpointRule, "rule");
+        this.checkpointRule = Objects.requireNonNull(checkpointRule, "checkpointRule");
         this.firstReadOffset = firstReadOffset;
         this.previousCoveredOffset = previousCoveredOffset;
     }
--- a/src/main/java/org/dogwoodwinch/control/CheckpointSchedule.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointSchedule.java
@@ -45,8 +45,8 @@
      */
     void onProgress(long offset, long nowMillis) {
         if (dueMillis == Long.MAX_VALUE) {
-            // A newly started instance does not know the age of the last checkpoint, so it waits a quarter of the
-            // interval.
+            // A newly started instance does not know the age of the last checkpoint, so the first one is due after a
+            // quarter of the interval plus jitter.
             dueMillis = nowMillis + intervalMillis / INTERVAL_DIVISOR + jitterMillis();
             coveredOffset = offset;
         }
--- a/src/main/java/org/dogwoodwinch/control/ControlApi.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlApi.java
@@ -21,7 +21,7 @@
      * Publishes an edit and waits until it is read back from the log, whose order decides its outcome.
      *
      * @param request the edit to publish, not null
-     * @return completes within ten seconds with the outcome with accepted, rejected, faulty or unknown yet
+     * @return completes within ten seconds with accepted, rejected, faulty or unknown yet
      */
     CompletionStage<ApplyResult> applyEdit(EditRequest request);
 
--- a/src/main/java/org/dogwoodwinch/control/ControlCodec.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlCodec.java
@@ -46,8 +46,8 @@
      * Decodes a record.
      *
      * @param payload the payload of a log record, not null
-     * @return the record, or empty if this version does not know its kind. The result depends on the payload alone, so
-     *     every instance of the same version gets the same result.
+     * @return the record, or empty if this version cannot decode it, for instance because it does not know its kind.
+     *     The result depends on the payload alone, so every instance of the same version gets the same result.
      */
     public Optional<ControlRecord> decode(String payload) {
         try {
--- a/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
@@ -10,13 +10,13 @@
 import org.dogwoodwinch.catalogue.CatalogueCodec;
 
 /**
- * Maps HTTP requests below {@code /control} to {@link ControlApi}; it does no I/O, so it works with any HTTP listener.
+ * Maps HTTP requests below {@code /control} to {@link ControlApi}. It does no I/O, so it works with any HTTP listener.
  * Thread-safe.
  *
- * <p>Paths: {@code GET /control/status}, {@code GET /control/catalogue}, {@code GET /control/catalogue/history}, {@code
- * POST /control/catalogue/edits} with an {@link EditRequest}, {@code GET /control/catalogue/edits/ID}, {@code GET
- * /control/plans}, {@code POST /control/plans} with a {@link PlanRequest}, {@code GET /control/plans/ID}, {@code POST
- * /control/plans/ID/cancel} with a {@link CancelRequest}.
+ * <p>Paths: {@code GET /control/status}, {@code GET /control/catalogue}, {@code GET /control/catalogue/history},
+ * {@code POST /control/catalogue/edits} with an {@link EditRequest}, {@code GET /control/catalogue/edits/ID},
+ * {@code GET /control/plans}, {@code POST /control/plans} with a {@link PlanRequest}, {@code GET /control/plans/ID},
+ * {@code POST /control/plans/ID/cancel} with a {@link CancelRequest}.
  */
 public final class ControlEndpoint {
 
--- a/src/main/java/org/dogwoodwinch/control/ControlNode.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlNode.java
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Releases the leases of all groups without an order in progress, so that successors need not wait for the leases
-     * to expire. The node takes no further decisions but follows the log until {@link #stop()}.
+     * Releases the leases of this instance unless the answer to an order is outstanding, so that successors need not
+     * wait for the leases to expire. The node takes no further decisions but follows the log until {@link #stop()}.
      */
     public void release() {
         Optional<AuthorityRecord> release;
--- a/src/main/java/org/dogwoodwinch/control/ControlReader.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlReader.java
@@ -30,7 +30,7 @@
      */
     ControlReader(ControlCodec codec, CheckpointRule checkpointRule, AppliedRecordListener listener) {
         this.codec = Objects.requireNonNull(codec, "codec");
-        this.checkpointRule = Objects.requireNonNull(checkpointRule, "rule");
+        this.checkpointRule = Objects.requireNonNull(checkpointRule, "checkpointRule");
         this.listener = Objects.requireNonNull(listener, "listener");
         this.stateMachine = new ControlFold(codec, ControlSnapshot.EMPTY);
     }
--- a/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
@@ -32,9 +32,7 @@
                 .ofMaxSize(16);
     }
 
-    /**
-     * Operators' requests are generated several times as often as each failure, so that failures coincide with them.
-     */
+    /** Generates operators' requests several times as often as each fault, so that faults coincide with them. */
     private static Arbitrary<SimulationEvent.Kind> kinds() {
         return Arbitraries.frequencyOf(
                 Tuple.of(1, Arbitraries.of(SimulationEvent.Kind.values())),
@@ -79,10 +77,7 @@
         assertEquals(List.of(), simulation.violations);
     }
 
-    /**
-     * Guards against schedules that produce no orders or takeovers, for which the checks would pass without testing
-     * anything.
-     */
+    /** Guards against schedules without orders or takeovers, for which the checks would pass vacuously. */
     static void checkCoverage(int scheduleCount) {
         assertTrue(orderCount > scheduleCount, () -> "applied orders: " + orderCount);
         assertTrue(takeoverCount > scheduleCount / 10, () -> "takeovers of groups: " + takeoverCount);
--- a/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
@@ -18,10 +18,7 @@
 
     private static final CheckpointRule ACCEPT_ANY_CHECKPOINT = (_coveredOffset, _firstReadOffset) -> true;
 
-    /**
-     * A partitioned holder has a slow clock and the claimant a fast one: without the margin, both hold the lease at the
-     * same time.
-     */
+    /** Without the margin, a partitioned holder with a slow clock and a claimant with a fast one hold one lease. */
     @Test
     void zeroLeaseMarginLetsTwoInstancesHoldOneGroup() {
         ControlSimulation safe = runWithPartitionedHolder(ControlSimulation.POLICIES);
@@ -33,10 +30,7 @@
                 () -> "no overlapping leases: " + mutant.violations);
     }
 
-    /**
-     * A checkpoint is appended later than the retention period after its snapshot: restoring from it would lose the
-     * edits in between permanently.
-     */
+    /** A checkpoint appended more than the retention period after its snapshot lacks the edits in between. */
     @Test
     void uncheckedCheckpointLosesEditsAfterRestart() {
         assertEquals(List.of(), violationsAfterLateCheckpoint(ControlSimulation.POLICIES));
--- a/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
@@ -38,9 +38,7 @@
         assertEquals(resultOf(secondAnswer), first.editStatus("e2"));
     }
 
-    /**
-     * The answer to an append is lost: the edit is accepted once it is read back, and applying it again has no effect.
-     */
+    /** An edit whose append answer is lost is accepted once read back, and applying it again has no effect. */
     @Test
     void lostAppendAnswerNeitherLosesNorRepeatsEdit() {
         startBothNodes();
@@ -81,10 +79,7 @@
                 third.history().stream().anyMatch(editRecord -> editRecord.id().equals("e1")));
     }
 
-    /**
-     * Guards against an instance that starts during a log outage, finds no peers, and serves an empty catalogue instead
-     * of staying not ready.
-     */
+    /** Guards against an instance that starts without log and peers and serves an empty catalogue when not ready. */
     @Test
     void startDuringOutageTakesPeerCatalogueAndNeverAnEmptyOne() {
         startBothNodes();
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
@@ -34,10 +34,7 @@
     private final SimulatedInstance first = new SimulatedInstance("entry-1", "entry-2");
     private final SimulatedInstance second = new SimulatedInstance("entry-2", "entry-1");
 
-    /**
-     * An urgent request that another instance sent before the drain counts as in flight until that instance reports its
-     * end.
-     */
+    /** An urgent request that another instance sent before the drain counts until that instance reports its end. */
     @Test
     void urgentWorkOfOtherInstanceIsCounted() {
         second.router.onSent("a1", ENGINE, query(WorkClass.URGENT));
@@ -51,10 +48,7 @@
         assertEquals(new TargetActivity.InFlight(true, 0, 0), first.drainExchange.of("engine-1"));
     }
 
-    /**
-     * An instance that has not read the drain, or is partitioned, may still send requests, so the target is not known
-     * to be idle.
-     */
+    /** Guards against ordering a target to which a partitioned or lagging instance may still send requests. */
     @Test
     void targetUnreportedByOneInstanceIsNotKnownIdle() {
         first.outOfService.add("engine-1");
--- a/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
+++ b/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Guards against a lease holder that is paused while sending an order, loses its lease to a successor, and continues
- * with the outdated order when it resumes.
+ * Guards against a lease holder that is paused for longer than its lease while sending an order and resumes with the
+ * outdated order, after a successor has settled that order and carried out another change of the same engine.
  */
 class OrderPauseTest {
 
@@ -65,10 +65,7 @@
         assertFalse(simulation.violations.isEmpty());
     }
 
-    /**
-     * Known limit: an engine that ignores tokens applies an order delayed beyond the lease and a successor's change;
-     * the holder corrects it.
-     */
+    /** Known limit: an engine that ignores tokens applies an order delayed beyond the lease; the holder corrects it. */
     @ParameterizedTest
     @ValueSource(longs = {20_000})
     void nonFencingEngineIsCorrectedAfterLateOrder(long lateMillis) {
--- a/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
@@ -53,10 +53,7 @@
         assertEquals(PlanState.DONE, planState("p1"));
     }
 
-    /**
-     * After a kill of the lease holder at any moment, a successor finishes the change; the engine gets one order,
-     * repeated at most.
-     */
+    /** After a kill of the lease holder at any moment, a successor finishes the change with the same order. */
     @Test
     void successorFinishesChangeOfKilledHolder() {
         for (int killedAfterMillis = 100; killedAfterMillis <= 2_500; killedAfterMillis += 200) {
--- a/src/test/java/org/dogwoodwinch/control/SimulatedClock.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulatedClock.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /**
- * The clock of one instance of a {@link ControlSimulation}: It runs at its own rate, and its process can be paused or
+ * The clock of one instance of a {@link ControlSimulation}. It runs at its own rate, and its process can be paused or
  * killed.
  */
 final class SimulatedClock implements TimeSource {
