--- a/src/main/java/org/dogwoodwinch/control/PlanValidator.java
+++ b/src/main/java/org/dogwoodwinch/control/PlanValidator.java
@@ -23,7 +23,7 @@
     static Result validate(PlannedChange change, List<Target> engines) {
         Optional<Target> engine = find(engines, change.engine());
         if (engine.isEmpty()) {
-            return Result.error("engine: no engine '" + change.engine() + "' in the instance list");
+            return Result.error("engine: there is no engine '" + change.engine() + "' in the instance list");
         }
         String group = EngineGroups.keyOf(engine.get());
         String error = switch (change.kind()) {
