--- a/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
+++ b/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
@@ -19,7 +19,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out what the {@link AuthorityAgent} decides, and tells it what came of it. Thread-safe. */
+/**
+ * Executes the actions that the {@link AuthorityAgent} decides on and reports their results back to it. Thread-safe.
+ */
 final class AuthorityRunner {
 
     private static final Logger log = LoggerFactory.getLogger(AuthorityRunner.class);
@@ -27,62 +29,63 @@
     private final AuthorityAgent agent;
     private final ControlServices services;
     private final TimeSource time;
-    private final Access access;
-    private final Consumer<ControlRecord> append;
+    private final LockedAccess access;
+    private final Consumer<ControlRecord> appender;
 
     /**
      * Creates a runner.
      *
-     * @param agent decides, not null
-     * @param services reaches the engines and the weight store, not null
-     * @param time gives the time, not null
-     * @param access lets the agent and the fold be used, under their owner's lock, not null
-     * @param append puts a record on the control stream, not null
+     * @param agent decides on the actions and receives their results, not null
+     * @param services provides the engines and the weight store, not null
+     * @param time provides the monotonic time, not null
+     * @param access gives access to the agent and the replicated state under their owner's lock, not null
+     * @param appender appends a record to the control stream, not null
      */
     AuthorityRunner(
             AuthorityAgent agent,
             ControlServices services,
             TimeSource time,
-            Access access,
-            Consumer<ControlRecord> append) {
+            LockedAccess access,
+            Consumer<ControlRecord> appender) {
         this.agent = Objects.requireNonNull(agent, "agent");
         this.services = Objects.requireNonNull(services, "services");
         this.time = Objects.requireNonNull(time, "time");
         this.access = Objects.requireNonNull(access, "access");
-        this.append = Objects.requireNonNull(append, "append");
+        this.appender = Objects.requireNonNull(appender, "appender");
     }
 
     /**
-     * Carries out actions; to be called outside the owner's lock.
+     * Executes actions. The caller must not hold the owner's lock.
      *
-     * @param actions the actions in order, not null
+     * @param actions the actions in execution order, not null
      */
     void run(List<AuthorityAction> actions) {
         for (AuthorityAction action : actions) {
-            if (action instanceof AuthorityAction.AppendRecord wanted) {
-                append.accept(wanted.record());
+            if (action instanceof AuthorityAction.AppendRecord append) {
+                appender.accept(append.record());
             } else if (action instanceof AuthorityAction.SendOrder send) {
                 send(send);
             } else if (action instanceof AuthorityAction.ReadEngineState read) {
                 readState(read.engine());
             } else {
-                services.weights()
+                services.weightStore()
                         .allowedLoadsPerMinute()
-                        .whenComplete((allowed, failure) -> access.use(_fold ->
+                        .whenComplete((allowed, failure) -> access.update(_authorityState ->
                                 agent.onWeightLoadRate(failure != null ? 0 : allowed, time.monotonicMillis())));
             }
         }
     }
 
     private void send(AuthorityAction.SendOrder send) {
-        Optional<EngineClient> client = client(send.engine());
+        Optional<EngineClient> client = findClient(send.engine());
         if (client.isEmpty()) {
             onResult(send, new OrderResult.Refused("the engine is not in the instance list"));
             return;
         }
-        // Asked here and not where it was decided: whatever time went by since, the lease covers the write.
-        if (!access.ask(fold -> agent.isSendAllowed(fold, send, time.monotonicMillis()))) {
-            onResult(send, new OrderResult.Refused("the lease has lapsed"));
+        // The lease is checked immediately before the write rather than at the time of the decision, so that the lease
+        // covers the write however much time has passed in between.
+        if (!access.query(authorityState -> agent.isSendAllowed(authorityState, send, time.monotonicMillis()))) {
+            onResult(send, new OrderResult.Refused("the lease has expired"));
             return;
         }
         client.get()
@@ -98,11 +101,12 @@
                 .with("token", send.order().fencingToken())
                 .with("result", result.getClass().getSimpleName())
                 .info(log);
-        access.use(_fold -> agent.onOrderResult(send.engine(), send.order().orderId(), result, time.monotonicMillis()));
+        access.update(_authorityState ->
+                agent.onOrderResult(send.engine(), send.order().orderId(), result, time.monotonicMillis()));
     }
 
     private void readState(String engine) {
-        client(engine)
+        findClient(engine)
                 .ifPresent(client -> client.state().whenComplete((reply, failure) -> {
                     if (failure == null) {
                         onState(engine, reply);
@@ -112,33 +116,33 @@
 
     private void onState(String engine, TargetReply<EngineState> reply) {
         if (reply instanceof TargetReply.Answer<EngineState> answer) {
-            access.use(_fold -> agent.onEngineState(engine, answer.value(), time.monotonicMillis()));
+            access.update(_authorityState -> agent.onEngineState(engine, answer.value(), time.monotonicMillis()));
         }
     }
 
-    private Optional<EngineClient> client(String engine) {
+    private Optional<EngineClient> findClient(String engine) {
         return services.fleet().engines().stream()
                 .filter(target -> target.name().equals(engine))
                 .findFirst()
-                .map((Target target) -> services.clients().engine(target));
+                .map((Target target) -> services.targetClients().engine(target));
     }
 
-    /** Lets the agent be used under its owner's lock. */
-    interface Access {
+    /** Gives access to the agent under its owner's lock. */
+    interface LockedAccess {
 
         /**
-         * Tells the agent something; the owner decides anew afterwards.
+         * Runs an action that updates the agent. The owner schedules a new decision afterwards.
          *
-         * @param use takes the state as far as it was read, not null
+         * @param action receives the replicated state as of the last applied record, not null
          */
-        void use(Consumer<AuthorityState> use);
+        void update(Consumer<AuthorityState> action);
 
         /**
-         * Asks the agent something.
+         * Evaluates a predicate against the replicated state.
          *
-         * @param question takes the state as far as it was read, not null
-         * @return its answer
+         * @param predicate receives the replicated state as of the last applied record, not null
+         * @return the result of the predicate
          */
-        boolean ask(Predicate<AuthorityState> question);
+        boolean query(Predicate<AuthorityState> predicate);
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/CatalogueExchange.java
@@ -16,87 +16,92 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Lets an instance that starts during a log outage take the newest catalogue from its peers. Thread-safe.
+ * Distributes the catalogue among peers, so that an instance that starts during a log outage gets the newest one.
+ * Thread-safe.
  *
- * <p>What peers say is put in force only while the log does not answer, and only once a while has gone by in which the
- * newest could arrive: otherwise a starter would serve the first, possibly older, catalogue that it hears of.
+ * <p>A catalogue from a peer is put in force only while the log is unavailable, and only after a collection period that
+ * leaves time for the newest one to arrive. Otherwise a starting instance would serve the first catalogue that it
+ * receives, which may be outdated.
  */
 final class CatalogueExchange {
 
     private static final String KEY = "catalogue";
-    private static final long KEEP_MILLIS = 60_000;
+    private static final long ITEM_TTL_MILLIS = 60_000;
     private static final long NEVER = Long.MIN_VALUE;
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
-    private final PeerBus board;
-    private final ActiveCatalogue holder;
-    private final BooleanSupplier publishes;
-    private final long gatherMillis;
-    private Catalogue newest = Catalogue.EMPTY;
-    private long firstHeardMillis = NEVER;
+    private final PeerBus peerBoard;
+    private final ActiveCatalogue catalogueHolder;
+    private final BooleanSupplier isPublisher;
+    private final long collectionMillis;
+    private Catalogue newestReceived = Catalogue.EMPTY;
+    private long firstReceivedMillis = NEVER;
     private long publishedRevision = Catalogue.NO_REVISION;
     private long publishedMillis = NEVER;
 
     /**
-     * Creates the exchange and subscribes.
+     * Creates the exchange and subscribes to the catalogues of peers.
      *
-     * @param board carries the catalogues, not null
-     * @param holder what is in force here, not null
-     * @param publishes whether this instance is one of those that tell the others, not null
-     * @param gatherMillis how long to collect before the newest is taken, in milliseconds
+     * @param peerBoard distributes the catalogues among peers, not null
+     * @param catalogueHolder holds the catalogue in force on this instance, not null
+     * @param isPublisher whether this instance publishes its catalogue to peers, not null
+     * @param collectionMillis how long to collect the catalogues of peers before the newest one is used, in
+     *     milliseconds
      */
-    CatalogueExchange(PeerBus board, ActiveCatalogue holder, BooleanSupplier publishes, long gatherMillis) {
-        this.board = Objects.requireNonNull(board, "board");
-        this.holder = Objects.requireNonNull(holder, "holder");
-        this.publishes = Objects.requireNonNull(publishes, "publishes");
-        this.gatherMillis = gatherMillis;
-        board.subscribe(PeerTopic.CATALOGUE, this::onItem);
+    CatalogueExchange(
+            PeerBus peerBoard, ActiveCatalogue catalogueHolder, BooleanSupplier isPublisher, long collectionMillis) {
+        this.peerBoard = Objects.requireNonNull(peerBoard, "peerBoard");
+        this.catalogueHolder = Objects.requireNonNull(catalogueHolder, "catalogueHolder");
+        this.isPublisher = Objects.requireNonNull(isPublisher, "isPublisher");
+        this.collectionMillis = collectionMillis;
+        peerBoard.subscribe(PeerTopic.CATALOGUE, this::onItem);
     }
 
     /**
-     * Publishes what is in force, and puts a peer's catalogue in force where the log is out and it is newer.
+     * Publishes the catalogue in force. During a log outage, puts the newest catalogue of a peer in force if it is
+     * newer.
      *
-     * @param logOut whether the log does not answer
+     * @param logUnavailable whether the log is unavailable
      * @param nowMillis the monotonic time in milliseconds
      */
-    synchronized void tick(boolean logOut, long nowMillis) {
-        if (newest.revision() > Catalogue.NO_REVISION && firstHeardMillis == NEVER) {
-            firstHeardMillis = nowMillis;
+    synchronized void tick(boolean logUnavailable, long nowMillis) {
+        if (newestReceived.revision() > Catalogue.NO_REVISION && firstReceivedMillis == NEVER) {
+            firstReceivedMillis = nowMillis;
         }
-        if (logOut && firstHeardMillis != NEVER && nowMillis - firstHeardMillis >= gatherMillis) {
-            holder.replaceIfNewer(newest);
+        if (logUnavailable && firstReceivedMillis != NEVER && nowMillis - firstReceivedMillis >= collectionMillis) {
+            catalogueHolder.replaceIfNewer(newestReceived);
         }
-        holder.current().ifPresent(catalogue -> publish(catalogue, nowMillis));
+        catalogueHolder.current().ifPresent(catalogue -> publish(catalogue, nowMillis));
     }
 
     private void publish(Catalogue catalogue, long nowMillis) {
         boolean isNew = catalogue.revision() > publishedRevision;
-        boolean isOld = publishedMillis == NEVER || nowMillis - publishedMillis >= KEEP_MILLIS / 3;
-        if ((!isNew && !isOld) || !publishes.getAsBoolean()) {
+        boolean isRefreshDue = publishedMillis == NEVER || nowMillis - publishedMillis >= ITEM_TTL_MILLIS / 3;
+        if ((!isNew && !isRefreshDue) || !isPublisher.getAsBoolean()) {
             return;
         }
         publishedRevision = catalogue.revision();
         publishedMillis = nowMillis;
         try {
             byte[] payload = MAPPER.writeValueAsBytes(CatalogueDocument.of(catalogue));
-            board.publish(PeerTopic.CATALOGUE, KEY, Bytes.of(payload), KEEP_MILLIS);
+            peerBoard.publish(PeerTopic.CATALOGUE, KEY, Bytes.of(payload), ITEM_TTL_MILLIS);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a catalogue is always writable", e);
+            throw new IllegalStateException("cannot serialize the catalogue", e);
         }
     }
 
     private synchronized void onItem(PeerUpdate item) {
-        Catalogue offered;
+        Catalogue received;
         try {
-            offered = MAPPER.readValue(item.payload().toByteArray(), CatalogueDocument.class)
+            received = MAPPER.readValue(item.payload().toByteArray(), CatalogueDocument.class)
                     .toCatalogue();
         } catch (IOException | IllegalArgumentException e) {
-            // A peer of another version may write what this one does not read; it counts as not having spoken.
+            // A peer of another version may publish a format that this version cannot read; such an item is ignored.
             return;
         }
-        if (offered.revision() > newest.revision()
-                && CatalogueValidator.validate(offered).isEmpty()) {
-            newest = offered;
+        if (received.revision() > newestReceived.revision()
+                && CatalogueValidator.validate(received).isEmpty()) {
+            newestReceived = received;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlReader.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlReader.java
@@ -7,98 +7,100 @@
 import org.dogwoodwinch.external.ReadResult;
 
 /**
- * Keeps the fold up to date with what the follower reads, through starts, gaps and outages. Not thread-safe: its owner
- * calls it under one lock.
+ * Applies the records that the follower reads to the state machine, and handles starts, expired records and outages.
+ * Not thread-safe: its owner calls it under one lock.
  */
 final class ControlReader implements FollowerListener {
 
     private final ControlCodec codec;
-    private final CheckpointRule rule;
-    private final FoldListener listener;
-    private ControlFold fold;
-    private FoldLoader loader;
+    private final CheckpointRule checkpointRule;
+    private final AppliedRecordListener listener;
+    private ControlFold stateMachine;
+    private CheckpointLoader checkpointLoader;
     private boolean caughtUp;
-    private boolean logOut;
+    private boolean logUnavailable;
     private long endOffset = -1;
 
     /**
-     * Creates a reader at the beginning of the stream.
+     * Creates a reader with the empty state before the first record of the stream.
      *
-     * @param codec reads the records, not null
-     * @param rule decides which checkpoints may be used, not null
-     * @param listener hears the records that are folded one by one, not null
+     * @param codec decodes the records, not null
+     * @param checkpointRule decides which checkpoints may be used, not null
+     * @param listener receives each record that is applied individually, not null
      */
-    ControlReader(ControlCodec codec, CheckpointRule rule, FoldListener listener) {
+    ControlReader(ControlCodec codec, CheckpointRule checkpointRule, AppliedRecordListener listener) {
         this.codec = Objects.requireNonNull(codec, "codec");
-        this.rule = Objects.requireNonNull(rule, "rule");
+        this.checkpointRule = Objects.requireNonNull(checkpointRule, "checkpointRule");
         this.listener = Objects.requireNonNull(listener, "listener");
-        this.fold = new ControlFold(codec, ControlSnapshot.EMPTY);
+        this.stateMachine = new ControlFold(codec, ControlSnapshot.EMPTY);
     }
 
     @Override
     public void onRecords(ReadResult.Records records) {
-        logOut = false;
+        logUnavailable = false;
         endOffset = records.endOffset();
-        records.records().forEach(this::take);
+        records.records().forEach(this::applyOrBuffer);
         long nextOffset = records.records().isEmpty()
                 ? records.endOffset()
                 : records.records().get(records.records().size() - 1).offset() + 1;
-        if (loader == null && nextOffset >= records.endOffset()) {
+        if (checkpointLoader == null && nextOffset >= records.endOffset()) {
             caughtUp = true;
         }
     }
 
     @Override
     public void onExpired(ReadResult.Expired expired) {
-        logOut = false;
+        logUnavailable = false;
         caughtUp = false;
         endOffset = expired.endOffset();
-        loader = new FoldLoader(codec, rule, expired.firstRetainedOffset(), fold.coveredOffset());
+        checkpointLoader = new CheckpointLoader(
+                codec, checkpointRule, expired.firstRetainedOffset(), stateMachine.coveredOffset());
     }
 
     @Override
     public void onUnavailable(String _detail) {
-        logOut = true;
+        logUnavailable = true;
     }
 
     /**
-     * Returns the state.
+     * Returns the state machine.
      *
-     * @return the fold; only as new as the last usable record while {@link #isCaughtUp()} is false
+     * @return the state machine; while {@link #isCaughtUp()} is false, its state may be older than the log
      */
-    ControlFold fold() {
-        return fold;
+    ControlFold stateMachine() {
+        return stateMachine;
     }
 
     /**
-     * Says whether the state has once been as new as the log since the start or the last gap.
+     * Tests whether the state has reached the end of the log since the start or since the last expiry of unread
+     * records.
      *
-     * @return false during the start and while records are missing
+     * @return false while starting and while records are missing
      */
     boolean isCaughtUp() {
         return caughtUp;
     }
 
     /**
-     * Says whether the last read failed.
+     * Tests whether the last read failed.
      *
-     * @return true while the log does not answer
+     * @return true while the log is unavailable
      */
-    boolean isLogOut() {
-        return logOut;
+    boolean isLogUnavailable() {
+        return logUnavailable;
     }
 
     /**
-     * Says whether records have expired that no checkpoint read so far makes up for.
+     * Tests whether records expired before they were read and no usable checkpoint was read since.
      *
-     * @return true until a usable checkpoint comes by
+     * @return true until a usable checkpoint is read
      */
     boolean isMissingRecords() {
-        return loader != null;
+        return checkpointLoader != null;
     }
 
     /**
-     * Returns where the log ended at the last answer.
+     * Returns the end offset of the log as of its last answer.
      *
      * @return the offset that the next append would have got; -1 before the first answer
      */
@@ -106,15 +108,15 @@
         return endOffset;
     }
 
-    private void take(LogRecord logRecord) {
-        if (loader == null) {
-            fold.apply(logRecord).ifPresent(listener::onFolded);
+    private void applyOrBuffer(LogRecord logRecord) {
+        if (checkpointLoader == null) {
+            stateMachine.apply(logRecord).ifPresent(listener::onApplied);
             return;
         }
-        Optional<ControlFold> loaded = loader.offer(logRecord);
+        Optional<ControlFold> loaded = checkpointLoader.accept(logRecord);
         if (loaded.isPresent()) {
-            fold = loaded.get();
-            loader = null;
+            stateMachine = loaded.get();
+            checkpointLoader = null;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlServices.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlServices.java
@@ -10,33 +10,33 @@
 import org.dogwoodwinch.target.TargetClients;
 
 /**
- * What a {@link ControlNode} reaches outside itself.
+ * The external services that a {@link ControlNode} uses.
  *
  * @param log the platform's log, not null
- * @param weights the platform's weight store, not null
- * @param board carries the catalogue to peers that start during an outage, not null
- * @param publishesToPeers whether this instance is one of those that tell the others the catalogue, not null
- * @param clients makes the clients of engines, not null
- * @param fleet the engines and instances, not null
- * @param activity knows what is in flight on targets, not null
+ * @param weightStore the platform's weight store, not null
+ * @param peerBoard distributes the catalogue to peers that start during a log outage, not null
+ * @param isCataloguePublisher whether this instance publishes its catalogue to peers, not null
+ * @param targetClients creates the clients of engines, not null
+ * @param fleet the view of the known engines and instances, not null
+ * @param targetActivity provides the number of requests in flight on each target, not null
  */
 public record ControlServices(
         LogService log,
-        WeightStore weights,
-        PeerBus board,
-        BooleanSupplier publishesToPeers,
-        TargetClients clients,
+        WeightStore weightStore,
+        PeerBus peerBoard,
+        BooleanSupplier isCataloguePublisher,
+        TargetClients targetClients,
         FleetInventory fleet,
-        TargetActivity activity) {
+        TargetActivity targetActivity) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlServices {
         Objects.requireNonNull(log, "log");
-        Objects.requireNonNull(weights, "weights");
-        Objects.requireNonNull(board, "board");
-        Objects.requireNonNull(publishesToPeers, "publishesToPeers");
-        Objects.requireNonNull(clients, "clients");
+        Objects.requireNonNull(weightStore, "weightStore");
+        Objects.requireNonNull(peerBoard, "peerBoard");
+        Objects.requireNonNull(isCataloguePublisher, "isCataloguePublisher");
+        Objects.requireNonNull(targetClients, "targetClients");
         Objects.requireNonNull(fleet, "fleet");
-        Objects.requireNonNull(activity, "activity");
+        Objects.requireNonNull(targetActivity, "targetActivity");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/DrainExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainExchange.java
@@ -20,60 +20,60 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Tells the instances of each other's work on targets that are out of service, so that the one that orders a target knows
- * when the last urgent request has finished. Thread-safe.
+ * Exchanges, between instances, the number of requests in flight on targets that are out of service, so that the
+ * instance that sends an order to a target knows when the last urgent request has finished. Thread-safe.
  *
- * <p>An instance that lists a target has read that it is out of service, and counts what it sent before. So a target is
- * known to be free only once every listed instance has listed it of late; one that is cut off keeps it busy, because it
- * may not know of the drain and may still be sending.
+ * <p>An instance that reports a target has read that it is out of service, and counts the requests that it sent before.
+ * A target is therefore known to be idle only once every other instance has reported it recently. While an instance is
+ * partitioned, the target counts as busy, because that instance may not know of the drain and may still be sending.
  */
 public final class DrainExchange implements TargetActivity {
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final String KEY = "drain";
-    private static final long PUBLISH_MILLIS = 500;
-    private static final long REPEAT_MILLIS = 2_000;
-    private static final long KEEP_MILLIS = 8_000;
+    private static final long PUBLISH_INTERVAL_MILLIS = 500;
+    private static final long REPUBLISH_INTERVAL_MILLIS = 2_000;
+    private static final long REPORT_TTL_MILLIS = 8_000;
 
-    private final PeerBus board;
-    private final Function<String, DrainReport.Line> own;
+    private final PeerBus peerBoard;
+    private final Function<String, DrainReport.TargetInFlight> localInFlight;
     private final Supplier<Set<String>> outOfService;
-    private final Supplier<Set<String>> others;
+    private final Supplier<Set<String>> otherInstances;
     private final TimeSource time;
-    private final Map<String, Heard> heardByInstance = new HashMap<>();
-    private Set<String> lastRound = Set.of();
+    private final Map<String, ReceivedReport> receivedReports = new HashMap<>();
+    private Set<String> previousOutOfService = Set.of();
     private DrainReport lastReport = new DrainReport(List.of());
     private long publishedMillis;
     private boolean running;
 
     /**
-     * Creates the exchange and subscribes.
+     * Creates the exchange and subscribes to the reports of other instances.
      *
-     * @param board carries the reports, not null
-     * @param own counts this instance's work on a target, not null
-     * @param outOfService the targets that this instance sends nothing new to, not null
-     * @param others the names of the other instances, leaving ones too, not null
-     * @param time gives the time and runs the timers, not null
+     * @param peerBoard distributes the reports among instances, not null
+     * @param localInFlight counts the requests of this instance in flight on a target, not null
+     * @param outOfService the targets to which this instance sends no new requests, not null
+     * @param otherInstances the names of the other instances, including those that are shutting down, not null
+     * @param time provides the time and runs the timers, not null
      */
     public DrainExchange(
-            PeerBus board,
-            Function<String, DrainReport.Line> own,
+            PeerBus peerBoard,
+            Function<String, DrainReport.TargetInFlight> localInFlight,
             Supplier<Set<String>> outOfService,
-            Supplier<Set<String>> others,
+            Supplier<Set<String>> otherInstances,
             TimeSource time) {
-        this.board = Objects.requireNonNull(board, "board");
-        this.own = Objects.requireNonNull(own, "own");
+        this.peerBoard = Objects.requireNonNull(peerBoard, "peerBoard");
+        this.localInFlight = Objects.requireNonNull(localInFlight, "localInFlight");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
-        this.others = Objects.requireNonNull(others, "others");
+        this.otherInstances = Objects.requireNonNull(otherInstances, "otherInstances");
         this.time = Objects.requireNonNull(time, "time");
-        board.subscribe(PeerTopic.DRAIN, this::onItem);
+        peerBoard.subscribe(PeerTopic.DRAIN, this::onItem);
     }
 
-    /** Begins to publish; a second call has no effect. */
+    /** Starts publishing. Further calls have no effect. */
     public synchronized void start() {
         if (!running) {
             running = true;
-            time.schedule(PUBLISH_MILLIS, this::publish);
+            time.schedule(PUBLISH_INTERVAL_MILLIS, this::publish);
         }
     }
 
@@ -84,54 +84,61 @@
 
     @Override
     public RequestsInFlight requestsInFlight(String target) {
-        DrainReport.Line ownLine = own.apply(target);
-        int urgent = ownLine.urgent();
-        int all = ownLine.all();
+        DrainReport.TargetInFlight local = localInFlight.apply(target);
+        int urgent = local.urgent();
+        int all = local.all();
         boolean known = true;
-        for (String other : others.get()) {
-            Optional<DrainReport.Line> line = heard(other, target);
-            known &= line.isPresent();
-            urgent += line.map(DrainReport.Line::urgent).orElse(0);
-            all += line.map(DrainReport.Line::all).orElse(0);
+        for (String otherInstance : otherInstances.get()) {
+            Optional<DrainReport.TargetInFlight> reported = reportedInFlight(otherInstance, target);
+            known &= reported.isPresent();
+            urgent += reported.map(DrainReport.TargetInFlight::urgent).orElse(0);
+            all += reported.map(DrainReport.TargetInFlight::all).orElse(0);
         }
         return new RequestsInFlight(known, urgent, all);
     }
 
-    private synchronized Optional<DrainReport.Line> heard(String instance, String target) {
-        Heard heard = heardByInstance.get(instance);
-        if (heard == null || time.monotonicMillis() - heard.saidMillis() > KEEP_MILLIS) {
+    private synchronized Optional<DrainReport.TargetInFlight> reportedInFlight(String instance, String target) {
+        ReceivedReport received = receivedReports.get(instance);
+        if (received == null || time.monotonicMillis() - received.createdMillis() > REPORT_TTL_MILLIS) {
             return Optional.empty();
         }
-        return heard.report().lines().stream()
-                .filter(line -> line.target().equals(target))
+        return received.report().lines().stream()
+                .filter(entry -> entry.target().equals(target))
                 .findFirst();
     }
 
     private void publish() {
-        Set<String> now = Set.copyOf(outOfService.get());
-        Set<String> before;
+        Set<String> current = Set.copyOf(outOfService.get());
+        Set<String> previous;
         synchronized (this) {
             if (!running) {
                 return;
             }
-            before = lastRound;
-            lastRound = now;
+            previous = previousOutOfService;
+            previousOutOfService = current;
         }
-        // A request that was routed just before the mark may be counted just after it, so a target is listed only from
-        // the second round on: saying "nothing in flight" in between would let an order cut that request.
-        DrainReport report = new DrainReport(
-                now.stream().filter(before::contains).sorted().map(own).toList());
-        if (isNews(report)) {
-            board.publish(PeerTopic.DRAIN, KEY, encode(report), KEEP_MILLIS);
+        // A request that was routed just before its target went out of service may be counted just after, so a target
+        // is reported only from the second interval on. Reporting zero requests in flight in between would let an order
+        // interrupt that request.
+        DrainReport report = new DrainReport(current.stream()
+                .filter(previous::contains)
+                .sorted()
+                .map(localInFlight)
+                .toList());
+        if (tryMarkPublished(report)) {
+            peerBoard.publish(PeerTopic.DRAIN, KEY, encode(report), REPORT_TTL_MILLIS);
         }
-        time.schedule(PUBLISH_MILLIS, this::publish);
+        time.schedule(PUBLISH_INTERVAL_MILLIS, this::publish);
     }
 
-    /** What has not changed is said again only often enough to stay young: every instance passes it on. */
-    private synchronized boolean isNews(DrainReport report) {
+    /**
+     * Tests whether a report must be published, and if so records it as the last published one. An unchanged report is
+     * repeated only as often as needed to keep it from expiring, because every instance relays it.
+     */
+    private synchronized boolean tryMarkPublished(DrainReport report) {
         long nowMillis = time.monotonicMillis();
-        boolean news = !report.equals(lastReport) || nowMillis - publishedMillis >= REPEAT_MILLIS;
-        if (report.lines().isEmpty() || !news) {
+        boolean changedOrStale = !report.equals(lastReport) || nowMillis - publishedMillis >= REPUBLISH_INTERVAL_MILLIS;
+        if (report.lines().isEmpty() || !changedOrStale) {
             return false;
         }
         lastReport = report;
@@ -142,11 +149,12 @@
     private synchronized void onItem(PeerUpdate item) {
         try {
             DrainReport report = MAPPER.readValue(item.payload().toByteArray(), DrainReport.class);
-            // Age is what matters: a report that wandered for long says nothing of now.
-            heardByInstance.put(item.origin(), new Heard(report, time.monotonicMillis() - item.ageMillis()));
+            // The age counts from the creation of the report, because a report that was relayed for long does not
+            // describe the present.
+            receivedReports.put(item.origin(), new ReceivedReport(report, time.monotonicMillis() - item.ageMillis()));
         } catch (IOException | IllegalArgumentException e) {
-            // What cannot be read says nothing; the target then counts as busy.
-            heardByInstance.remove(item.origin());
+            // Without a readable report from this instance, the target counts as busy.
+            receivedReports.remove(item.origin());
         }
     }
 
@@ -154,9 +162,9 @@
         try {
             return Bytes.of(MAPPER.writeValueAsBytes(report));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a drain report is always writable", e);
+            throw new IllegalStateException("cannot serialize the drain report", e);
         }
     }
 
-    private record Heard(DrainReport report, long saidMillis) {}
+    private record ReceivedReport(DrainReport report, long createdMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/control/SentWork.java
+++ b/src/main/java/org/dogwoodwinch/control/SentWork.java
@@ -15,49 +15,49 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * Keeps new work from targets that are out of service, and counts what is in flight on each target by way of this
- * instance. Thread-safe.
+ * A router that sends no new requests to targets that are out of service, and counts the requests of this instance in
+ * flight on each target. Thread-safe.
  */
 public final class SentWork implements Router {
 
-    private final Router router;
+    private final Router delegate;
     private final Supplier<Set<String>> outOfService;
-    private final Map<String, Sent> sentByAttempt = new ConcurrentHashMap<>();
+    private final Map<String, SentAttempt> sentAttempts = new ConcurrentHashMap<>();
 
     /**
-     * Creates the router around another.
+     * Creates a router that delegates to another.
      *
-     * @param router chooses among the targets in service, not null
-     * @param outOfService the targets that must get no new work, not null
+     * @param delegate chooses among the targets in service, not null
+     * @param outOfService the targets that must not receive new requests, not null
      */
-    public SentWork(Router router, Supplier<Set<String>> outOfService) {
-        this.router = Objects.requireNonNull(router, "router");
+    public SentWork(Router delegate, Supplier<Set<String>> outOfService) {
+        this.delegate = Objects.requireNonNull(delegate, "delegate");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
     }
 
     /**
-     * Counts what is in flight on a target by way of this instance.
+     * Counts the requests of this instance in flight on a target.
      *
-     * @param target its name, not null
-     * @return the line of a drain report
+     * @param target the name of the target, not null
+     * @return the counts, as a line of a drain report
      */
-    public DrainReport.Line inFlight(String target) {
+    public DrainReport.TargetInFlight inFlight(String target) {
         int urgent = 0;
         int all = 0;
-        for (Sent sent : sentByAttempt.values()) {
-            if (sent.target().equals(target)) {
+        for (SentAttempt attempt : sentAttempts.values()) {
+            if (attempt.target().equals(target)) {
                 all++;
-                urgent += sent.urgent() ? 1 : 0;
+                urgent += attempt.urgent() ? 1 : 0;
             }
         }
-        return new DrainReport.Line(target, urgent, all);
+        return new DrainReport.TargetInFlight(target, urgent, all);
     }
 
     @Override
     public Route route(RouteQuery query) {
         Set<String> excluded = new HashSet<>(query.excludedTargets());
         excluded.addAll(outOfService.get());
-        return router.route(new RouteQuery(
+        return delegate.route(new RouteQuery(
                 query.group(),
                 query.workClass(),
                 query.prompt(),
@@ -70,32 +70,32 @@
 
     @Override
     public void onSent(String attemptId, Target target, RouteQuery query) {
-        sentByAttempt.put(attemptId, new Sent(target.name(), query.workClass() == WorkClass.URGENT));
-        router.onSent(attemptId, target, query);
+        sentAttempts.put(attemptId, new SentAttempt(target.name(), query.workClass() == WorkClass.URGENT));
+        delegate.onSent(attemptId, target, query);
     }
 
     @Override
     public void onFirstToken(String attemptId, long elapsedMillis) {
-        router.onFirstToken(attemptId, elapsedMillis);
+        delegate.onFirstToken(attemptId, elapsedMillis);
     }
 
     @Override
     public void onCompleted(String attemptId, Usage usage) {
-        sentByAttempt.remove(attemptId);
-        router.onCompleted(attemptId, usage);
+        sentAttempts.remove(attemptId);
+        delegate.onCompleted(attemptId, usage);
     }
 
     @Override
     public void onFailed(String attemptId, TargetFailure failure) {
-        sentByAttempt.remove(attemptId);
-        router.onFailed(attemptId, failure);
+        sentAttempts.remove(attemptId);
+        delegate.onFailed(attemptId, failure);
     }
 
     @Override
     public void onCancelled(String attemptId) {
-        sentByAttempt.remove(attemptId);
-        router.onCancelled(attemptId);
+        sentAttempts.remove(attemptId);
+        delegate.onCancelled(attemptId);
     }
 
-    private record Sent(String target, boolean urgent) {}
+    private record SentAttempt(String target, boolean urgent) {}
 }
--- a/src/main/java/org/dogwoodwinch/controllog/LogFollower.java
+++ b/src/main/java/org/dogwoodwinch/controllog/LogFollower.java
@@ -9,10 +9,10 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Reads one stream of the log from an offset on, for as long as it runs, with one read outstanding at a time.
+ * Reads one stream of the log continuously from a given offset, with one outstanding read at a time.
  *
- * <p>It has no thread: reads complete on the log client's threads and timers of the {@link TimeSource} start the next.
- * Thread-safe.
+ * <p>It has no thread of its own: reads complete on the threads of the log client, and timers of the {@link TimeSource}
+ * start the next read. Thread-safe.
  */
 public final class LogFollower {
 
@@ -21,22 +21,22 @@
     private final TimeSource time;
     private final FollowerListener listener;
     private long nextOffset;
-    /** Grows with each read and each stop, so that the answer to a read that was given up is known and dropped. */
+    /** Incremented by each read and each stop, so that a late answer to an abandoned read is recognised and dropped. */
     private long generation;
 
     private boolean running;
-    /** The first read does not wait, so that a starter learns at once where the log ends. */
-    private boolean waits;
+    /** False for the first read, so that a starting instance gets the end offset of the log without a long poll. */
+    private boolean longPolling;
 
-    private Cancellable watchdog = () -> {};
+    private Cancellable readTimeout = () -> {};
 
     /**
-     * Creates a follower that does not run yet.
+     * Creates a follower. It reads nothing until {@link #start(long)} is called.
      *
-     * @param log the log, not null
-     * @param settings what and how to read, not null
+     * @param log the log to read, not null
+     * @param settings the stream and the timing of its reads, not null
      * @param time runs the timers, not null
-     * @param listener hears the records, not null
+     * @param listener receives the records, not null
      */
     public LogFollower(LogService log, FollowerSettings settings, TimeSource time, FollowerListener listener) {
         this.log = Objects.requireNonNull(log, "log");
@@ -46,26 +46,26 @@
     }
 
     /**
-     * Starts to read, or starts again from another offset; a read that is under way is forgotten.
+     * Starts reading, or restarts from another offset. The answer to a read in progress is dropped.
      *
-     * @param fromOffset the first offset wanted
+     * @param fromOffset the first offset to read
      */
     public synchronized void start(long fromOffset) {
         running = true;
-        waits = false;
+        longPolling = false;
         nextOffset = fromOffset;
         scheduleRead(0);
     }
 
-    /** Stops; the listener hears nothing more once this returns, and a second call has no effect. */
+    /** Stops reading. The listener is not called after this method returns. Further calls have no effect. */
     public synchronized void stop() {
         running = false;
         generation++;
-        watchdog.cancel();
+        readTimeout.cancel();
     }
 
     /**
-     * Returns the next offset to be read.
+     * Returns the offset of the next read.
      *
      * @return the offset
      */
@@ -74,32 +74,34 @@
     }
 
     private void scheduleRead(long delayMillis) {
-        long expected = ++generation;
-        watchdog.cancel();
-        time.schedule(delayMillis, () -> read(expected));
+        long expectedGeneration = ++generation;
+        readTimeout.cancel();
+        time.schedule(delayMillis, () -> read(expectedGeneration));
     }
 
-    private synchronized void read(long expected) {
-        if (!running || generation != expected) {
+    private synchronized void read(long expectedGeneration) {
+        if (!running || generation != expectedGeneration) {
             return;
         }
         long startedMillis = time.monotonicMillis();
-        // A partition can swallow the answer for good; the symptom would be an instance that never hears of an edit
-        // again. Reading twice is harmless, so a read without an answer is simply made anew.
-        watchdog = time.schedule(settings.waitMillis() + settings.answerMillis(), () -> giveUp(expected));
-        log.read(settings.stream(), nextOffset, settings.maxRecords(), waits ? settings.waitMillis() : 0)
-                .whenComplete((result, failure) -> onAnswer(expected, startedMillis, result, failure));
+        // A network partition can drop the answer without an error. Without this timeout the instance would receive no
+        // further edit. Reading is idempotent, so an unanswered read is repeated.
+        readTimeout =
+                time.schedule(settings.waitMillis() + settings.answerMillis(), () -> onReadTimeout(expectedGeneration));
+        log.read(settings.stream(), nextOffset, settings.maxRecords(), longPolling ? settings.waitMillis() : 0)
+                .whenComplete((result, failure) -> onAnswer(expectedGeneration, startedMillis, result, failure));
     }
 
-    private synchronized void giveUp(long expected) {
-        if (running && generation == expected) {
-            listener.onUnavailable("no answer to a read");
+    private synchronized void onReadTimeout(long expectedGeneration) {
+        if (running && generation == expectedGeneration) {
+            listener.onUnavailable("read timed out without an answer");
             scheduleRead(settings.retryMillis());
         }
     }
 
-    private synchronized void onAnswer(long expected, long startedMillis, ReadResult result, Throwable failure) {
-        if (!running || generation != expected) {
+    private synchronized void onAnswer(
+            long expectedGeneration, long startedMillis, ReadResult result, Throwable failure) {
+        if (!running || generation != expectedGeneration) {
             return;
         }
         if (failure != null) {
@@ -111,8 +113,8 @@
                 records -> onRecords(records, startedMillis),
                 this::onExpired,
                 unavailable -> onUnavailable(unavailable.detail()));
-        // The listener may have stopped this follower, or started it elsewhere.
-        if (running && generation == expected) {
+        // The listener may have stopped this follower or restarted it at another offset.
+        if (running && generation == expectedGeneration) {
             scheduleRead(delayMillis);
         }
     }
@@ -120,16 +122,16 @@
     private long onRecords(ReadResult.Records result, long startedMillis) {
         List<LogRecord> records = result.records();
         if (records.isEmpty() && result.endOffset() < nextOffset) {
-            return onUnavailable("the log ends at " + result.endOffset() + ", before what was read of it");
+            return onUnavailable("the log ends at offset " + result.endOffset() + ", before the next offset to read");
         }
         if (!records.isEmpty()) {
             nextOffset = records.get(records.size() - 1).offset() + 1;
         }
-        waits = true;
+        longPolling = true;
         listener.onRecords(result);
-        // A service that does not hold reads open answers at once; reading on without a pause would be a busy loop.
-        boolean early = records.isEmpty() && time.monotonicMillis() - startedMillis < settings.retryMillis();
-        return early ? settings.retryMillis() : 0;
+        // A service without long polling answers immediately. Reading again without a delay would be a busy loop.
+        boolean answeredEarly = records.isEmpty() && time.monotonicMillis() - startedMillis < settings.retryMillis();
+        return answeredEarly ? settings.retryMillis() : 0;
     }
 
     private long onExpired(ReadResult.Expired expired) {
--- a/src/test/java/org/dogwoodwinch/control/SharedBoard.java
+++ b/src/test/java/org/dogwoodwinch/control/InMemoryPeerBoard.java
@@ -8,8 +8,8 @@
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.peer.PeerUpdate;
 
-/** A board that delivers every item to every subscriber at once. */
-final class SharedBoard implements PeerBus {
+/** A peer board that delivers every item to every subscriber immediately. */
+final class InMemoryPeerBoard implements PeerBus {
 
     private final List<Consumer<PeerUpdate>> listeners = new ArrayList<>();
     private long version;
