--- a/src/main/java/org/dogwoodwinch/control/FoldedRecord.java
+++ b/src/main/java/org/dogwoodwinch/control/AppliedRecord.java
@@ -11,10 +11,10 @@
  * @param accepted whether the state machine accepted the record
  * @param rejectionReason why the record was rejected, empty if it was accepted, not null
  */
-public record FoldedRecord(long offset, ControlRecord record, boolean accepted, String rejectionReason) {
+public record AppliedRecord(long offset, ControlRecord record, boolean accepted, String rejectionReason) {
 
     /** Validates the components. */
-    public FoldedRecord {
+    public AppliedRecord {
         Objects.requireNonNull(record, "record");
         Objects.requireNonNull(rejectionReason, "rejectionReason");
     }
--- a/src/main/java/org/dogwoodwinch/control/AppliedRecordListener.java
+++ b/src/main/java/org/dogwoodwinch/control/AppliedRecordListener.java
@@ -9,5 +9,5 @@
      *
      * @param applied the record and whether it was accepted, not null
      */
-    void onApplied(FoldedRecord applied);
+    void onApplied(AppliedRecord applied);
 }
--- a/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
+++ b/src/main/java/org/dogwoodwinch/control/CheckpointLoader.java
@@ -44,10 +44,10 @@
      * @param logRecord the record, not null
      * @return the state machine up to this record if the record is a usable checkpoint
      */
-    Optional<ControlFold> accept(LogRecord logRecord) {
+    Optional<ControlStateMachine> accept(LogRecord logRecord) {
         bufferedRecords.add(logRecord);
         return usableSnapshot(logRecord).map(snapshot -> {
-            ControlFold stateMachine = new ControlFold(codec, snapshot);
+            ControlStateMachine stateMachine = new ControlStateMachine(codec, snapshot);
             bufferedRecords.forEach(stateMachine::apply);
             return stateMachine;
         });
--- a/src/main/java/org/dogwoodwinch/control/ControlApi.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlApi.java
@@ -77,14 +77,14 @@
      *
      * @return the names of the targets
      */
-    Set<String> outOfService();
+    Set<String> outOfServiceTargets();
 
     /**
      * Returns the engine groups for which this instance currently holds the lease.
      *
      * @return the groups whose lease is valid on this instance
      */
-    List<String> liveGroups();
+    List<String> leasedGroups();
 
     /**
      * Returns the read position of this instance on the log and the state of its connection to the log.
--- a/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlEndpoint.java
@@ -21,11 +21,11 @@
 public final class ControlEndpoint {
 
     /** The common prefix of all paths of this endpoint. */
-    public static final String PREFIX = "/control/";
+    public static final String PATH_PREFIX = "/control/";
 
-    private static final String CATALOGUE = PREFIX + "catalogue";
+    private static final String CATALOGUE = PATH_PREFIX + "catalogue";
     private static final String EDITS = CATALOGUE + "/edits";
-    private static final String PLANS = PREFIX + "plans";
+    private static final String PLANS = PATH_PREFIX + "plans";
     private static final String CANCEL_SUFFIX = "/cancel";
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -79,7 +79,7 @@
     }
 
     private ControlResponse get(String path) {
-        if (path.equals(PREFIX + "status")) {
+        if (path.equals(PATH_PREFIX + "status")) {
             return jsonResponse(OK, api.status());
         }
         if (path.equals(CATALOGUE)) {
--- a/src/main/java/org/dogwoodwinch/control/ControlNode.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlNode.java
@@ -86,15 +86,15 @@
                 catalogueHolder,
                 services.isCataloguePublisher(),
                 settings.peerCollectionMillis());
-        this.reader = new ControlReader(codec, policies.checkpoints(), this::onApplied);
+        this.reader = new ControlReader(codec, policies.checkpointRule(), this::onApplied);
         this.follower = new LogFollower(
                 services.log(), settings.follower(), time, new LockedReader(this, reader, this::afterRead));
         // A restarted process does not know when its predecessor sent lease renewals, so it takes a new id and cannot
         // use the leases of its predecessor.
         this.agent = new AuthorityAgent(
                 newId(),
-                policies.leases(),
-                policies.orders(),
+                policies.leasePolicy(),
+                policies.orderPolicy(),
                 this::newId,
                 services.fleet(),
                 services.targetActivity(),
@@ -118,11 +118,11 @@
      * Releases the leases of this instance unless the answer to an order is outstanding, so that successors need not
      * wait for the leases to expire. The node takes no further decisions but follows the log until {@link #stop()}.
      */
-    public void release() {
+    public void releaseLeases() {
         Optional<AuthorityRecord> release;
         synchronized (this) {
             stopping = true;
-            release = agent.releaseAll(reader.stateMachine().authority());
+            release = agent.releaseAll(reader.stateMachine().authorityState());
         }
         release.ifPresent(this::publish);
     }
@@ -146,7 +146,7 @@
         CompletionStage<ApplyResult> answer;
         synchronized (this) {
             decision = reader.isCaughtUp()
-                    ? editProcessor.prepare(request, reader.stateMachine().catalogue(), time.wallMillis())
+                    ? editProcessor.prepare(request, reader.stateMachine().catalogueState(), time.wallMillis())
                     : EditProcessor.Decision.withResult(new ApplyResult.UnknownYet(request.editId(), NOT_CAUGHT_UP));
             answer = decision.result()
                     .<CompletionStage<ApplyResult>>map(CompletableFuture::completedFuture)
@@ -160,7 +160,7 @@
     @Override
     public synchronized ApplyResult editStatus(String editId) {
         return reader.stateMachine()
-                .catalogue()
+                .catalogueState()
                 .find(editId)
                 .map(EditProcessor::result)
                 .orElseGet(
@@ -169,7 +169,7 @@
 
     @Override
     public synchronized List<EditRecord> history() {
-        return reader.stateMachine().catalogue().history();
+        return reader.stateMachine().catalogueState().history();
     }
 
     @Override
@@ -177,7 +177,7 @@
         AuthorityRecord record;
         synchronized (this) {
             Optional<PlanRecord> existing =
-                    reader.stateMachine().authority().plans().plan(request.planId());
+                    reader.stateMachine().authorityState().plans().plan(request.planId());
             if (existing.isPresent() || !reader.isCaughtUp()) {
                 return CompletableFuture.completedFuture(
                         existing.isPresent()
@@ -211,22 +211,23 @@
 
     @Override
     public synchronized PlanAnswer planStatus(String planId) {
-        return PlanAnswer.of(planId, reader.stateMachine().authority().plans().plan(planId));
+        return PlanAnswer.of(
+                planId, reader.stateMachine().authorityState().plans().plan(planId));
     }
 
     @Override
     public synchronized List<PlanRecord> plans() {
-        return List.copyOf(reader.stateMachine().authority().plans().plans());
+        return List.copyOf(reader.stateMachine().authorityState().plans().plans());
     }
 
     @Override
-    public synchronized Set<String> outOfService() {
-        return reader.stateMachine().authority().plans().outOfService();
+    public synchronized Set<String> outOfServiceTargets() {
+        return reader.stateMachine().authorityState().plans().outOfService();
     }
 
     @Override
-    public synchronized List<String> liveGroups() {
-        return agent.heldGroups(reader.stateMachine().authority(), time.monotonicMillis());
+    public synchronized List<String> leasedGroups() {
+        return agent.heldGroups(reader.stateMachine().authorityState(), time.monotonicMillis());
     }
 
     @Override
@@ -252,7 +253,7 @@
     }
 
     private CompletionStage<PlanAnswer> publishAndAwait(AuthorityRecord record, String planId) {
-        CompletionStage<Optional<FoldedRecord>> appliedFuture;
+        CompletionStage<Optional<AppliedRecord>> appliedFuture;
         synchronized (this) {
             appliedFuture = pendingRecords.await(record.id(), time.monotonicMillis() + ANSWER_TIMEOUT_MILLIS);
         }
@@ -287,7 +288,7 @@
                 return;
             }
             long nowMillis = time.monotonicMillis();
-            editProcessor.completePending(reader.stateMachine().catalogue(), nowMillis);
+            editProcessor.completePending(reader.stateMachine().catalogueState(), nowMillis);
             pendingRecords.expire(nowMillis);
             catalogueExchange.tick(reader.isLogUnavailable() || reader.isMissingRecords(), nowMillis);
             checkpoint = dueCheckpoint(nowMillis);
@@ -316,8 +317,8 @@
             if (!running || stopping || !reader.isCaughtUp()) {
                 return;
             }
-            actions =
-                    agent.decide(reader.stateMachine().authority(), reader.isLogUnavailable(), time.monotonicMillis());
+            actions = agent.decide(
+                    reader.stateMachine().authorityState(), reader.isLogUnavailable(), time.monotonicMillis());
         }
         runner.run(actions);
     }
@@ -340,19 +341,19 @@
 
     private boolean checksFencing(String group) {
         return reader.stateMachine()
-                .catalogue()
+                .catalogueState()
                 .catalogue()
                 .group(group)
                 .filter(TargetGroup::checksFencing)
                 .isPresent();
     }
 
-    private void onApplied(FoldedRecord applied) {
+    private void onApplied(AppliedRecord applied) {
         pendingRecords.onApplied(applied);
         if (applied.record() instanceof Checkpoint checkpoint) {
             checkpointSchedule.onCheckpoint(checkpoint.snapshot().coveredOffset());
         } else if (applied.record() instanceof AuthorityRecord record) {
-            agent.onRecordApplied(reader.stateMachine().authority(), applied.offset(), record);
+            agent.onRecordApplied(reader.stateMachine().authorityState(), applied.offset(), record);
         }
     }
 
@@ -360,9 +361,10 @@
         // While it catches up, a starting instance passes through old revisions. Serving them would expose a catalogue
         // that was replaced long ago.
         if (reader.isCaughtUp()) {
-            catalogueHolder.replaceIfNewer(reader.stateMachine().catalogue().catalogue());
+            catalogueHolder.replaceIfNewer(
+                    reader.stateMachine().catalogueState().catalogue());
         }
-        editProcessor.completePending(reader.stateMachine().catalogue(), time.monotonicMillis());
+        editProcessor.completePending(reader.stateMachine().catalogueState(), time.monotonicMillis());
         scheduleDecision();
     }
 
@@ -372,7 +374,7 @@
         @Override
         public void update(Consumer<AuthorityState> action) {
             synchronized (ControlNode.this) {
-                action.accept(reader.stateMachine().authority());
+                action.accept(reader.stateMachine().authorityState());
                 scheduleDecision();
             }
         }
@@ -380,7 +382,7 @@
         @Override
         public boolean query(Predicate<AuthorityState> predicate) {
             synchronized (ControlNode.this) {
-                return predicate.test(reader.stateMachine().authority());
+                return predicate.test(reader.stateMachine().authorityState());
             }
         }
     }
--- a/src/main/java/org/dogwoodwinch/control/ControlPolicies.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlPolicies.java
@@ -7,11 +7,11 @@
 /**
  * The safety policies of the control stream. Every instance must use the same ones.
  *
- * @param checkpoints decides from which checkpoints a starting instance may restore its state, not null
- * @param leases the durations of leases, not null
- * @param orders the time limits and rules of orders, not null
+ * @param checkpointRule decides from which checkpoints a starting instance may restore its state, not null
+ * @param leasePolicy the durations of leases, not null
+ * @param orderPolicy the time limits and rules of orders, not null
  */
-public record ControlPolicies(CheckpointRule checkpoints, LeasePolicy leases, OrderPolicy orders) {
+public record ControlPolicies(CheckpointRule checkpointRule, LeasePolicy leasePolicy, OrderPolicy orderPolicy) {
 
     /** The policies that daemons use. */
     public static final ControlPolicies STANDARD =
@@ -19,8 +19,8 @@
 
     /** Validates the components. */
     public ControlPolicies {
-        Objects.requireNonNull(checkpoints, "checkpoints");
-        Objects.requireNonNull(leases, "leases");
-        Objects.requireNonNull(orders, "orders");
+        Objects.requireNonNull(checkpointRule, "checkpointRule");
+        Objects.requireNonNull(leasePolicy, "leasePolicy");
+        Objects.requireNonNull(orderPolicy, "orderPolicy");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/ControlReader.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlReader.java
@@ -15,7 +15,7 @@
     private final ControlCodec codec;
     private final CheckpointRule checkpointRule;
     private final AppliedRecordListener listener;
-    private ControlFold stateMachine;
+    private ControlStateMachine stateMachine;
     private CheckpointLoader checkpointLoader;
     private boolean caughtUp;
     private boolean logUnavailable;
@@ -32,7 +32,7 @@
         this.codec = Objects.requireNonNull(codec, "codec");
         this.checkpointRule = Objects.requireNonNull(checkpointRule, "checkpointRule");
         this.listener = Objects.requireNonNull(listener, "listener");
-        this.stateMachine = new ControlFold(codec, ControlSnapshot.EMPTY);
+        this.stateMachine = new ControlStateMachine(codec, ControlSnapshot.EMPTY);
     }
 
     @Override
@@ -67,7 +67,7 @@
      *
      * @return the state machine; while {@link #isCaughtUp()} is false, its state may be older than the log
      */
-    ControlFold stateMachine() {
+    ControlStateMachine stateMachine() {
         return stateMachine;
     }
 
@@ -113,7 +113,7 @@
             stateMachine.apply(logRecord).ifPresent(listener::onApplied);
             return;
         }
-        Optional<ControlFold> loaded = checkpointLoader.accept(logRecord);
+        Optional<ControlStateMachine> loaded = checkpointLoader.accept(logRecord);
         if (loaded.isPresent()) {
             stateMachine = loaded.get();
             checkpointLoader = null;
--- a/src/main/java/org/dogwoodwinch/control/ControlSettings.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlSettings.java
@@ -44,7 +44,7 @@
     public static ControlSettings of(String instance, long logRetentionMillis) {
         return new ControlSettings(
                 instance,
-                FollowerSettings.CONTROL,
+                FollowerSettings.CONTROL_STREAM,
                 DEFAULT_TICK_MILLIS,
                 logRetentionMillis / 4,
                 DEFAULT_CHECKPOINT_RECORDS,
--- a/src/main/java/org/dogwoodwinch/control/ControlFold.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlStateMachine.java
@@ -16,12 +16,12 @@
  * up to the same offset therefore hold the same state, and a record that is accepted on one instance is accepted on
  * all.
  */
-public final class ControlFold {
+public final class ControlStateMachine {
 
     private final ControlCodec codec;
     private final RecentIds recentIds;
-    private final CatalogueState catalogue;
-    private final AuthorityState authority;
+    private final CatalogueState catalogueState;
+    private final AuthorityState authorityState;
     private long coveredOffset;
 
     /**
@@ -30,12 +30,12 @@
      * @param codec decodes the records, not null
      * @param snapshot the state to continue from, not null
      */
-    public ControlFold(ControlCodec codec, ControlSnapshot snapshot) {
+    public ControlStateMachine(ControlCodec codec, ControlSnapshot snapshot) {
         this.codec = codec;
         this.coveredOffset = snapshot.coveredOffset();
         this.recentIds = new RecentIds(snapshot.recentIds());
-        this.catalogue = new CatalogueState(snapshot.catalogue(), snapshot.edits());
-        this.authority = new AuthorityState(snapshot.authority());
+        this.catalogueState = new CatalogueState(snapshot.catalogue(), snapshot.edits());
+        this.authorityState = new AuthorityState(snapshot.authority());
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param logRecord the record, not null
      * @return the outcome, or empty if the record was skipped or cannot be decoded as a control record
      */
-    public Optional<FoldedRecord> apply(LogRecord logRecord) {
+    public Optional<AppliedRecord> apply(LogRecord logRecord) {
         if (logRecord.offset() <= coveredOffset) {
             return Optional.empty();
         }
@@ -66,8 +66,8 @@
      *
      * @return the state that results from the catalogue edits
      */
-    public CatalogueState catalogue() {
-        return catalogue;
+    public CatalogueState catalogueState() {
+        return catalogueState;
     }
 
     /**
@@ -75,8 +75,8 @@
      *
      * @return the state that results from the authority records
      */
-    public AuthorityState authority() {
-        return authority;
+    public AuthorityState authorityState() {
+        return authorityState;
     }
 
     /**
@@ -86,29 +86,33 @@
      */
     public ControlSnapshot snapshot() {
         return new ControlSnapshot(
-                coveredOffset, recentIds.snapshot(), catalogue.catalogue(), catalogue.history(), authority.snapshot());
+                coveredOffset,
+                recentIds.snapshot(),
+                catalogueState.catalogue(),
+                catalogueState.history(),
+                authorityState.snapshot());
     }
 
-    private FoldedRecord applyRecord(long offset, ControlRecord record) {
+    private AppliedRecord applyRecord(long offset, ControlRecord record) {
         if (record instanceof Checkpoint) {
-            return new FoldedRecord(offset, record, true, "");
+            return new AppliedRecord(offset, record, true, "");
         }
         if (!recentIds.add(record.id())) {
-            return new FoldedRecord(offset, record, false, "duplicate record id");
+            return new AppliedRecord(offset, record, false, "duplicate record id");
         }
         if (record instanceof CatalogueEdit edit) {
-            String detail = catalogue
+            String detail = catalogueState
                     .apply(offset, edit)
                     .match(
                             _applied -> "",
                             rejected -> "conflicts with current revision " + rejected.winnerRevision(),
                             EditOutcome.Invalid::detail);
-            return new FoldedRecord(offset, record, detail.isEmpty(), detail);
+            return new AppliedRecord(offset, record, detail.isEmpty(), detail);
         }
         if (record instanceof AuthorityRecord authorityRecord) {
-            Optional<String> reason = authority.apply(offset, authorityRecord);
-            return new FoldedRecord(offset, record, reason.isEmpty(), reason.orElse(""));
+            Optional<String> reason = authorityState.apply(offset, authorityRecord);
+            return new AppliedRecord(offset, record, reason.isEmpty(), reason.orElse(""));
         }
-        return new FoldedRecord(offset, record, false, "unknown kind of record");
+        return new AppliedRecord(offset, record, false, "unknown kind of record");
     }
 }
--- a/src/main/java/org/dogwoodwinch/control/SentWork.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainAwareRouter.java
@@ -18,7 +18,7 @@
  * A router that sends no new requests to targets that are out of service, and counts the requests of this instance in
  * flight on each target. Thread-safe.
  */
-public final class SentWork implements Router {
+public final class DrainAwareRouter implements Router {
 
     private final Router delegate;
     private final Supplier<Set<String>> outOfService;
@@ -30,7 +30,7 @@
      * @param delegate chooses among the targets in service, not null
      * @param outOfService the targets that must not receive new requests, not null
      */
-    public SentWork(Router delegate, Supplier<Set<String>> outOfService) {
+    public DrainAwareRouter(Router delegate, Supplier<Set<String>> outOfService) {
         this.delegate = Objects.requireNonNull(delegate, "delegate");
         this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
     }
--- a/src/main/java/org/dogwoodwinch/control/DrainExchange.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainReportExchange.java
@@ -27,7 +27,7 @@
  * A target is therefore known to be idle only once every other instance has reported it recently. While an instance is
  * partitioned, the target counts as busy, because that instance may not know of the drain and may still be sending.
  */
-public final class DrainExchange implements TargetActivity {
+public final class DrainReportExchange implements TargetActivity {
 
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final String KEY = "drain";
@@ -55,7 +55,7 @@
      * @param otherInstances the names of the other instances, including those that are shutting down, not null
      * @param time provides the time and runs the timers, not null
      */
-    public DrainExchange(
+    public DrainReportExchange(
             PeerBus peerBoard,
             Function<String, DrainReport.TargetInFlight> localInFlight,
             Supplier<Set<String>> outOfService,
--- a/src/main/java/org/dogwoodwinch/control/PendingRecords.java
+++ b/src/main/java/org/dogwoodwinch/control/PendingRecords.java
@@ -33,7 +33,7 @@
      * @param deadlineMillis the monotonic time at which the wait times out, in milliseconds
      * @return completes with the applied record, or with empty after a timeout
      */
-    CompletionStage<Optional<FoldedRecord>> await(String recordId, long deadlineMillis) {
+    CompletionStage<Optional<AppliedRecord>> await(String recordId, long deadlineMillis) {
         return pendingById
                 .computeIfAbsent(recordId, _id -> new PendingRecord(new CompletableFuture<>(), deadlineMillis))
                 .future();
@@ -44,7 +44,7 @@
      *
      * @param applied the record and whether it was accepted, not null
      */
-    void onApplied(FoldedRecord applied) {
+    void onApplied(AppliedRecord applied) {
         PendingRecord pendingRecord = pendingById.remove(applied.record().id());
         if (pendingRecord != null) {
             executor.accept(() -> pendingRecord.future().complete(Optional.of(applied)));
@@ -67,5 +67,5 @@
         }
     }
 
-    private record PendingRecord(CompletableFuture<Optional<FoldedRecord>> future, long deadlineMillis) {}
+    private record PendingRecord(CompletableFuture<Optional<AppliedRecord>> future, long deadlineMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/controllog/FollowerSettings.java
+++ b/src/main/java/org/dogwoodwinch/controllog/FollowerSettings.java
@@ -15,7 +15,7 @@
 public record FollowerSettings(String stream, int maxRecords, long waitMillis, long retryMillis, long answerMillis) {
 
     /** The settings with which daemons follow the control stream. */
-    public static final FollowerSettings CONTROL = new FollowerSettings("control", 500, 10_000, 200, 5_000);
+    public static final FollowerSettings CONTROL_STREAM = new FollowerSettings("control", 500, 10_000, 200, 5_000);
 
     /** Validates the components. */
     public FollowerSettings {
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -16,8 +16,8 @@
 import org.dogwoodwinch.control.ControlNode;
 import org.dogwoodwinch.control.ControlServices;
 import org.dogwoodwinch.control.ControlSettings;
-import org.dogwoodwinch.control.DrainExchange;
-import org.dogwoodwinch.control.SentWork;
+import org.dogwoodwinch.control.DrainAwareRouter;
+import org.dogwoodwinch.control.DrainReportExchange;
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.external.http.HttpInstanceList;
 import org.dogwoodwinch.external.http.HttpLogService;
@@ -59,7 +59,7 @@
     private final LogClaimStore claims;
     private final PeerParts peers;
     private final FleetActivity activity;
-    private final DrainExchange drains;
+    private final DrainReportExchange drains;
     private final RequestHandler handler;
 
     /**
@@ -123,10 +123,14 @@
                 context.time(),
                 settings.targets().loadPollMillis());
         this.activity = new FleetActivity(fleet, poller, directory, peers.watch(), name);
-        SentWork sent =
-                new SentWork(new LeavingTellingRouter(router, peers.leaving()::onRefused), control::outOfService);
-        this.drains = new DrainExchange(
-                board, sent::inFlight, control::outOfService, () -> directory.otherEntries(name), context.time());
+        DrainAwareRouter sent = new DrainAwareRouter(
+                new LeavingTellingRouter(router, peers.leaving()::onRefused), control::outOfServiceTargets);
+        this.drains = new DrainReportExchange(
+                board,
+                sent::inFlight,
+                control::outOfServiceTargets,
+                () -> directory.otherEntries(name),
+                context.time());
         this.claims = new LogClaimStore(
                 log,
                 context.time(),
@@ -170,7 +174,7 @@
 
     /** Gives the leases back; everything else goes on. */
     void release() {
-        control.release();
+        control.releaseLeases();
     }
 
     /** Stops everything; what is in flight is cut. */
@@ -261,7 +265,7 @@
     }
 
     private Set<String> heldBack() {
-        return Sets.union(control.outOfService(), peers.leaving().names());
+        return Sets.union(control.outOfServiceTargets(), peers.leaving().names());
     }
 
     private static String modelOf(CatalogueView catalogue, CatalogueEntry entry) {
--- a/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
+++ b/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
@@ -86,7 +86,7 @@
                 quarantinePage,
                 QuarantineEndpoint.LIFT_PATH,
                 quarantinePage,
-                ControlEndpoint.PREFIX,
+                ControlEndpoint.PATH_PREFIX,
                 call -> endpoint.handle(call.method(), call.path(), call.body().toUtf8())
                         .thenApply(OperatorPages::toAnswer));
     }
@@ -149,7 +149,7 @@
                 inFlight.count(),
                 targets,
                 peers,
-                parts.control().liveGroups());
+                parts.control().leasedGroups());
     }
 
     private TargetStatus targetStatus(TargetSummary summary) {
--- a/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
@@ -70,7 +70,7 @@
     static ControlPolicies control(LeaseSettings own) {
         OrderPolicy standard = OrderPolicy.DEFAULT;
         return new ControlPolicies(
-                ControlPolicies.STANDARD.checkpoints(),
+                ControlPolicies.STANDARD.checkpointRule(),
                 new LeasePolicy(
                         own.termMillis(),
                         own.marginMillis(),
--- a/src/main/java/org/dogwoodwinch/faultrun/LogWitness.java
+++ b/src/main/java/org/dogwoodwinch/faultrun/LogWitness.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 import org.dogwoodwinch.authority.AuthorityRecord;
 import org.dogwoodwinch.catalogue.CatalogueEdit;
+import org.dogwoodwinch.control.AppliedRecord;
 import org.dogwoodwinch.control.ControlCodec;
-import org.dogwoodwinch.control.ControlFold;
 import org.dogwoodwinch.control.ControlSnapshot;
-import org.dogwoodwinch.control.FoldedRecord;
+import org.dogwoodwinch.control.ControlStateMachine;
 import org.dogwoodwinch.controllog.FollowerListener;
 import org.dogwoodwinch.controllog.FollowerSettings;
 import org.dogwoodwinch.controllog.LogFollower;
@@ -22,7 +22,7 @@
 
     private final TimeSource time;
     private final HistoryRecorder history;
-    private final ControlFold fold = new ControlFold(new ControlCodec(), ControlSnapshot.EMPTY);
+    private final ControlStateMachine fold = new ControlStateMachine(new ControlCodec(), ControlSnapshot.EMPTY);
     private final LogFollower follower;
 
     /**
@@ -35,7 +35,7 @@
     LogWitness(LogService log, TimeSource time, HistoryRecorder history) {
         this.time = Objects.requireNonNull(time, "time");
         this.history = Objects.requireNonNull(history, "history");
-        this.follower = new LogFollower(log, FollowerSettings.CONTROL, time, this);
+        this.follower = new LogFollower(log, FollowerSettings.CONTROL_STREAM, time, this);
     }
 
     /** Reads from the beginning on. */
@@ -54,14 +54,14 @@
      * @return the revision
      */
     synchronized long revision() {
-        return fold.catalogue().catalogue().revision();
+        return fold.catalogueState().catalogue().revision();
     }
 
     @Override
     public synchronized void onRecords(ReadResult.Records records) {
         records.records()
                 .forEach(record ->
-                        fold.apply(record).filter(FoldedRecord::accepted).ifPresent(this::write));
+                        fold.apply(record).filter(AppliedRecord::accepted).ifPresent(this::write));
     }
 
     @Override
@@ -72,12 +72,12 @@
     @Override
     public void onUnavailable(String _detail) {}
 
-    private void write(FoldedRecord folded) {
+    private void write(AppliedRecord folded) {
         long nowMillis = time.wallMillis();
         if (folded.record() instanceof CatalogueEdit edit) {
             history.record(new CatalogueEvent.Edited(nowMillis, edit.id(), edit.baseRevision(), folded.offset()));
         } else if (folded.record() instanceof AuthorityRecord.LeaseClaim claim) {
-            fold.authority().leases().leases().forEach((group, lease) -> {
+            fold.authorityState().leases().leases().forEach((group, lease) -> {
                 if (lease.epoch() == folded.offset()) {
                     history.record(new OrderEvent.AuthorityTaken(nowMillis, claim.holder(), group, lease.epoch()));
                 }
--- a/src/main/java/org/dogwoodwinch/faultrun/RunOperator.java
+++ b/src/main/java/org/dogwoodwinch/faultrun/RunOperator.java
@@ -113,7 +113,8 @@
     }
 
     private void append(ControlRecord record) {
-        log.append(FollowerSettings.CONTROL.stream(), codec.encode(record)).whenComplete((_result, _error) -> {});
+        log.append(FollowerSettings.CONTROL_STREAM.stream(), codec.encode(record))
+                .whenComplete((_result, _error) -> {});
     }
 
     private String nextId(String kind) {
--- a/src/main/java/org/dogwoodwinch/measure/capacity/CatalogueProbe.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/CatalogueProbe.java
@@ -10,9 +10,9 @@
 import org.dogwoodwinch.catalogue.Limits;
 import org.dogwoodwinch.control.Checkpoint;
 import org.dogwoodwinch.control.ControlCodec;
-import org.dogwoodwinch.control.ControlFold;
 import org.dogwoodwinch.control.ControlSettings;
 import org.dogwoodwinch.control.ControlSnapshot;
+import org.dogwoodwinch.control.ControlStateMachine;
 import org.dogwoodwinch.external.LogRecord;
 import org.dogwoodwinch.measure.MeasurementTable;
 
@@ -45,13 +45,13 @@
     }
 
     private double foldMillis(int owners, int edits) {
-        ControlFold fold = new ControlFold(codec, snapshot(owners));
+        ControlStateMachine fold = new ControlStateMachine(codec, snapshot(owners));
         List<LogRecord> records = new ArrayList<>();
         for (int i = 1; i <= edits; i++) {
             records.add(new LogRecord(i, codec.encode(edit(i - 1, owners))));
         }
         long cpuNanos = CpuClock.nanosOf(() -> records.forEach(fold::apply));
-        if (fold.catalogue().catalogue().revision() != edits) {
+        if (fold.catalogueState().catalogue().revision() != edits) {
             throw new IllegalStateException("an edit was not accepted");
         }
         return cpuNanos / 1e6 / edits;
--- a/src/main/java/org/dogwoodwinch/measure/control/CatalogueMeasurement.java
+++ b/src/main/java/org/dogwoodwinch/measure/control/CatalogueMeasurement.java
@@ -26,8 +26,8 @@
 import org.dogwoodwinch.control.ApplyAnswer;
 import org.dogwoodwinch.control.Checkpoint;
 import org.dogwoodwinch.control.ControlCodec;
-import org.dogwoodwinch.control.ControlFold;
 import org.dogwoodwinch.control.ControlSnapshot;
+import org.dogwoodwinch.control.ControlStateMachine;
 import org.dogwoodwinch.control.EditRequest;
 import org.dogwoodwinch.external.LogRecord;
 import org.dogwoodwinch.measure.Measurement;
@@ -133,7 +133,7 @@
             Catalogue base = catalogue(7, owners, 1_000);
             CatalogueChange one = CatalogueChange.between(base, withDeadline(base, 2_000));
             String edit = codec.encode(new CatalogueEdit("edit-1", "meera", 1L, 7, one));
-            ControlSnapshot state = new ControlFold(codec, ControlSnapshot.EMPTY).snapshot();
+            ControlSnapshot state = new ControlStateMachine(codec, ControlSnapshot.EMPTY).snapshot();
             String checkpoint = codec.encode(new Checkpoint(
                     "checkpoint-1", new ControlSnapshot(7, state.recentIds(), base, List.of(), state.authority())));
             rows.add(List.of(
@@ -150,12 +150,12 @@
 
     private static double foldMillis(ControlCodec codec, Catalogue base) {
         int rounds = 40;
-        ControlFold fold = new ControlFold(
+        ControlStateMachine fold = new ControlStateMachine(
                 codec,
                 new ControlSnapshot(base.revision(), List.of(), base, List.of(), ControlSnapshot.EMPTY.authority()));
         long startNanos = System.nanoTime();
         for (int i = 0; i < rounds; i++) {
-            Catalogue now = fold.catalogue().catalogue();
+            Catalogue now = fold.catalogueState().catalogue();
             CatalogueChange change = new CatalogueChange(
                     List.of(),
                     List.of(),
--- a/src/main/java/org/dogwoodwinch/measure/control/VirtualFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/control/VirtualFleet.java
@@ -82,7 +82,7 @@
     /** Kills the node that may act for a group: it decides nothing more and gives nothing back. */
     void killHolder(String group) {
         nodes.stream()
-                .filter(each -> each.liveGroups().contains(group))
+                .filter(each -> each.leasedGroups().contains(group))
                 .findFirst()
                 .ifPresent(holder -> {
                     holder.stop();
@@ -92,7 +92,7 @@
 
     /** How many instances hold at least one group. */
     long holders() {
-        return nodes.stream().filter(each -> !each.liveGroups().isEmpty()).count();
+        return nodes.stream().filter(each -> !each.leasedGroups().isEmpty()).count();
     }
 
     /** The group of an engine. */
--- a/src/test/java/org/dogwoodwinch/cli/CatalogueCommandTest.java
+++ b/src/test/java/org/dogwoodwinch/cli/CatalogueCommandTest.java
@@ -17,8 +17,8 @@
 import org.dogwoodwinch.catalogue.CatalogueCodec;
 import org.dogwoodwinch.catalogue.SampleCatalogues;
 import org.dogwoodwinch.control.ControlEndpoint;
+import org.dogwoodwinch.control.ControlNodeFixtures;
 import org.dogwoodwinch.control.ControlResponse;
-import org.dogwoodwinch.control.ControlSamples;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -29,7 +29,7 @@
 class CatalogueCommandTest {
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
-    private final ControlEndpoint endpoint = new ControlEndpoint(ControlSamples.startedNode(time));
+    private final ControlEndpoint endpoint = new ControlEndpoint(ControlNodeFixtures.newStartedNode(time));
     private final StringWriter out = new StringWriter();
     private HttpServer server;
 
--- a/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlHistoryCheck.java
@@ -64,12 +64,12 @@
     static void checkInvariants(ControlSimulation simulation) {
         orderCount +=
                 simulation.appliedOrders.values().stream().mapToInt(List::size).sum();
-        takeoverCount += simulation.referenceState().authority().leases().leases().values().stream()
+        takeoverCount += simulation.referenceState().authorityState().leases().leases().values().stream()
                 .filter(lease -> !lease.holder().startsWith("entry-0"))
                 .count();
         simulation.checkOrders();
         simulation.checkStatesConverged();
-        List<String> unfinished = simulation.referenceState().authority().plans().plans().stream()
+        List<String> unfinished = simulation.referenceState().authorityState().plans().plans().stream()
                 .filter(PlanRecord::isActive)
                 .map(plan -> plan.id() + " " + plan.state())
                 .toList();
--- a/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlMutantsTest.java
@@ -69,7 +69,7 @@
     }
 
     private static void edit(ControlSimulation simulation, int number) {
-        Catalogue base = simulation.referenceState().catalogue().catalogue();
+        Catalogue base = simulation.referenceState().catalogueState().catalogue();
         Catalogue wanted = SampleCatalogues.withDeadline(base.revision(), number + 1);
         simulation
                 .instance(0)
--- a/src/test/java/org/dogwoodwinch/control/ControlSamples.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeFixtures.java
@@ -17,9 +17,9 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Creates control nodes without engines for tests. */
-public final class ControlSamples {
+public final class ControlNodeFixtures {
 
-    private ControlSamples() {}
+    private ControlNodeFixtures() {}
 
     /**
      * Starts a single node with its own log and lets it read the log to its end.
@@ -27,7 +27,7 @@
      * @param time the clock of the node
      * @return the node
      */
-    public static ControlNode startedNode(VirtualTimeSource time) {
+    public static ControlNode newStartedNode(VirtualTimeSource time) {
         MemoryLog log = new MemoryLog(time, MemoryLogLimits.STANDARD);
         ControlNode node = node(ControlSettings.of("entry-1", 3_600_000), log, new InMemoryPeerBoard(), time);
         node.start();
--- a/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeTest.java
@@ -111,7 +111,7 @@
     private ControlNode node(String name, PeerBus peerBoard) {
         ControlSettings settings = new ControlSettings(
                 name, new FollowerSettings("control", 100, 1_000, 100, 1_000), 200, RETENTION_MILLIS / 4, 1_000, 2_000);
-        return ControlSamples.node(settings, log, peerBoard, time);
+        return ControlNodeFixtures.node(settings, log, peerBoard, time);
     }
 
     private static EditRequest edit(String id, String author, long base, long deadlineMillis) {
--- a/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
@@ -66,7 +66,7 @@
     private final InMemoryPeerBoard peerBoard = new InMemoryPeerBoard();
     private final List<Target> targets = new ArrayList<>();
     private final List<Instance> instances = new ArrayList<>();
-    private final ControlFold referenceState = new ControlFold(codec, ControlSnapshot.EMPTY);
+    private final ControlStateMachine referenceState = new ControlStateMachine(codec, ControlSnapshot.EMPTY);
     private final Map<String, Long> acceptedIntentOffsets = new HashMap<>();
     private int startedCount;
 
@@ -94,7 +94,7 @@
         return instances.get(index);
     }
 
-    ControlFold referenceState() {
+    ControlStateMachine referenceState() {
         return referenceState;
     }
 
@@ -112,7 +112,7 @@
     int holderIndexOf(String group) {
         for (int i = 0; i < instances.size(); i++) {
             if (instances.get(i).clock.isRunning()
-                    && instances.get(i).node.liveGroups().contains(group)) {
+                    && instances.get(i).node.leasedGroups().contains(group)) {
                 return i;
             }
         }
@@ -218,7 +218,7 @@
             if (!instance.clock.isRunning()) {
                 continue;
             }
-            for (String group : instance.node.liveGroups()) {
+            for (String group : instance.node.leasedGroups()) {
                 String otherHolder = holders.put(group, instance.name);
                 if (otherHolder != null) {
                     violations.add(group + " is held by " + otherHolder + " and by " + instance.name);
--- a/src/test/java/org/dogwoodwinch/control/DrainExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainReportExchangeTest.java
@@ -25,7 +25,7 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-class DrainExchangeTest {
+class DrainReportExchangeTest {
 
     private static final Target ENGINE = new Target("engine-1", "127.0.0.1", 1, "kochi", "reading");
 
@@ -84,14 +84,14 @@
 
         private final String name;
         private final Set<String> outOfService = new HashSet<>();
-        private final SentWork router = new SentWork(new SingleTargetRouter(), () -> outOfService);
-        private final DrainExchange drainExchange;
+        private final DrainAwareRouter router = new DrainAwareRouter(new SingleTargetRouter(), () -> outOfService);
+        private final DrainReportExchange drainExchange;
         private boolean partitioned;
 
         SimulatedInstance(String name, String other) {
             this.name = name;
             this.drainExchange =
-                    new DrainExchange(this, router::inFlight, () -> outOfService, () -> Set.of(other), time);
+                    new DrainReportExchange(this, router::inFlight, () -> outOfService, () -> Set.of(other), time);
             drainExchange.start();
         }
 
--- a/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
+++ b/src/test/java/org/dogwoodwinch/control/OrderPauseTest.java
@@ -99,11 +99,12 @@
 
     private boolean hasReached(String group, Step step) {
         return switch (step) {
-            case DRAINED -> simulation.instance(holder).node.outOfService().contains(group + "-1");
+            case DRAINED ->
+                simulation.instance(holder).node.outOfServiceTargets().contains(group + "-1");
             case READ_BACK ->
                 simulation
                         .referenceState()
-                        .authority()
+                        .authorityState()
                         .engines()
                         .engine(group + "-1")
                         .isPresent();
@@ -121,7 +122,7 @@
                 i < 200
                         && simulation
                                 .referenceState()
-                                .authority()
+                                .authorityState()
                                 .engines()
                                 .engine(group + "-1")
                                 .isEmpty();
--- a/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
@@ -26,12 +26,12 @@
         simulation.advance(2_000);
         request("p1", PlannedChange.changeRole("checking-1", EngineRole.PREFILL));
         simulation.advance(400);
-        assertEquals(Set.of("checking-1"), simulation.instance(2).node.outOfService());
+        assertEquals(Set.of("checking-1"), simulation.instance(2).node.outOfServiceTargets());
         simulation.advance(4_000);
         assertEquals(PlanState.DONE, planState("p1"));
         assertEquals(
                 EngineRole.PREFILL, engineState("checking-1").configuration().role());
-        assertEquals(Set.of(), simulation.instance(2).node.outOfService());
+        assertEquals(Set.of(), simulation.instance(2).node.outOfServiceTargets());
         assertEquals(1, simulation.appliedOrders.get("checking-1").size());
         assertNoViolations();
     }
@@ -72,7 +72,7 @@
                     PlanState.DONE,
                     otherSimulation
                             .referenceState()
-                            .authority()
+                            .authorityState()
                             .plans()
                             .plan("p1")
                             .orElseThrow()
@@ -123,18 +123,18 @@
         request("p2", new PlannedChange(PlannedChange.Kind.REPLACE, "ignoring-1", "", null, "", "", "", "ignoring-2"));
         simulation.advance(8_000);
         assertEquals(
-                Set.of("checking-1", "ignoring-1"), simulation.instance(0).node.outOfService());
+                Set.of("checking-1", "ignoring-1"), simulation.instance(0).node.outOfServiceTargets());
         assertEquals(
                 OutOfServiceReason.WITHDRAWN,
                 simulation
                         .referenceState()
-                        .authority()
+                        .authorityState()
                         .plans()
                         .outOfServiceReasons()
                         .get("ignoring-1"));
         request("p3", PlannedChange.of(PlannedChange.Kind.RESTORE, "checking-1"));
         simulation.advance(500);
-        assertEquals(Set.of("ignoring-1"), simulation.instance(0).node.outOfService());
+        assertEquals(Set.of("ignoring-1"), simulation.instance(0).node.outOfServiceTargets());
         assertNoViolations();
     }
 
@@ -148,7 +148,7 @@
         simulation.instance(1).node.cancelPlan("p1", "joao");
         simulation.advance(500);
         assertEquals(PlanState.CANCELLED, planState("p1"));
-        assertFalse(simulation.instance(0).node.outOfService().contains("checking-1"));
+        assertFalse(simulation.instance(0).node.outOfServiceTargets().contains("checking-1"));
         request("p2", PlannedChange.changeRole("ignoring-1", EngineRole.PREFILL));
         simulation.advance(5_000);
         CompletionStage<PlanAnswer> answer = simulation.instance(1).node.cancelPlan("p2", "joao");
@@ -195,7 +195,7 @@
     private PlanState planState(String planId) {
         return simulation
                 .referenceState()
-                .authority()
+                .authorityState()
                 .plans()
                 .plan(planId)
                 .orElseThrow()
--- a/src/test/java/org/dogwoodwinch/control/SimulationEvent.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulationEvent.java
@@ -96,7 +96,7 @@
     }
 
     private static void edit(ControlSimulation simulation, ControlSimulation.Instance affected, String id, int number) {
-        Catalogue base = simulation.referenceState().catalogue().catalogue();
+        Catalogue base = simulation.referenceState().catalogueState().catalogue();
         Catalogue wanted = SampleCatalogues.withDeadline(base.revision(), number + 1);
         affected.clock.runOrDefer(
                 () -> affected.node.applyEdit(new EditRequest(id, "meera", new CatalogueCodec().write(wanted))));
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
@@ -91,7 +91,7 @@
                     decision.accept(new AdmissionDecision.Granted(_used -> {}));
                     return () -> {};
                 },
-                new VirtualRouter(run, control::outOfService),
+                new VirtualRouter(run, control::outOfServiceTargets),
                 this,
                 target -> Optional.of(run.target(target)),
                 entry -> RunOperator.model(entry.group()),
@@ -142,7 +142,7 @@
     /** It takes nothing new and ends when what it has is done. */
     void stop() {
         stopping = true;
-        control.release();
+        control.releaseLeases();
         awaitCalls();
     }
 
