--- a/src/main/java/org/dogwoodwinch/net/EventLoopTime.java
+++ b/src/main/java/org/dogwoodwinch/net/EventLoopTime.java
@@ -40,12 +40,12 @@
     @Override
     public Cancellable schedule(long delayMillis, Runnable task) {
         ScheduledFuture<?> future =
-                loop.schedule(() -> runLogged(task), Math.max(0, delayMillis), TimeUnit.MILLISECONDS);
+                loop.schedule(() -> runLoggingFailure(task), Math.max(0, delayMillis), TimeUnit.MILLISECONDS);
         return () -> future.cancel(false);
     }
 
     /** A timer whose failure stays in a future that nobody reads would stop its work without a word. */
-    private static void runLogged(Runnable task) {
+    private static void runLoggingFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/src/main/java/org/dogwoodwinch/net/Transport.java
+++ b/src/main/java/org/dogwoodwinch/net/Transport.java
@@ -92,12 +92,12 @@
      * Lets the kernel give a connection up whose written bytes nobody acknowledged for that long.
      *
      * @param bootstrap opens the connections, not null
-     * @param millis how long
+     * @param timeoutMillis how long
      */
-    public void setUnacknowledgedTimeout(Bootstrap bootstrap, int millis) {
+    public void setUnacknowledgedTimeout(Bootstrap bootstrap, int timeoutMillis) {
         bootstrap.option(ChannelOption.TCP_NODELAY, true);
         if (nativeEpoll) {
-            bootstrap.option(EpollChannelOption.TCP_USER_TIMEOUT, millis);
+            bootstrap.option(EpollChannelOption.TCP_USER_TIMEOUT, timeoutMillis);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/platform/ConfigurationDecoder.java
+++ b/src/main/java/org/dogwoodwinch/platform/ConfigurationDecoder.java
@@ -37,21 +37,21 @@
         }
         try {
             List<ServiceRoute> routes = new ArrayList<>();
-            root.path("routes").forEach(route -> routes.add(route(route)));
+            root.path("routes").forEach(route -> routes.add(decodeRoute(route)));
             List<ServiceEntry> services = new ArrayList<>();
-            root.path("services").forEach(service -> services.add(service(service)));
-            return new RouteTable(root.path("version").asLong(), routes, services, limits(root.path("limits")));
+            root.path("services").forEach(service -> services.add(decodeService(service)));
+            return new RouteTable(root.path("version").asLong(), routes, services, decodeLimits(root.path("limits")));
         } catch (IllegalArgumentException e) {
             throw new IOException("not a configuration: " + e.getMessage(), e);
         }
     }
 
-    private static ServiceRoute route(JsonNode route) {
+    private static ServiceRoute decodeRoute(JsonNode route) {
         return new ServiceRoute(
                 route.path("name").asText(),
                 route.path("host").asText().toLowerCase(Locale.ROOT),
                 route.path("pathPrefix").asText(),
-                kind(route.path("kind").asText()),
+                decodeKind(route.path("kind").asText()),
                 route.path("resumable").asBoolean(),
                 route.path("timeoutMs").asLong(),
                 route.path("targetLatencyMs").asLong(),
@@ -59,38 +59,38 @@
                 Math.max(1, route.path("maxAttempts").asInt(1)),
                 // The wire's priority is a rank: zero comes first.
                 route.path("priority").asInt(),
-                services(route));
+                decodeTrafficSplit(route));
     }
 
-    private static RouteKind kind(String word) {
-        return switch (word) {
+    private static RouteKind decodeKind(String value) {
+        return switch (value) {
             case "safe" -> RouteKind.REPEATABLE;
             case "streaming" -> RouteKind.STREAM;
             case "unsafe" -> RouteKind.ONCE;
-            default -> throw new IllegalArgumentException("unknown kind of route: " + word);
+            default -> throw new IllegalArgumentException("unknown kind of route: " + value);
         };
     }
 
-    private static List<WeightedService> services(JsonNode route) {
-        List<WeightedService> services = new ArrayList<>();
+    private static List<WeightedService> decodeTrafficSplit(JsonNode route) {
+        List<WeightedService> weightedServices = new ArrayList<>();
         route.path("trafficSplit")
-                .forEach(share -> services.add(new WeightedService(
-                        share.path("service").asText(), share.path("weight").asDouble())));
-        if (services.isEmpty()) {
-            services.add(new WeightedService(route.path("service").asText(), 1));
+                .forEach(split -> weightedServices.add(new WeightedService(
+                        split.path("service").asText(), split.path("weight").asDouble())));
+        if (weightedServices.isEmpty()) {
+            weightedServices.add(new WeightedService(route.path("service").asText(), 1));
         }
-        return services;
+        return weightedServices;
     }
 
-    private static ServiceEntry service(JsonNode service) {
+    private static ServiceEntry decodeService(JsonNode service) {
         JsonNode engine = service.path("engine");
         return new ServiceEntry(
                 service.path("name").asText(),
                 service.path("maxConnections").asInt(1),
-                engine.isObject() ? Optional.of(engine(engine)) : Optional.empty());
+                engine.isObject() ? Optional.of(decodeEngine(engine)) : Optional.empty());
     }
 
-    private static EngineTraits engine(JsonNode engine) {
+    private static EngineTraits decodeEngine(JsonNode engine) {
         return new EngineTraits(
                 engine.path("slots").asInt(1),
                 engine.path("kvCapacity").asLong(),
@@ -100,12 +100,12 @@
                 Math.round(engine.path("switchS").asDouble() * MILLIS_PER_SECOND));
     }
 
-    private static CallerLimits limits(JsonNode limits) {
-        CallerLimits otherwise = CallerLimits.DEFAULT;
+    private static CallerLimits decodeLimits(JsonNode limits) {
+        CallerLimits defaults = CallerLimits.DEFAULT;
         return new CallerLimits(
-                limits.path("maxHeaderBytes").asInt(otherwise.maxHeaderBytes()),
-                limits.path("maxBodyBytes").asInt(otherwise.maxBodyBytes()),
-                limits.path("headerTimeoutMs").asLong(otherwise.headerTimeoutMillis()),
-                limits.path("idleTimeoutMs").asLong(otherwise.idleTimeoutMillis()));
+                limits.path("maxHeaderBytes").asInt(defaults.maxHeaderBytes()),
+                limits.path("maxBodyBytes").asInt(defaults.maxBodyBytes()),
+                limits.path("headerTimeoutMs").asLong(defaults.headerTimeoutMillis()),
+                limits.path("idleTimeoutMs").asLong(defaults.idleTimeoutMillis()));
     }
 }
--- a/src/main/java/org/dogwoodwinch/platform/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/EngineClient.java
@@ -42,44 +42,44 @@
     private static final int BAD_REQUEST = 400;
     private static final int CONFLICT = 409;
     private static final int PRECONDITION_FAILED = 412;
-    private static final int MISDIRECTED = 421;
-    private static final String WAIT_HEADER = "wait-ms";
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final String LONG_POLL_HEADER = "wait-ms";
 
     /** Columns of an event: number, sign, nothing, part, tokens kept, model. */
-    private static final int PART_COLUMN = 3;
+    private static final int EVENT_SEGMENT_COLUMN = 3;
 
-    private static final int KEPT_COLUMN = 4;
+    private static final int EVENT_CACHED_TOKENS_COLUMN = 4;
 
     /** Columns of a row of the whole list: nothing, part, tokens kept, model. */
-    private static final int LISTED_PART_COLUMN = 1;
+    private static final int LIST_SEGMENT_COLUMN = 1;
 
-    private static final int LISTED_KEPT_COLUMN = 2;
+    private static final int LIST_CACHED_TOKENS_COLUMN = 2;
 
-    private final ControlCaller caller;
+    private final ControlCaller controlCaller;
     private final long timeoutMillis;
-    private final long waitMillis;
+    private final long longPollMillis;
 
     /**
      * Creates a client.
      *
-     * @param caller makes the calls, not null
+     * @param controlCaller makes the calls, not null
      * @param timeoutMillis how long an answer may take beside the time that the engine is asked to wait
-     * @param waitMillis how long an engine may hold a question while nothing changes
+     * @param longPollMillis how long an engine may hold a question while nothing changes
      */
-    public EngineClient(ControlCaller caller, long timeoutMillis, long waitMillis) {
-        this.caller = Objects.requireNonNull(caller, "caller");
+    public EngineClient(ControlCaller controlCaller, long timeoutMillis, long longPollMillis) {
+        this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
         this.timeoutMillis = timeoutMillis;
-        this.waitMillis = waitMillis;
+        this.longPollMillis = longPollMillis;
     }
 
     @Override
-    public Optional<PromptMemory> readMemory(Incarnation reader, Bytes body) {
+    public Optional<PromptMemory> readMemory(Incarnation prefillEngine, Bytes body) {
         try {
             String handle = JsonTrees.read(body.toByteArray()).path("kvHandle").asText();
-            return handle.isEmpty() ? Optional.empty() : Optional.of(new PromptMemory(reader.address(), handle));
+            return handle.isEmpty() ? Optional.empty() : Optional.of(new PromptMemory(prefillEngine.address(), handle));
         } catch (IOException e) {
             LogEvent.of("memory_not_understood")
-                    .with("target", reader.id())
+                    .with("target", prefillEngine.id())
                     .with("error", e.getMessage())
                     .warn(log);
             return Optional.empty();
@@ -87,39 +87,40 @@
     }
 
     @Override
-    public void release(Incarnation reader, PromptMemory memory) {
-        String uri = "/kv-handle/" + memory.handle();
-        call(reader, HttpMethod.DELETE, uri, timeoutMillis, headers(reader)).thenAccept(reply -> {
-            if (!(reply instanceof ControlReply.Answered answered) || answered.status() != OK) {
-                LogEvent.of("memory_not_released")
-                        .with("target", reader.id())
-                        .with("reply", reply)
-                        .info(log);
-            }
-        });
+    public void release(Incarnation prefillEngine, PromptMemory kvCache) {
+        String uri = "/kv-handle/" + kvCache.handle();
+        call(prefillEngine, HttpMethod.DELETE, uri, timeoutMillis, controlHeaders(prefillEngine))
+                .thenAccept(reply -> {
+                    if (!(reply instanceof ControlReply.Answered answered) || answered.status() != OK) {
+                        LogEvent.of("memory_not_released")
+                                .with("target", prefillEngine.id())
+                                .with("reply", reply)
+                                .info(log);
+                    }
+                });
     }
 
     @Override
     public CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation engine, long sinceNumber) {
-        HttpHeaders headers = headers(engine).set(WAIT_HEADER, waitMillis);
-        return call(engine, HttpMethod.GET, "/kv-events?since=" + sinceNumber, waitMillis + timeoutMillis, headers)
-                .thenApply(reply -> changes(engine, reply));
+        HttpHeaders headers = controlHeaders(engine).set(LONG_POLL_HEADER, longPollMillis);
+        return call(engine, HttpMethod.GET, "/kv-events?since=" + sinceNumber, longPollMillis + timeoutMillis, headers)
+                .thenApply(reply -> parseCacheChanges(engine, reply));
     }
 
     @Override
     public CompletionStage<Optional<CacheList>> cacheList(Incarnation engine) {
-        return call(engine, HttpMethod.GET, "/kv-list", timeoutMillis, headers(engine))
-                .thenApply(reply -> list(engine, reply));
+        return call(engine, HttpMethod.GET, "/kv-list", timeoutMillis, controlHeaders(engine))
+                .thenApply(reply -> parseCacheList(engine, reply));
     }
 
     @Override
     public CompletionStage<Optional<OrderState>> orderState(Incarnation engine) {
-        return call(engine, HttpMethod.GET, "/report", timeoutMillis, headers(engine))
-                .thenApply(reply -> state(engine, reply));
+        return call(engine, HttpMethod.GET, "/report", timeoutMillis, controlHeaders(engine))
+                .thenApply(reply -> parseOrderState(engine, reply));
     }
 
-    private static Optional<OrderState> state(Incarnation engine, ControlReply reply) {
-        Optional<JsonNode> report = read(engine, reply)
+    private static Optional<OrderState> parseOrderState(Incarnation engine, ControlReply reply) {
+        Optional<JsonNode> report = readBody(engine, reply)
                 .filter(root -> root.path("seq").isIntegralNumber()
                         && root.path("busy").isBoolean()
                         && root.path("stage").isTextual());
@@ -128,11 +129,11 @@
         }
         JsonNode root = report.get();
         try {
-            Stage stage = TargetEntryDecoder.stage(root.path("stage").asText());
+            Stage stage = TargetEntryDecoder.parseStage(root.path("stage").asText());
             return Optional.of(new OrderState(
                     stage, root.path("busy").asBoolean(), root.path("seq").asLong()));
         } catch (IOException e) {
-            notUnderstood(e.getMessage());
+            logInvalidAnswer(e.getMessage());
             return Optional.empty();
         }
     }
@@ -146,112 +147,118 @@
                 .put("holder", order.holder())
                 .put("fence", order.fencingToken())
                 .put("expected", order.expectedOrdersCount());
-        HttpHeaders headers = headers(engine).set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        return caller.call(
+        HttpHeaders headers =
+                controlHeaders(engine).set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        return controlCaller
+                .call(
                         Addresses.of(engine.host(), engine.port()),
                         new ControlCall(HttpMethod.POST, "/order", headers, Bytes.ofUtf8(body.toString())),
                         timeoutMillis)
-                .thenApply(EngineClient::outcome);
+                .thenApply(EngineClient::toOrderOutcome);
     }
 
-    private static OrderOutcome outcome(ControlReply reply) {
+    private static OrderOutcome toOrderOutcome(ControlReply reply) {
         if (!(reply instanceof ControlReply.Answered answered)) {
             return OrderOutcome.UNKNOWN;
         }
         return switch (answered.status()) {
             case OK, ACCEPTED -> OrderOutcome.TAKEN;
             case PRECONDITION_FAILED -> OrderOutcome.FENCED;
-            case CONFLICT, BAD_REQUEST, MISDIRECTED -> OrderOutcome.REFUSED;
+            case CONFLICT, BAD_REQUEST, MISDIRECTED_REQUEST -> OrderOutcome.REFUSED;
             default -> OrderOutcome.UNKNOWN;
         };
     }
 
     private CompletionStage<ControlReply> call(
             Incarnation engine, HttpMethod method, String uri, long timeout, HttpHeaders headers) {
-        return caller.call(
+        return controlCaller.call(
                 Addresses.of(engine.host(), engine.port()),
                 new ControlCall(method, uri, headers, Bytes.EMPTY),
                 timeout);
     }
 
     /** On every call: the address may be another target's by now. */
-    private static HttpHeaders headers(Incarnation engine) {
+    private static HttpHeaders controlHeaders(Incarnation engine) {
         return new DefaultHttpHeaders().set(HeaderNames.EXPECTED_INCARNATION, engine.id());
     }
 
     /** Without its number or its epoch an answer cannot be told from an older one, and nothing of it is taken. */
-    private static Optional<CacheChanges> changes(Incarnation engine, ControlReply reply) {
-        return numbered(engine, reply, "events")
+    private static Optional<CacheChanges> parseCacheChanges(Incarnation engine, ControlReply reply) {
+        return readSequenced(engine, reply, "events")
                 .map(root -> new CacheChanges(
                         root.path("epoch").asText(),
                         root.path("nextToken").asLong(),
                         root.path("lost").asBoolean(),
-                        parts(root.path("events"), PART_COLUMN, KEPT_COLUMN)));
+                        parseCacheRows(root.path("events"), EVENT_SEGMENT_COLUMN, EVENT_CACHED_TOKENS_COLUMN)));
     }
 
-    private static Optional<CacheList> list(Incarnation engine, ControlReply reply) {
-        return numbered(engine, reply, "held")
+    private static Optional<CacheList> parseCacheList(Incarnation engine, ControlReply reply) {
+        return readSequenced(engine, reply, "held")
                 .map(root -> new CacheList(
                         root.path("epoch").asText(),
                         root.path("nextToken").asLong(),
-                        parts(root.path("held"), LISTED_PART_COLUMN, LISTED_KEPT_COLUMN)));
+                        parseCacheRows(root.path("held"), LIST_SEGMENT_COLUMN, LIST_CACHED_TOKENS_COLUMN)));
     }
 
-    private static Optional<JsonNode> numbered(Incarnation engine, ControlReply reply, String rows) {
-        Optional<JsonNode> root = read(engine, reply);
-        Optional<JsonNode> whole = root.filter(node -> node.path("nextToken").canConvertToLong()
+    private static Optional<JsonNode> readSequenced(Incarnation engine, ControlReply reply, String rowsField) {
+        Optional<JsonNode> root = readBody(engine, reply);
+        Optional<JsonNode> complete = root.filter(node -> node.path("nextToken").canConvertToLong()
                 && node.path("nextToken").isIntegralNumber()
                 && node.path("epoch").isValueNode()
                 && !node.path("epoch").isNull()
-                && node.path(rows).isArray());
-        if (root.isPresent() && whole.isEmpty()) {
-            notUnderstood("no epoch, number or rows");
+                && node.path(rowsField).isArray());
+        if (root.isPresent() && complete.isEmpty()) {
+            logInvalidAnswer("no epoch, number or rows");
         }
-        return whole;
+        return complete;
     }
 
     /** A row that is half there is passed over: a missing count read as zero would drop a part that is kept. */
-    private static List<CacheChanges.CacheChange> parts(JsonNode rows, int partColumn, int keptColumn) {
-        List<CacheChanges.CacheChange> parts = new ArrayList<>();
-        int passedOver = 0;
+    private static List<CacheChanges.CacheChange> parseCacheRows(
+            JsonNode rows, int segmentColumn, int cachedTokensColumn) {
+        List<CacheChanges.CacheChange> changes = new ArrayList<>();
+        int skippedCount = 0;
         for (JsonNode row : rows) {
-            JsonNode part = row.path(partColumn);
-            JsonNode kept = row.path(keptColumn);
-            if (part.isTextual() && !part.asText().isEmpty() && kept.isInt() && kept.asInt() >= 0) {
-                parts.add(new CacheChanges.CacheChange(part.asText(), kept.asInt()));
+            JsonNode segment = row.path(segmentColumn);
+            JsonNode cachedTokens = row.path(cachedTokensColumn);
+            if (segment.isTextual()
+                    && !segment.asText().isEmpty()
+                    && cachedTokens.isInt()
+                    && cachedTokens.asInt() >= 0) {
+                changes.add(new CacheChanges.CacheChange(segment.asText(), cachedTokens.asInt()));
             } else {
-                passedOver++;
+                skippedCount++;
             }
         }
-        if (passedOver > 0) {
-            notUnderstood(passedOver + " rows");
+        if (skippedCount > 0) {
+            logInvalidAnswer(skippedCount + " rows");
         }
-        return parts;
+        return changes;
     }
 
-    private static void notUnderstood(String error) {
+    private static void logInvalidAnswer(String error) {
         LogEvent.of("engine_answer_not_understood").with("error", error).warn(log);
     }
 
     /** What another start of the engine says is not of this one; an engine that states no birth is taken at its word. */
-    private static Optional<JsonNode> read(Incarnation engine, ControlReply reply) {
+    private static Optional<JsonNode> readBody(Incarnation engine, ControlReply reply) {
         if (!(reply instanceof ControlReply.Answered answered) || answered.status() != OK) {
             return Optional.empty();
         }
         try {
             JsonNode root = JsonTrees.read(answered.body().toByteArray());
-            long bornMillis = TargetEntryDecoder.born(root);
-            if (bornMillis != 0 && engine.startedMillis() != 0 && bornMillis != engine.startedMillis()) {
+            long startedMillis = TargetEntryDecoder.decodeStartMillis(root);
+            if (startedMillis != 0 && engine.startedMillis() != 0 && startedMillis != engine.startedMillis()) {
                 LogEvent.of("engine_of_another_start")
                         .with("target", engine.id())
-                        .with("bornMillis", bornMillis)
+                        .with("bornMillis", startedMillis)
                         .with("knownMillis", engine.startedMillis())
                         .info(log);
                 return Optional.empty();
             }
             return Optional.of(root);
         } catch (IOException e) {
-            notUnderstood(e.getMessage());
+            logInvalidAnswer(e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
+++ b/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
@@ -26,11 +26,11 @@
 public final class PlatformHeaders implements CallHeaders {
 
     private static final long MILLIS_PER_SECOND = 1_000;
-    private static final String PREFILL = "prefill";
-    private static final Pattern DECIMAL = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
+    private static final String PREFILL_STAGE = "prefill";
+    private static final Pattern DECIMAL_NUMBER = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
 
     /** Concern one connection alone. */
-    private static final List<AsciiString> OF_ONE_CONNECTION = List.of(
+    private static final List<AsciiString> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             HttpHeaderNames.CONTENT_LENGTH,
             HttpHeaderNames.EXPECT,
@@ -44,17 +44,17 @@
             HeaderNames.PROXY_CONNECTION);
 
     /** Only this system may set them: from a caller they would reach into the memory and order of other requests. */
-    private static final List<AsciiString> OF_THIS_SYSTEM = List.of(
+    private static final List<AsciiString> RESERVED_HEADERS = List.of(
             HeaderNames.DEADLINE_MILLIS,
             HeaderNames.EXPECTED_INCARNATION,
-            HeaderNames.QUEUE_LEVEL,
+            HeaderNames.QUEUE_PRIORITY,
             HeaderNames.STAGE,
-            HeaderNames.MEMORY_FROM,
-            HeaderNames.MEMORY_FETCH,
-            HeaderNames.MEMORY_BACKUP,
-            HeaderNames.HOLD,
+            HeaderNames.KV_SOURCE,
+            HeaderNames.KV_FETCH,
+            HeaderNames.KV_BACKUP,
+            HeaderNames.KV_HOLD,
             HeaderNames.PIN_MILLIS,
-            HeaderNames.EXPECTED_WEIGHTS,
+            HeaderNames.EXPECTED_WEIGHTS_VERSION,
             HeaderNames.LAST_EVENT_ID);
 
     @Override
@@ -63,24 +63,24 @@
         Optional<String> id = ids.size() == 1 ? Optional.of(ids.get(0)) : Optional.empty();
         return new CallFacts(
                 id.filter(text -> !text.isEmpty()),
-                number(headers.get(HeaderNames.DEADLINE_MILLIS)),
-                prompt(headers),
+                parseNumber(headers.get(HeaderNames.DEADLINE_MILLIS)),
+                parsePrompt(headers),
                 Optional.ofNullable(headers.get(HeaderNames.LAST_EVENT_ID)));
     }
 
     @Override
-    public HttpHeaders forSend(HttpHeaders callers, SendFacts facts) {
-        HttpHeaders headers = withoutConnections(callers);
-        OF_THIS_SYSTEM.forEach(headers::remove);
+    public HttpHeaders forSend(HttpHeaders callerHeaders, SendFacts facts) {
+        HttpHeaders headers = copyWithoutHopByHop(callerHeaders);
+        RESERVED_HEADERS.forEach(headers::remove);
         headers.set(HeaderNames.DEADLINE_MILLIS, Long.toString(facts.remainingMillis()));
         headers.set(HeaderNames.EXPECTED_INCARNATION, facts.target().id());
-        facts.level().ifPresent(level -> headers.set(HeaderNames.QUEUE_LEVEL, Integer.toString(level)));
-        facts.keeper().ifPresent(keeper -> headers.set(HeaderNames.MEMORY_FETCH, keeper.address()));
+        facts.level().ifPresent(priority -> headers.set(HeaderNames.QUEUE_PRIORITY, Integer.toString(priority)));
+        facts.keeper().ifPresent(cacheHolder -> headers.set(HeaderNames.KV_FETCH, cacheHolder.address()));
         facts.lastEventId().ifPresent(id -> headers.set(HeaderNames.LAST_EVENT_ID, id));
         facts.memory()
-                .ifPresent(memory -> headers.set(HeaderNames.MEMORY_FROM, memory.address() + "/" + memory.handle()));
+                .ifPresent(kvCache -> headers.set(HeaderNames.KV_SOURCE, kvCache.address() + "/" + kvCache.handle()));
         if (facts.prefillOnly()) {
-            headers.set(HeaderNames.STAGE, PREFILL);
+            headers.set(HeaderNames.STAGE, PREFILL_STAGE);
         }
         return headers;
     }
@@ -91,82 +91,85 @@
         return new AnswerFacts(
                 answer.status().code(),
                 Optional.ofNullable(headers.get(HeaderNames.REQUEST_ID)),
-                headers.contains(HeaderNames.SIGNATURE),
+                headers.contains(HeaderNames.SERVER_STAMP),
                 headers.contains(HeaderNames.NOT_RUN),
                 headers.contains(HttpHeaderNames.CONTENT_ENCODING),
-                idleMillis(headers.get(HeaderNames.KEEP_ALIVE)),
-                rate(headers.get(HeaderNames.LIMIT)));
+                parseIdleMillis(headers.get(HeaderNames.KEEP_ALIVE)),
+                parseRate(headers.get(HeaderNames.RATE_LIMIT)));
     }
 
     @Override
-    public HttpHeaders forCaller(HttpHeaders targets) {
-        return withoutConnections(targets);
+    public HttpHeaders forCaller(HttpHeaders targetHeaders) {
+        return copyWithoutHopByHop(targetHeaders);
     }
 
-    private static HttpHeaders withoutConnections(HttpHeaders headers) {
+    private static HttpHeaders copyWithoutHopByHop(HttpHeaders headers) {
         HttpHeaders copy = new DefaultHttpHeaders();
-        Set<String> named = namedByConnection(headers);
+        Set<String> options = connectionOptions(headers);
         for (Map.Entry<String, String> header : headers) {
-            if (!named.contains(header.getKey())) {
+            if (!options.contains(header.getKey())) {
                 copy.add(header.getKey(), header.getValue());
             }
         }
-        OF_ONE_CONNECTION.forEach(copy::remove);
+        HOP_BY_HOP_HEADERS.forEach(copy::remove);
         return copy;
     }
 
-    private static Set<String> namedByConnection(HttpHeaders headers) {
-        Set<String> named = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+    private static Set<String> connectionOptions(HttpHeaders headers) {
+        Set<String> options = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String token : value.split(",", -1)) {
-                named.add(token.strip());
+                options.add(token.strip());
             }
         }
         // A caller that lists what this call cannot do without would have it dropped on the way.
-        named.removeIf(name -> HeaderNames.REQUEST_ID.contentEqualsIgnoreCase(name)
+        options.removeIf(name -> HeaderNames.REQUEST_ID.contentEqualsIgnoreCase(name)
                 || HeaderNames.MODEL.contentEqualsIgnoreCase(name)
                 || HeaderNames.TOKEN_COUNTS.contentEqualsIgnoreCase(name)
-                || HeaderNames.PROMPT_PARTS.contentEqualsIgnoreCase(name)
+                || HeaderNames.PROMPT_SEGMENTS.contentEqualsIgnoreCase(name)
                 || HttpHeaderNames.HOST.contentEqualsIgnoreCase(name));
-        return named;
+        return options;
     }
 
-    private static Optional<Prompt> prompt(HttpHeaders headers) {
-        String counts = headers.get(HeaderNames.TOKEN_COUNTS);
-        if (counts == null) {
+    private static Optional<Prompt> parsePrompt(HttpHeaders headers) {
+        String tokenCounts = headers.get(HeaderNames.TOKEN_COUNTS);
+        if (tokenCounts == null) {
             return Optional.empty();
         }
-        String[] both = counts.split(",", -1);
-        int input = (int) number(both[0].strip()).orElse(0);
-        int output = both.length < 2 ? 0 : (int) number(both[1].strip()).orElse(0);
+        String[] fields = tokenCounts.split(",", -1);
+        int promptTokens = (int) parseNumber(fields[0].strip()).orElse(0);
+        int maxOutputTokens =
+                fields.length < 2 ? 0 : (int) parseNumber(fields[1].strip()).orElse(0);
         String model = headers.get(HeaderNames.MODEL, "");
-        return Optional.of(new Prompt(model, input, output, parts(headers.get(HeaderNames.PROMPT_PARTS))));
+        return Optional.of(new Prompt(
+                model, promptTokens, maxOutputTokens, parseSegments(headers.get(HeaderNames.PROMPT_SEGMENTS))));
     }
 
-    private static List<PromptSegment> parts(String text) {
-        List<PromptSegment> parts = new ArrayList<>();
+    private static List<PromptSegment> parseSegments(String text) {
+        List<PromptSegment> segments = new ArrayList<>();
         if (text == null) {
-            return parts;
+            return segments;
         }
         for (String entry : text.split(",", -1)) {
             int colon = entry.indexOf(':');
             if (colon > 0) {
-                int tokens = (int) number(entry.substring(colon + 1).strip()).orElse(0);
-                parts.add(new PromptSegment(entry.substring(0, colon).strip().toLowerCase(Locale.ROOT), tokens));
+                int tokens =
+                        (int) parseNumber(entry.substring(colon + 1).strip()).orElse(0);
+                segments.add(new PromptSegment(entry.substring(0, colon).strip().toLowerCase(Locale.ROOT), tokens));
             }
         }
-        return parts;
+        return segments;
     }
 
     /** The field has the form {@code timeout=N}, in whole seconds. */
-    private static OptionalLong idleMillis(String keepAlive) {
+    private static OptionalLong parseIdleMillis(String keepAlive) {
         if (keepAlive == null) {
             return OptionalLong.empty();
         }
         for (String parameter : keepAlive.split(",", -1)) {
             String[] pair = parameter.strip().split("=", 2);
             if (pair.length == 2 && pair[0].equalsIgnoreCase("timeout")) {
-                OptionalLong seconds = number(pair[1].strip());
+                OptionalLong seconds = parseNumber(pair[1].strip());
                 return seconds.isPresent() ? OptionalLong.of(seconds.getAsLong() * MILLIS_PER_SECOND) : seconds;
             }
         }
@@ -174,15 +177,15 @@
     }
 
     /** Empty for what is no decimal number from zero on: it then says nothing. */
-    private static OptionalDouble rate(String text) {
-        if (text == null || !DECIMAL.matcher(text).matches()) {
+    private static OptionalDouble parseRate(String text) {
+        if (text == null || !DECIMAL_NUMBER.matcher(text).matches()) {
             return OptionalDouble.empty();
         }
         return OptionalDouble.of(Double.parseDouble(text));
     }
 
     /** Empty for what is no number of at most nine digits: no field of the platform needs more. */
-    private static OptionalLong number(String text) {
+    private static OptionalLong parseNumber(String text) {
         if (text == null || text.isEmpty() || text.length() > 9 || !text.chars().allMatch(Character::isDigit)) {
             return OptionalLong.empty();
         }
--- a/src/main/java/org/dogwoodwinch/platform/StoreClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/StoreClient.java
@@ -42,22 +42,22 @@
     private static final int OK = 200;
     private static final int GONE = 410;
     private static final int PRECONDITION_FAILED = 412;
-    private static final int LENGTH_BYTES = 4;
-    private static final int READ_HEAD_BYTES = 16;
+    private static final int RECORD_LENGTH_BYTES = 4;
+    private static final int READ_HEADER_BYTES = 16;
 
-    private final ControlCaller caller;
+    private final ControlCaller controlCaller;
     private final InetSocketAddress address;
     private final long timeoutMillis;
 
     /**
      * Creates a client.
      *
-     * @param caller makes the calls, not null
+     * @param controlCaller makes the calls, not null
      * @param address the store, not null
      * @param timeoutMillis how long an answer may take beside the time that the store is asked to wait
      */
-    public StoreClient(ControlCaller caller, InetSocketAddress address, long timeoutMillis) {
-        this.caller = Objects.requireNonNull(caller, "caller");
+    public StoreClient(ControlCaller controlCaller, InetSocketAddress address, long timeoutMillis) {
+        this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
         this.address = Objects.requireNonNull(address, "address");
         this.timeoutMillis = timeoutMillis;
     }
@@ -72,17 +72,17 @@
         return new KeyedStream() {
             @Override
             public CompletionStage<ReadResult> readSnapshotPage(Optional<String> afterKey) {
-                QueryStringEncoder uri = of("/log-newest", topic);
+                QueryStringEncoder uri = partitionUri("/log-newest", topic);
                 afterKey.ifPresent(key -> uri.addParam("after", key));
-                return get(uri, timeoutMillis).thenApply(StoreClient::page);
+                return sendGet(uri, timeoutMillis).thenApply(StoreClient::parsePage);
             }
 
             @Override
             public CompletionStage<ReadResult> read(long fromOffset, long waitMillis) {
-                QueryStringEncoder uri = of("/log-read", topic);
+                QueryStringEncoder uri = partitionUri("/log-read", topic);
                 uri.addParam("from", Long.toString(fromOffset));
                 uri.addParam("waitMs", Long.toString(waitMillis));
-                return get(uri, waitMillis + timeoutMillis).thenApply(reply -> batch(reply, fromOffset));
+                return sendGet(uri, waitMillis + timeoutMillis).thenApply(reply -> parseBatch(reply, fromOffset));
             }
         };
     }
@@ -97,10 +97,11 @@
         return (key, value) -> {
             ControlCall call = new ControlCall(
                     HttpMethod.POST,
-                    of("/log-append", topic).toString(),
+                    partitionUri("/log-append", topic).toString(),
                     new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "application/octet-stream"),
-                    framed(key, value));
-            return caller.call(address, call, timeoutMillis)
+                    encodeRecord(key, value));
+            return controlCaller
+                    .call(address, call, timeoutMillis)
                     .thenApply(reply -> reply instanceof ControlReply.Answered answered && answered.status() == OK);
         };
     }
@@ -113,20 +114,20 @@
      */
     public ConditionalLog log(String topic) {
         return (content, endOffset) -> {
-            QueryStringEncoder uri = of("/log-append", topic);
+            QueryStringEncoder uri = partitionUri("/log-append", topic);
             uri.addParam("at", Long.toString(endOffset));
-            ByteBuffer record = ByteBuffer.allocate(LENGTH_BYTES + content.length());
+            ByteBuffer record = ByteBuffer.allocate(RECORD_LENGTH_BYTES + content.length());
             record.putInt(content.length()).put(content.toByteArray());
             ControlCall call = new ControlCall(
                     HttpMethod.POST,
                     uri.toString(),
                     new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "application/octet-stream"),
                     Bytes.of(record.array()));
-            return caller.call(address, call, timeoutMillis).thenApply(StoreClient::appended);
+            return controlCaller.call(address, call, timeoutMillis).thenApply(StoreClient::parseAppendReply);
         };
     }
 
-    private static ConditionalLog.Appended appended(ControlReply reply) {
+    private static ConditionalLog.Appended parseAppendReply(ControlReply reply) {
         if (!(reply instanceof ControlReply.Answered answered)) {
             return new ConditionalLog.Unknown(((ControlReply.Lost) reply).reason());
         }
@@ -144,32 +145,32 @@
         }
     }
 
-    private static Bytes framed(String key, Optional<Bytes> value) {
-        byte[] name = key.getBytes(StandardCharsets.UTF_8);
-        byte[] content = value.map(Bytes::toByteArray).orElseGet(() -> new byte[0]);
-        ByteBuffer record = ByteBuffer.allocate(LENGTH_BYTES + 1 + name.length + content.length);
-        record.putInt(1 + name.length + content.length);
-        record.put((byte) name.length).put(name).put(content);
+    private static Bytes encodeRecord(String key, Optional<Bytes> value) {
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        byte[] valueBytes = value.map(Bytes::toByteArray).orElseGet(() -> new byte[0]);
+        ByteBuffer record = ByteBuffer.allocate(RECORD_LENGTH_BYTES + 1 + keyBytes.length + valueBytes.length);
+        record.putInt(1 + keyBytes.length + valueBytes.length);
+        record.put((byte) keyBytes.length).put(keyBytes).put(valueBytes);
         return Bytes.of(record.array());
     }
 
-    private static QueryStringEncoder of(String path, String topic) {
+    private static QueryStringEncoder partitionUri(String path, String topic) {
         QueryStringEncoder uri = new QueryStringEncoder(path);
         uri.addParam("topic", topic);
         uri.addParam("part", "0");
         return uri;
     }
 
-    private CompletionStage<ControlReply> get(QueryStringEncoder uri, long timeout) {
-        return caller.call(
+    private CompletionStage<ControlReply> sendGet(QueryStringEncoder uri, long timeoutMillis) {
+        return controlCaller.call(
                 address,
                 new ControlCall(HttpMethod.GET, uri.toString(), EmptyHttpHeaders.INSTANCE, Bytes.EMPTY),
-                timeout);
+                timeoutMillis);
     }
 
-    private static ReadResult page(ControlReply reply) {
+    private static ReadResult parsePage(ControlReply reply) {
         if (!(reply instanceof ControlReply.Answered answered) || answered.status() != OK) {
-            return unavailable(reply);
+            return toUnavailable(reply);
         }
         try {
             JsonNode root = JsonTrees.read(answered.body().toByteArray());
@@ -191,32 +192,32 @@
         }
     }
 
-    private static ReadResult batch(ControlReply reply, long fromOffset) {
-        if (reply instanceof ControlReply.Answered gone && gone.status() == GONE) {
+    private static ReadResult parseBatch(ControlReply reply, long fromOffset) {
+        if (reply instanceof ControlReply.Answered expired && expired.status() == GONE) {
             return new ReadResult.Expired();
         }
         if (!(reply instanceof ControlReply.Answered answered) || answered.status() != OK) {
-            return unavailable(reply);
+            return toUnavailable(reply);
         }
-        return records(ByteBuffer.wrap(answered.body().toByteArray()), fromOffset);
+        return parseRecords(ByteBuffer.wrap(answered.body().toByteArray()), fromOffset);
     }
 
-    private static ReadResult records(ByteBuffer raw, long fromOffset) {
-        if (raw.remaining() < READ_HEAD_BYTES) {
+    private static ReadResult parseRecords(ByteBuffer buffer, long fromOffset) {
+        if (buffer.remaining() < READ_HEADER_BYTES) {
             return new ReadResult.Unavailable("answer too short");
         }
         // The end of the partition and the first offset that is kept; where reading goes on follows from the records.
-        raw.getLong();
-        raw.getLong();
+        buffer.getLong();
+        buffer.getLong();
         List<KeyedRecord> records = new ArrayList<>();
         long offset = fromOffset;
-        while (raw.remaining() >= LENGTH_BYTES) {
-            int length = raw.getInt();
-            if (length < 1 || length > raw.remaining()) {
+        while (buffer.remaining() >= RECORD_LENGTH_BYTES) {
+            int length = buffer.getInt();
+            if (length < 1 || length > buffer.remaining()) {
                 return new ReadResult.Unavailable("record of " + length + " bytes");
             }
             byte[] content = new byte[length];
-            raw.get(content);
+            buffer.get(content);
             records.add(keyed(content, offset));
             offset++;
         }
@@ -235,7 +236,7 @@
         return new KeyedRecord(key, offset, Optional.of(Bytes.of(value)));
     }
 
-    private static ReadResult unavailable(ControlReply reply) {
+    private static ReadResult toUnavailable(ControlReply reply) {
         if (reply instanceof ControlReply.Answered answered) {
             return new ReadResult.Unavailable("status " + answered.status());
         }
--- a/src/main/java/org/dogwoodwinch/platform/TargetEntryDecoder.java
+++ b/src/main/java/org/dogwoodwinch/platform/TargetEntryDecoder.java
@@ -18,7 +18,7 @@
 public final class TargetEntryDecoder {
 
     /** Over any entry; a larger one is no entry. */
-    private static final int MAX_BYTES = 65_536;
+    private static final int MAX_ENTRY_BYTES = 65_536;
 
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
@@ -36,49 +36,49 @@
      * @throws IOException if it is none, with the field that is wrong
      */
     public static Incarnation decode(String id, Bytes body) throws IOException {
-        if (body.length() > MAX_BYTES) {
+        if (body.length() > MAX_ENTRY_BYTES) {
             throw new IOException("an entry of " + body.length() + " bytes");
         }
         JsonNode entry = JsonTrees.read(body.toByteArray());
         if (entry == null || !entry.isObject()) {
             throw new IOException("not an object");
         }
-        String address = address(entry);
+        String address = decodeAddress(entry);
         int colon = address.lastIndexOf(':');
         return new Incarnation(
                 id,
-                text(entry, "service"),
+                requireText(entry, "service"),
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
                 // The wire's zone is a data centre.
-                text(entry, "zone"),
-                slots(entry),
-                leaving(entry),
-                stageOf(entry),
+                requireText(entry, "zone"),
+                decodeSlots(entry),
+                decodeDraining(entry),
+                decodeOptionalStage(entry),
                 // The wire's own version field is that of the software; weights have theirs with each model.
                 entry.path("models").path(0).path("version").asLong(),
-                born(entry));
+                decodeStartMillis(entry));
     }
 
     /**
      * Decodes when a target started, from anything that it says of itself.
      *
-     * @param said the entry or answer, not null
+     * @param document the entry or answer, not null
      * @return milliseconds of the platform's time; zero where it does not state it
      * @throws IOException if what it states is no time
      */
-    static long born(JsonNode said) throws IOException {
-        JsonNode born = said.path("born");
-        if (born.isMissingNode()) {
+    static long decodeStartMillis(JsonNode document) throws IOException {
+        JsonNode value = document.path("born");
+        if (value.isMissingNode()) {
             return 0;
         }
-        if (!born.isIntegralNumber() || !born.canConvertToLong() || born.asLong() <= 0) {
-            throw new IOException("born is no time: " + born);
+        if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() <= 0) {
+            throw new IOException("born is no time: " + value);
         }
-        return born.asLong();
+        return value.asLong();
     }
 
-    private static String text(JsonNode entry, String field) throws IOException {
+    private static String requireText(JsonNode entry, String field) throws IOException {
         JsonNode value = entry.path(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
             throw new IOException(field + " is no text: " + value);
@@ -86,8 +86,8 @@
         return value.asText();
     }
 
-    private static String address(JsonNode entry) throws IOException {
-        String address = text(entry, "address");
+    private static String decodeAddress(JsonNode entry) throws IOException {
+        String address = requireText(entry, "address");
         if (!ADDRESS.matcher(address).matches()) {
             throw new IOException("address is none: " + address);
         }
@@ -104,7 +104,7 @@
         return address;
     }
 
-    private static int slots(JsonNode entry) throws IOException {
+    private static int decodeSlots(JsonNode entry) throws IOException {
         JsonNode slots = entry.path("slots");
         if (!slots.isInt() || slots.asInt() < 1 || slots.asInt() > MAX_SLOTS) {
             throw new IOException("slots is out of range: " + slots);
@@ -112,8 +112,8 @@
         return slots.asInt();
     }
 
-    private static boolean leaving(JsonNode entry) throws IOException {
-        String state = text(entry, "state");
+    private static boolean decodeDraining(JsonNode entry) throws IOException {
+        String state = requireText(entry, "state");
         return switch (state) {
             case "ready" -> false;
             case "draining" -> true;
@@ -122,26 +122,26 @@
     }
 
     /** Plain services state none. */
-    private static Stage stageOf(JsonNode entry) throws IOException {
-        JsonNode word = entry.path("stage");
-        boolean none = word.isMissingNode()
-                || word.isNull()
-                || (word.isTextual() && word.asText().isEmpty());
-        return none ? Stage.WHOLE : stage(text(entry, "stage"));
+    private static Stage decodeOptionalStage(JsonNode entry) throws IOException {
+        JsonNode value = entry.path("stage");
+        boolean absent = value.isMissingNode()
+                || value.isNull()
+                || (value.isTextual() && value.asText().isEmpty());
+        return absent ? Stage.WHOLE : parseStage(requireText(entry, "stage"));
     }
 
     /**
      * Decodes a stage.
      *
-     * @param word the wire's word, not null
+     * @param text the wire's word, not null
      * @return the stage
      * @throws IOException if the word is none
      */
-    static Stage stage(String word) throws IOException {
-        return switch (word) {
+    static Stage parseStage(String text) throws IOException {
+        return switch (text) {
             case "prefill" -> Stage.PREFILL;
             case "decode" -> Stage.DECODE;
-            default -> throw new IOException("stage is unknown: " + word);
+            default -> throw new IOException("stage is unknown: " + text);
         };
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/WholeAnswerHandler.java
+++ b/src/main/java/org/dogwoodwinch/target/http/BufferedAnswerHandler.java
@@ -15,7 +15,7 @@
 import org.dogwoodwinch.target.TargetReply;
 
 /** Collects one bounded answer. */
-final class WholeAnswerHandler implements AsyncHandler<Void> {
+final class BufferedAnswerHandler implements AsyncHandler<Void> {
 
     private final SendProgress progress = new SendProgress();
     private final CompletableFuture<TargetReply<ServiceAnswer>> reply = new CompletableFuture<>();
@@ -29,7 +29,7 @@
      *
      * @param maxBodyBytes the longest body taken
      */
-    WholeAnswerHandler(int maxBodyBytes) {
+    BufferedAnswerHandler(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
@@ -44,7 +44,7 @@
 
     @Override
     public void onRequestSend(NettyRequest _request) {
-        progress.beforeWrite();
+        progress.markWriteStarted();
     }
 
     @Override
@@ -72,7 +72,7 @@
 
     @Override
     public void onThrowable(Throwable error) {
-        fail(progress.failureOf(error));
+        fail(progress.toFailure(error));
     }
 
     @Override
--- a/src/main/java/org/dogwoodwinch/target/http/EngineStreamHandler.java
+++ b/src/main/java/org/dogwoodwinch/target/http/EngineStreamHandler.java
@@ -25,19 +25,19 @@
  */
 final class EngineStreamHandler implements AsyncHandler<Void> {
 
-    private static final ObjectReader LINES = TargetJson.reader(StreamLine.class);
+    private static final ObjectReader LINE_READER = TargetJson.reader(StreamLine.class);
     private static final int OK = 200;
     private static final int MAX_LINE_BYTES = 1 << 20;
-    private static final int MAX_REFUSAL_BYTES = 1 << 16;
+    private static final int MAX_ERROR_BODY_BYTES = 1 << 16;
 
     private final String attemptId;
     private final AnswerListener listener;
     private final SendProgress progress = new SendProgress();
     private final AtomicBoolean ended = new AtomicBoolean();
     private final LineSplitter splitter = new LineSplitter(MAX_LINE_BYTES);
-    private final ByteArrayOutputStream refusal = new ByteArrayOutputStream();
-    private final PausableReading reading = new PausableReading();
-    private volatile Runnable whenEnded = () -> {};
+    private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
+    private final ReadController readController = new ReadController();
+    private volatile Runnable onEnd = () -> {};
     private int status;
     private String contentType = "";
 
@@ -57,8 +57,8 @@
      *
      * @return the switch
      */
-    PausableReading reading() {
-        return reading;
+    ReadController readController() {
+        return readController;
     }
 
     /**
@@ -67,18 +67,18 @@
      * @return true where the engine may know of the attempt and has not ended it, so that it must be told
      */
     boolean cancel() {
-        return end() && progress.maybeWritten();
+        return markEnded() && progress.mayHaveWritten();
     }
 
     /**
      * Sets what is done when the listener has heard its last.
      *
-     * @param newWhenEnded runs at least once after the end, at once where that has come, not null
+     * @param callback runs at least once after the end, at once where that has come, not null
      */
-    void whenEnded(Runnable newWhenEnded) {
-        whenEnded = newWhenEnded;
+    void onEnd(Runnable callback) {
+        onEnd = callback;
         if (ended.get()) {
-            newWhenEnded.run();
+            callback.run();
         }
     }
 
@@ -103,27 +103,27 @@
 
     @Override
     public void onTcpConnectSuccess(InetSocketAddress _remoteAddress, Channel connection) {
-        reading.attach(connection);
+        readController.attach(connection);
     }
 
     @Override
     public void onConnectionPooled(Channel connection) {
-        reading.attach(connection);
+        readController.attach(connection);
     }
 
     @Override
     public void onConnectionOffer(Channel _connection) {
-        reading.detach();
+        readController.detach();
     }
 
     @Override
     public void onRequestSend(NettyRequest _request) {
-        progress.beforeWrite();
+        progress.markWriteStarted();
     }
 
     @Override
     public State onStatusReceived(HttpResponseStatus responseStatus) {
-        reading.touch();
+        readController.recordData();
         status = responseStatus.getStatusCode();
         return State.CONTINUE;
     }
@@ -136,13 +136,13 @@
 
     @Override
     public State onBodyPartReceived(HttpResponseBodyPart part) {
-        reading.touch();
+        readController.recordData();
         byte[] bytes = part.getBodyPartBytes();
         if (status != OK) {
-            refusal.write(bytes, 0, Math.min(bytes.length, MAX_REFUSAL_BYTES - refusal.size()));
+            errorBody.write(bytes, 0, Math.min(bytes.length, MAX_ERROR_BODY_BYTES - errorBody.size()));
             return State.CONTINUE;
         }
-        if (splitter.feed(bytes, this::takeLine)) {
+        if (splitter.feed(bytes, this::handleLine)) {
             return State.CONTINUE;
         }
         fail(new TargetFailure.Broken("a line is longer than " + MAX_LINE_BYTES + " bytes"));
@@ -151,24 +151,24 @@
 
     @Override
     public void onThrowable(Throwable error) {
-        fail(progress.failureOf(error));
+        fail(progress.toFailure(error));
     }
 
     @Override
     public Void onCompleted() {
-        reading.detach();
+        readController.detach();
         if (status == OK) {
             fail(new TargetFailure.Broken("the answer was cut"));
             return null;
         }
-        Optional<TargetFailure> refused = RefusalBody.parse(contentType, refusal.toByteArray());
-        fail(refused.orElseGet(() -> new TargetFailure.Failed("status " + status)));
+        Optional<TargetFailure> refusal = RefusalBody.parse(contentType, errorBody.toByteArray());
+        fail(refusal.orElseGet(() -> new TargetFailure.Failed("status " + status)));
         return null;
     }
 
     /** Returns false where the stream is broken. */
-    private boolean takeLine(byte[] json) {
-        Optional<StreamLine> parsed = TargetJson.read(json, LINES);
+    private boolean handleLine(byte[] json) {
+        Optional<StreamLine> parsed = TargetJson.read(json, LINE_READER);
         if (parsed.isEmpty()) {
             return !fail(new TargetFailure.Broken("malformed line"));
         }
@@ -176,10 +176,10 @@
         if (!attemptId.equals(line.attemptId())) {
             return !fail(new TargetFailure.Broken("a line of attempt " + line.attemptId()));
         }
-        return takeOwnLine(line);
+        return handleMatchingLine(line);
     }
 
-    private boolean takeOwnLine(StreamLine line) {
+    private boolean handleMatchingLine(StreamLine line) {
         if (line.isChunk()) {
             if (!ended.get()) {
                 listener.onChunk(new AnswerChunk(attemptId, line.sequence(), line.tokens(), line.text()));
@@ -187,7 +187,7 @@
             return true;
         }
         if (line.isComplete()) {
-            if (end()) {
+            if (markEnded()) {
                 listener.onComplete(line.usage(), line.finishReason());
             }
             return true;
@@ -200,18 +200,18 @@
     }
 
     private boolean fail(TargetFailure failure) {
-        if (!end()) {
+        if (!markEnded()) {
             return false;
         }
         listener.onFailure(failure);
         return true;
     }
 
-    private boolean end() {
+    private boolean markEnded() {
         if (!ended.compareAndSet(false, true)) {
             return false;
         }
-        whenEnded.run();
+        onEnd.run();
         return true;
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/HttpCaller.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpCaller.java
@@ -49,7 +49,7 @@
      */
     public CompletionStage<TargetReply<ServiceAnswer>> call(
             String method, String url, String contentType, Bytes body, long timeoutMillis) {
-        WholeAnswerHandler handler = new WholeAnswerHandler(maxAnswerBytes);
+        BufferedAnswerHandler handler = new BufferedAnswerHandler(maxAnswerBytes);
         try {
             ListenableFuture<Void> exchange =
                     client.executeRequest(request(method, url, contentType, body, timeoutMillis), handler);
--- a/src/main/java/org/dogwoodwinch/target/http/HttpClients.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpClients.java
@@ -20,16 +20,16 @@
 public final class HttpClients {
 
     /** Below the usual idle time of servers, so that the pool rarely hands out a connection its peer just closed. */
-    private static final Duration POOLED_IDLE = Duration.ofSeconds(5);
+    private static final Duration POOLED_IDLE_TIMEOUT = Duration.ofSeconds(5);
 
     /** One read takes at most this: a paused caller's answer waits in the kernel and the engine, not on our heap. */
     private static final int MAX_READ_BYTES = 8_192;
 
     private static final int MIN_READ_BYTES = 512;
-    private static final int FIRST_READ_BYTES = 2_048;
+    private static final int INITIAL_READ_BYTES = 2_048;
 
-    private final AsyncHttpClient pooled;
-    private final AsyncHttpClient fresh;
+    private final AsyncHttpClient pooledClient;
+    private final AsyncHttpClient freshClient;
 
     /**
      * Creates the clients.
@@ -38,8 +38,8 @@
      * @param connectTimeoutMillis how long a connection may take to be made, in milliseconds
      */
     public HttpClients(EventLoopGroup group, int connectTimeoutMillis) {
-        pooled = new DefaultAsyncHttpClient(config(group, connectTimeoutMillis, true));
-        fresh = new DefaultAsyncHttpClient(config(group, connectTimeoutMillis, false));
+        pooledClient = new DefaultAsyncHttpClient(config(group, connectTimeoutMillis, true));
+        freshClient = new DefaultAsyncHttpClient(config(group, connectTimeoutMillis, false));
     }
 
     /**
@@ -49,7 +49,7 @@
      * @return the caller
      */
     public HttpCaller pooledCaller(int maxAnswerBytes) {
-        return new HttpCaller(pooled, maxAnswerBytes);
+        return new HttpCaller(pooledClient, maxAnswerBytes);
     }
 
     /**
@@ -59,7 +59,7 @@
      * @return the caller
      */
     public HttpCaller freshCaller(int maxAnswerBytes) {
-        return new HttpCaller(fresh, maxAnswerBytes);
+        return new HttpCaller(freshClient, maxAnswerBytes);
     }
 
     /**
@@ -71,7 +71,7 @@
      * @return the client
      */
     HttpEngineClient engine(Target target, TimeSource time, TargetTimeouts timeouts) {
-        return new HttpEngineClient(pooled, target, time, timeouts);
+        return new HttpEngineClient(pooledClient, target, time, timeouts);
     }
 
     /**
@@ -81,8 +81,8 @@
      */
     public void close() {
         try {
-            pooled.close();
-            fresh.close();
+            pooledClient.close();
+            freshClient.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -96,7 +96,7 @@
                 .setMaxRequestRetry(0)
                 .setFollowRedirect(false)
                 .setKeepAlive(keepAlive)
-                .setPooledConnectionIdleTimeout(POOLED_IDLE)
+                .setPooledConnectionIdleTimeout(POOLED_IDLE_TIMEOUT)
                 .setReadTimeout(Duration.ofMillis(-1))
                 .setEnableAutomaticDecompression(false)
                 .setUseProxyProperties(false)
@@ -106,7 +106,7 @@
                 .setShutdownTimeout(Duration.ofSeconds(1))
                 .addChannelOption(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, MAX_READ_BYTES)
+                        new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES)
                                 .maxMessagesPerRead(1))
                 .build();
     }
--- a/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
@@ -32,14 +32,14 @@
  */
 public final class HttpEngineClient implements EngineClient {
 
-    private static final String ATTEMPTS = "/v1/attempts";
+    private static final String ATTEMPTS_PATH = "/v1/attempts";
 
     /** The request's own deadline timer goes first; the exchange's is only there to free what is left over. */
     private static final long DEADLINE_SLACK_MILLIS = 2_000;
 
     private final AsyncHttpClient client;
     private final HttpCaller caller;
-    private final String base;
+    private final String baseUrl;
     private final TimeSource time;
     private final TargetTimeouts timeouts;
 
@@ -54,7 +54,7 @@
     public HttpEngineClient(AsyncHttpClient client, Target target, TimeSource time, TargetTimeouts timeouts) {
         this.client = Objects.requireNonNull(client, "client");
         this.caller = new HttpCaller(client, timeouts.maxAnswerBytes());
-        this.base = "http://" + target.address();
+        this.baseUrl = "http://" + target.address();
         this.time = Objects.requireNonNull(time, "time");
         this.timeouts = timeouts;
     }
@@ -62,7 +62,7 @@
     @Override
     public AnswerStream generate(GenerateCall call, AnswerListener listener) {
         Request request = new RequestBuilder("POST", true)
-                .setUrl(base + ATTEMPTS)
+                .setUrl(baseUrl + ATTEMPTS_PATH)
                 .setHeader("Content-Type", HttpCaller.JSON)
                 .setBody(TargetJson.write(GenerateBody.of(call)))
                 .setRequestTimeout(Duration.ofMillis(call.remainingMillis() + DEADLINE_SLACK_MILLIS))
@@ -81,12 +81,12 @@
 
     @Override
     public CompletionStage<TargetReply<LoadReport>> loadReport() {
-        return caller.callJson("GET", base + "/v1/load", Bytes.EMPTY, timeouts.callMillis(), LoadReport.class);
+        return caller.callJson("GET", baseUrl + "/v1/load", Bytes.EMPTY, timeouts.callMillis(), LoadReport.class);
     }
 
     @Override
     public CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
-        String url = base + "/v1/cache-events?after=" + afterSequence;
+        String url = baseUrl + "/v1/cache-events?after=" + afterSequence;
         return caller.call("GET", url, "", Bytes.EMPTY, timeouts.callMillis())
                 .thenApply(reply -> HttpCaller.parse(reply, body -> TargetJson.readList(body, CacheEvent.class)));
     }
@@ -100,13 +100,13 @@
     @Override
     public CompletionStage<OrderResult> order(EngineOrder order) {
         Bytes body = Bytes.of(TargetJson.write(order));
-        return caller.callJson("POST", base + "/v1/orders", body, timeouts.orderMillis(), OrderReply.class)
-                .thenApply(reply -> reply.match(OrderReply::toResult, HttpEngineClient::failedOrder));
+        return caller.callJson("POST", baseUrl + "/v1/orders", body, timeouts.orderMillis(), OrderReply.class)
+                .thenApply(reply -> reply.match(OrderReply::toResult, HttpEngineClient::toOrderResult));
     }
 
     @Override
     public CompletionStage<TargetReply<EngineState>> state() {
-        return caller.callJson("GET", base + "/v1/state", Bytes.EMPTY, timeouts.callMillis(), EngineState.class);
+        return caller.callJson("GET", baseUrl + "/v1/state", Bytes.EMPTY, timeouts.callMillis(), EngineState.class);
     }
 
     private AnswerStream stream(Request request, String attemptId, AnswerListener listener) {
@@ -117,11 +117,11 @@
         } catch (RuntimeException e) {
             // A closed client or a malformed URL: without this, the request would wait for an answer that never comes.
             handler.onThrowable(e);
-            return new EndedStream();
+            return new NoOpStream();
         }
         HttpEngineStream stream = new HttpEngineStream(
                 handler, exchange, () -> cancelOnEngine(attemptId), time, timeouts.silenceMillis());
-        stream.watchSilence();
+        stream.scheduleSilenceCheck();
         return stream;
     }
 
@@ -130,17 +130,17 @@
     }
 
     private String attemptUrl(String attemptId) {
-        return base + ATTEMPTS + "/" + attemptId;
+        return baseUrl + ATTEMPTS_PATH + "/" + attemptId;
     }
 
-    private static OrderResult failedOrder(TargetFailure failure) {
+    private static OrderResult toOrderResult(TargetFailure failure) {
         return failure.provesNotRun()
                 ? new OrderResult.Refused(failure.detail())
                 : new OrderResult.Unknown(failure.detail());
     }
 
     /** The handle on a stream that never started. */
-    private static final class EndedStream implements AnswerStream {
+    private static final class NoOpStream implements AnswerStream {
 
         @Override
         public void pauseReading() {}
--- a/src/main/java/org/dogwoodwinch/target/http/HttpEngineStream.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpEngineStream.java
@@ -39,28 +39,28 @@
     }
 
     /** Watches for silence: a stopped engine process keeps its connection open, and no error would ever come. */
-    void watchSilence() {
+    void scheduleSilenceCheck() {
         silenceTimer = time.schedule(silenceMillis, this::checkSilence);
         // A timer that outlives its stream holds the whole request on the heap for as long as it has left to run.
-        handler.whenEnded(this::stopWatching);
+        handler.onEnd(this::cancelSilenceTimer);
     }
 
     @Override
     public void pauseReading() {
-        handler.reading().pause();
+        handler.readController().pause();
     }
 
     @Override
     public void resumeReading() {
-        handler.reading().resume();
+        handler.readController().resume();
     }
 
     @Override
     public void cancel() {
         silenceTimer.cancel();
-        boolean tellEngine = handler.cancel();
+        boolean mustCancelOnEngine = handler.cancel();
         exchange.cancel(true);
-        if (tellEngine) {
+        if (mustCancelOnEngine) {
             cancelOnEngine.run();
         }
     }
@@ -73,7 +73,7 @@
         exchange.cancel(true);
     }
 
-    private void stopWatching() {
+    private void cancelSilenceTimer() {
         silenceTimer.cancel();
     }
 
@@ -81,8 +81,8 @@
         if (handler.hasEnded()) {
             return;
         }
-        if (!handler.reading().wasSilent()) {
-            watchSilence();
+        if (!handler.readController().wasSilent()) {
+            scheduleSilenceCheck();
             return;
         }
         if (handler.timeOut("nothing came for " + silenceMillis + " ms")) {
--- a/src/main/java/org/dogwoodwinch/target/http/HttpServiceClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpServiceClient.java
@@ -20,26 +20,27 @@
 
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD", "OPTIONS");
 
-    private final HttpCaller pooled;
-    private final HttpCaller fresh;
-    private final String base;
+    private final HttpCaller pooledCaller;
+    private final HttpCaller freshCaller;
+    private final String baseUrl;
 
     /**
      * Creates a client.
      *
-     * @param pooled sends calls that are safe to repeat, not null
-     * @param fresh sends the others, each over a connection of its own, not null
+     * @param pooledCaller sends calls that are safe to repeat, not null
+     * @param freshCaller sends the others, each over a connection of its own, not null
      * @param target the target, not null
      */
-    public HttpServiceClient(HttpCaller pooled, HttpCaller fresh, Target target) {
-        this.pooled = Objects.requireNonNull(pooled, "pooled");
-        this.fresh = Objects.requireNonNull(fresh, "fresh");
-        this.base = "http://" + target.address();
+    public HttpServiceClient(HttpCaller pooledCaller, HttpCaller freshCaller, Target target) {
+        this.pooledCaller = Objects.requireNonNull(pooledCaller, "pooled");
+        this.freshCaller = Objects.requireNonNull(freshCaller, "fresh");
+        this.baseUrl = "http://" + target.address();
     }
 
     @Override
     public CompletionStage<TargetReply<ServiceAnswer>> call(ServiceCall call) {
-        HttpCaller caller = SAFE_METHODS.contains(call.method()) ? pooled : fresh;
-        return caller.call(call.method(), base + call.path(), call.contentType(), call.body(), call.remainingMillis());
+        HttpCaller caller = SAFE_METHODS.contains(call.method()) ? pooledCaller : freshCaller;
+        return caller.call(
+                call.method(), baseUrl + call.path(), call.contentType(), call.body(), call.remainingMillis());
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/LineSplitter.java
+++ b/src/main/java/org/dogwoodwinch/target/http/LineSplitter.java
@@ -6,7 +6,7 @@
 /** Cuts a byte stream into lines; not thread-safe. */
 final class LineSplitter {
 
-    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream currentLine = new ByteArrayOutputStream();
     private final int maxLineBytes;
 
     /**
@@ -23,30 +23,30 @@
      * Takes bytes and hands out each line that they complete, empty ones left out.
      *
      * @param bytes the bytes, not null
-     * @param line takes a line without its end; returns false to stop
+     * @param consumer takes a line without its end; returns false to stop
      * @return false where a line is too long or the taker stopped
      */
-    boolean feed(byte[] bytes, Predicate<byte[]> line) {
+    boolean feed(byte[] bytes, Predicate<byte[]> consumer) {
         int start = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
-                pending.write(bytes, start, i - start);
+                currentLine.write(bytes, start, i - start);
                 start = i + 1;
-                if (!handOut(line)) {
+                if (!emitLine(consumer)) {
                     return false;
                 }
             }
         }
-        pending.write(bytes, start, bytes.length - start);
-        return pending.size() <= maxLineBytes;
+        currentLine.write(bytes, start, bytes.length - start);
+        return currentLine.size() <= maxLineBytes;
     }
 
-    private boolean handOut(Predicate<byte[]> line) {
-        if (pending.size() == 0) {
+    private boolean emitLine(Predicate<byte[]> consumer) {
+        if (currentLine.size() == 0) {
             return true;
         }
-        byte[] content = pending.toByteArray();
-        pending.reset();
-        return content.length <= maxLineBytes && line.test(content);
+        byte[] line = currentLine.toByteArray();
+        currentLine.reset();
+        return line.length <= maxLineBytes && consumer.test(line);
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/PausableReading.java
+++ b/src/main/java/org/dogwoodwinch/target/http/ReadController.java
@@ -8,11 +8,11 @@
  * <p>The connection may come after the pause (it is still being made) and goes back to the pool after the end; one that
  * went back with reading stopped would hang whoever gets it next, so {@link #detach()} always turns reading on again.
  */
-final class PausableReading {
+final class ReadController {
 
     private Channel channel;
     private boolean paused;
-    private boolean touched;
+    private boolean dataReceived;
 
     /**
      * Takes the connection.
@@ -43,15 +43,15 @@
     /** Reads on. */
     synchronized void resume() {
         paused = false;
-        touched = true;
+        dataReceived = true;
         if (channel != null) {
             channel.config().setAutoRead(true);
         }
     }
 
     /** Notes that something came. */
-    synchronized void touch() {
-        touched = true;
+    synchronized void recordData() {
+        dataReceived = true;
     }
 
     /**
@@ -60,8 +60,8 @@
      * @return true where the target was silent
      */
     synchronized boolean wasSilent() {
-        boolean silent = !touched && !paused;
-        touched = false;
+        boolean silent = !dataReceived && !paused;
+        dataReceived = false;
         return silent;
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/SendProgress.java
+++ b/src/main/java/org/dogwoodwinch/target/http/SendProgress.java
@@ -15,11 +15,11 @@
  */
 final class SendProgress {
 
-    private volatile boolean maybeWritten;
+    private volatile boolean mayHaveWritten;
 
     /** Notes that the next step writes to the socket. */
-    void beforeWrite() {
-        maybeWritten = true;
+    void markWriteStarted() {
+        mayHaveWritten = true;
     }
 
     /**
@@ -27,8 +27,8 @@
      *
      * @return true from just before the first write on
      */
-    boolean maybeWritten() {
-        return maybeWritten;
+    boolean mayHaveWritten() {
+        return mayHaveWritten;
     }
 
     /**
@@ -37,10 +37,10 @@
      * @param error the error, not null
      * @return the failure
      */
-    TargetFailure failureOf(Throwable error) {
+    TargetFailure toFailure(Throwable error) {
         String detail =
                 Objects.requireNonNullElse(error.getMessage(), error.getClass().getSimpleName());
-        if (!maybeWritten) {
+        if (!mayHaveWritten) {
             return new TargetFailure.NotSent(detail);
         }
         if (error instanceof TimeoutException) {
--- a/src/test/java/org/dogwoodwinch/platform/ConfigurationDecoderTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/ConfigurationDecoderTest.java
@@ -31,7 +31,7 @@
             """;
 
     @Test
-    void readsRoutesServicesAndLimits() throws IOException {
+    void decodesRoutesServicesAndLimits() throws IOException {
         RouteTable table = ConfigurationDecoder.decode(Bytes.ofUtf8(CONFIGURATION));
 
         ServiceRoute stream = table.findRoute("desk.example", "/a/x").orElseThrow();
@@ -50,21 +50,21 @@
     }
 
     @Test
-    void whatIsNoConfigurationIsToldAsSuch() {
+    void rejectsInvalidConfiguration() {
         for (String text : new String[] {
             "",
             "{",
             "{\"routes\":[{\"kind\":\"odd\",\"pathPrefix\":\"/\",\"service\":\"s\"}]}",
             "{\"routes\":[{\"kind\":\"safe\",\"pathPrefix\":\"x\",\"service\":\"s\"}]}"
         }) {
-            IOException told =
+            IOException error =
                     assertThrows(IOException.class, () -> ConfigurationDecoder.decode(Bytes.ofUtf8(text)), text);
-            assertTrue(told.getMessage() != null);
+            assertTrue(error.getMessage() != null);
         }
     }
 
     @Test
-    void readsATargetsEntry() throws IOException {
+    void decodesTargetEntry() throws IOException {
         Incarnation target = TargetEntryDecoder.decode(
                 "i-1",
                 Bytes.ofUtf8("{\"service\":\"s\",\"address\":\"10.1.0.9:8080\",\"zone\":\"z\",\"version\":\"v1\","
--- a/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
@@ -30,7 +30,7 @@
  */
 class MutatedEntriesTest {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int ROUNDS = 20_000;
     private static final String ENTRY =
             "{\"service\":\"s\",\"address\":\"10.1.64.9:8080\",\"zone\":\"a\",\"version\":\"v1\","
@@ -46,19 +46,19 @@
     }
 
     @Test
-    void aSoundEntryIsReadWhole() throws IOException {
-        Incarnation engine = decode(ENTRY);
-        assertEquals("s", engine.service());
-        assertEquals("10.1.64.9:8080", engine.address());
-        assertEquals(24, engine.slotsCount());
-        assertEquals(Stage.DECODE, engine.stage());
-        assertFalse(engine.draining());
+    void decodesValidEntry() throws IOException {
+        Incarnation target = decode(ENTRY);
+        assertEquals("s", target.service());
+        assertEquals("10.1.64.9:8080", target.address());
+        assertEquals(24, target.slotsCount());
+        assertEquals(Stage.DECODE, target.stage());
+        assertFalse(target.draining());
         assertEquals(
                 Stage.WHOLE, decode(ENTRY.replace("\"stage\":\"decode\",", "")).stage());
         assertTrue(decode(ENTRY.replace("ready", "draining")).draining());
     }
 
-    static Stream<String> foreign() {
+    static Stream<String> invalidEntries() {
         return Stream.of(
                 "",
                 "null",
@@ -85,45 +85,45 @@
 
     @ParameterizedTest
     @MethodSource("foreign")
-    void whatIsNotUnderstoodNamesNoTarget(String entry) {
+    void rejectsInvalidEntry(String entry) {
         assertThrows(IOException.class, () -> decode(entry));
     }
 
     /** Bytes and fields changed at random: each is refused with a reason, or read with everything in range. */
     @Test
-    void mutatedEntriesAreReadWholeOrNotAtAll() throws IOException {
+    void mutatedEntryIsRejectedOrDecodedWithinRange() throws IOException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(18);
-        int refused = 0;
+        int rejectedCount = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            byte[] mutated = random.nextBoolean() ? mutatedBytes(ENTRY, random) : mutatedFields(random);
+            byte[] mutated = random.nextBoolean() ? mutateBytes(ENTRY, random) : mutateField(random);
             try {
-                Incarnation engine = TargetEntryDecoder.decode("i-1", Bytes.of(mutated));
-                assertTrue(engine.port() > 0 && engine.slotsCount() > 0, engine::toString);
-                assertFalse(engine.service().isEmpty() || engine.dataCentre().isEmpty(), engine::toString);
+                Incarnation target = TargetEntryDecoder.decode("i-1", Bytes.of(mutated));
+                assertTrue(target.port() > 0 && target.slotsCount() > 0, target::toString);
+                assertFalse(target.service().isEmpty() || target.dataCentre().isEmpty(), target::toString);
             } catch (IOException e) {
-                refused++;
+                rejectedCount++;
             }
         }
-        assertTrue(refused > ROUNDS / 4, "refused " + refused);
+        assertTrue(rejectedCount > ROUNDS / 4, "refused " + rejectedCount);
     }
 
     /** What is not understood leaves the last configuration in force; nothing but a refusal comes of it. */
     @Test
-    void mutatedConfigurationsAreReadOrRefused() throws IOException {
+    void mutatedConfigurationIsRejectedOrDecoded() throws IOException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(19);
-        int refused = 0;
+        int rejectedCount = 0;
         for (int round = 0; round < ROUNDS; round++) {
             try {
-                RouteTable table = ConfigurationDecoder.decode(Bytes.of(mutatedBytes(CONFIGURATION, random)));
+                RouteTable table = ConfigurationDecoder.decode(Bytes.of(mutateBytes(CONFIGURATION, random)));
                 assertTrue(table.routesCount() >= 0);
             } catch (IOException e) {
-                refused++;
+                rejectedCount++;
             }
         }
-        assertTrue(refused > ROUNDS / 4, "refused " + refused);
+        assertTrue(rejectedCount > ROUNDS / 4, "refused " + rejectedCount);
     }
 
-    private static byte[] mutatedBytes(String text, UniformRandomProvider random) {
+    private static byte[] mutateBytes(String text, UniformRandomProvider random) {
         byte[] content = Bytes.ofUtf8(text).toByteArray();
         for (int i = 0; i <= random.nextInt(4); i++) {
             content[random.nextInt(content.length)] = (byte) random.nextInt(256);
@@ -131,8 +131,8 @@
         return random.nextInt(5) == 0 ? Arrays.copyOf(content, random.nextInt(content.length)) : content;
     }
 
-    private static byte[] mutatedFields(UniformRandomProvider random) throws IOException {
-        ObjectNode entry = (ObjectNode) JSON.readTree(ENTRY);
+    private static byte[] mutateField(UniformRandomProvider random) throws IOException {
+        ObjectNode entry = (ObjectNode) MAPPER.readTree(ENTRY);
         List<String> names = new ArrayList<>();
         entry.fieldNames().forEachRemaining(names::add);
         String name = names.get(random.nextInt(names.size()));
@@ -152,6 +152,6 @@
         } else {
             entry.set(name, values.get(random.nextInt(values.size())));
         }
-        return JSON.writeValueAsBytes(entry);
+        return MAPPER.writeValueAsBytes(entry);
     }
 }
--- a/src/test/java/org/dogwoodwinch/platform/PlatformHeadersTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/PlatformHeadersTest.java
@@ -14,19 +14,19 @@
 class PlatformHeadersTest {
 
     @Test
-    void theLimitOfATargetIsADecimalNumber() {
-        assertEquals(OptionalDouble.of(2.3), limit("2.3"));
-        assertEquals(OptionalDouble.of(14), limit("14"));
-        assertEquals(OptionalDouble.of(0), limit("0"));
+    void parsesDecimalRateLimit() {
+        assertEquals(OptionalDouble.of(2.3), readRateLimit("2.3"));
+        assertEquals(OptionalDouble.of(14), readRateLimit("14"));
+        assertEquals(OptionalDouble.of(0), readRateLimit("0"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "-1", "1e9", "NaN", "Infinity", "2,3", "2.", "two", "99999999999"})
-    void whatIsNoNumberNamesNoLimit(String text) {
-        assertEquals(OptionalDouble.empty(), limit(text));
+    void invalidRateLimitIsIgnored(String text) {
+        assertEquals(OptionalDouble.empty(), readRateLimit(text));
     }
 
-    private static OptionalDouble limit(String text) {
+    private static OptionalDouble readRateLimit(String text) {
         HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         answer.headers().set("Server-Limit", text);
         return new PlatformHeaders().readAnswer(answer).limitPerSecond();
--- a/src/test/java/org/dogwoodwinch/target/http/HttpEngineClientTest.java
+++ b/src/test/java/org/dogwoodwinch/target/http/HttpEngineClientTest.java
@@ -44,7 +44,7 @@
     private final HttpClients clients = new HttpClients(group, 2_000);
     private final VirtualTimeSource time = new VirtualTimeSource(0);
     private final HttpTargetClients targets = new HttpTargetClients(clients, time, TargetTimeouts.STANDARD);
-    private final Heard heard = new Heard();
+    private final RecordingListener listener = new RecordingListener();
 
     @AfterEach
     void stop() {
@@ -53,8 +53,8 @@
     }
 
     @Test
-    void aWholeAnswerIsWholeOnlyByTheEnginesOwnLastLine() throws IOException {
-        assertEquals("whole:t stop", generate(ScriptedServer.stream("", CHUNK, END)));
+    void streamWithFinalLineCompletes() throws IOException {
+        assertEquals("whole:t stop", generate(ScriptedServer.streamResponse("", CHUNK, END)));
     }
 
     /**
@@ -62,16 +62,17 @@
      * a cut answer that may have run, not of a whole one.
      */
     @Test
-    void aCutAnswerNeverPassesForWhole() throws IOException {
-        assertEquals("Broken:the answer was cut", generate(ScriptedServer.stream(CHUNK)));
+    void streamWithoutFinalLineIsBroken() throws IOException {
+        assertEquals("Broken:the answer was cut", generate(ScriptedServer.streamResponse(CHUNK)));
     }
 
     @Test
-    void aMalformedLineBreaksTheStream() throws IOException {
-        assertEquals("Broken:malformed line", generate(ScriptedServer.stream(CHUNK, "{\"sequence\":")));
+    void malformedLineBreaksStream() throws IOException {
+        assertEquals("Broken:malformed line", generate(ScriptedServer.streamResponse(CHUNK, "{\"sequence\":")));
         assertEquals(
                 "Broken:malformed line",
-                generate(ScriptedServer.stream("{\"attemptId\":\"a-1\",\"sequence\":-1,\"tokens\":1,\"text\":\"\"}")));
+                generate(ScriptedServer.streamResponse(
+                        "{\"attemptId\":\"a-1\",\"sequence\":-1,\"tokens\":1,\"text\":\"\"}")));
     }
 
     /**
@@ -79,36 +80,40 @@
      * its text never reaches this caller.
      */
     @Test
-    void aLineOfAnotherAttemptIsNeverBelieved() throws IOException {
-        assertEquals("Broken:a line of attempt a-2", generate(ScriptedServer.stream(CHUNK.replace("a-1", "a-2"), END)));
+    void lineOfAnotherAttemptBreaksStream() throws IOException {
+        assertEquals(
+                "Broken:a line of attempt a-2",
+                generate(ScriptedServer.streamResponse(CHUNK.replace("a-1", "a-2"), END)));
     }
 
     @Test
-    void onlyARefusalThatSaysSoProvesThatNothingRan() throws IOException {
-        assertEquals("Refused:d", generate(ScriptedServer.whole(503, "application/problem+json", REFUSAL)));
+    void onlyNotRunRefusalProvesNotRun() throws IOException {
+        assertEquals(
+                "Refused:d", generate(ScriptedServer.fixedLengthResponse(503, "application/problem+json", REFUSAL)));
         assertEquals(
                 "Failed:status 503",
-                generate(ScriptedServer.whole(
+                generate(ScriptedServer.fixedLengthResponse(
                         503, "application/problem+json", REFUSAL.replace("not-run", "may-have-run"))));
-        assertEquals("Failed:status 503", generate(ScriptedServer.whole(503, "text/plain", "overloaded")));
+        assertEquals(
+                "Failed:status 503", generate(ScriptedServer.fixedLengthResponse(503, "text/plain", "overloaded")));
     }
 
     @Test
-    void aRefusedConnectionProvesThatNothingWasSent() throws IOException {
-        Target gone;
+    void refusedConnectionIsReportedAsNotSent() throws IOException {
+        Target stoppedTarget;
         try (ScriptedServer server = new ScriptedServer()) {
-            gone = server.target();
+            stoppedTarget = server.target();
         }
-        targets.engine(gone).generate(call(), heard);
-        assertTrue(heard.end.join().startsWith("NotSent:"), heard.end.join());
+        targets.engine(stoppedTarget).generate(call(), listener);
+        assertTrue(listener.outcome.join().startsWith("NotSent:"), listener.outcome.join());
     }
 
     /** The engine takes the request and closes without a word: it may have run, whatever the client library thinks. */
     @Test
-    void aConnectionThatClosesWithoutAnAnswerIsBrokenAndNotTriedAgain() throws IOException {
-        try (ScriptedServer server = new ScriptedServer("", ScriptedServer.stream(CHUNK, END))) {
-            targets.engine(server.target()).generate(call(), heard);
-            assertTrue(heard.end.join().startsWith("Broken:"), heard.end.join());
+    void connectionClosedWithoutAnswerIsBrokenAndNotRetried() throws IOException {
+        try (ScriptedServer server = new ScriptedServer("", ScriptedServer.streamResponse(CHUNK, END))) {
+            targets.engine(server.target()).generate(call(), listener);
+            assertTrue(listener.outcome.join().startsWith("Broken:"), listener.outcome.join());
             TargetReply<ServiceAnswer> second = targets.service(server.target())
                     .call(new ServiceCall("a-2", "POST", "/", "", Bytes.EMPTY, 2_000))
                     .toCompletableFuture()
@@ -122,34 +127,34 @@
      * time, the attempt ends as timed out and may have run.
      */
     @Test
-    void aSilentEngineTimesOut() throws IOException {
+    void silentEngineTimesOut() throws IOException {
         try (ScriptedServer server = new ScriptedServer()) {
-            targets.engine(server.target()).generate(call(), heard);
+            targets.engine(server.target()).generate(call(), listener);
             time.advanceMillis(TargetTimeouts.STANDARD.silenceMillis());
-            assertTrue(heard.end.join().startsWith("TimedOut:"), heard.end.join());
+            assertTrue(listener.outcome.join().startsWith("TimedOut:"), listener.outcome.join());
         }
     }
 
     @Test
-    void anOrderWithoutAnAnswerIsUnknownAndOneThatWasNotSentIsRefused() throws IOException {
+    void unansweredOrderIsUnknownAndUnsentOrderIsRefused() throws IOException {
         EngineOrder order =
                 new EngineOrder("o", 4, new EngineConfiguration(EngineRole.MIXED, "m", "1", new java.util.TreeSet<>()));
-        Target gone;
+        Target stoppedTarget;
         try (ScriptedServer server = new ScriptedServer(
                 "",
-                ScriptedServer.whole(
+                ScriptedServer.fixedLengthResponse(
                         200, "application/json", "{\"result\":\"fenced\"," + "\"highestFencingToken\":9}"))) {
-            gone = server.target();
-            assertInstanceOf(OrderResult.Unknown.class, order(gone, order));
-            assertEquals(new OrderResult.Fenced(9), order(gone, order));
+            stoppedTarget = server.target();
+            assertInstanceOf(OrderResult.Unknown.class, sendOrder(stoppedTarget, order));
+            assertEquals(new OrderResult.Fenced(9), sendOrder(stoppedTarget, order));
         }
-        assertInstanceOf(OrderResult.Refused.class, order(gone, order));
+        assertInstanceOf(OrderResult.Refused.class, sendOrder(stoppedTarget, order));
     }
 
     @Test
-    void aLoadReportWithoutANumberIsNotBelieved() throws IOException {
-        try (ScriptedServer server =
-                new ScriptedServer(ScriptedServer.whole(200, "application/json", "{\"reportedAtMillis\":1}"))) {
+    void loadReportWithMissingNumberIsRejected() throws IOException {
+        try (ScriptedServer server = new ScriptedServer(
+                ScriptedServer.fixedLengthResponse(200, "application/json", "{\"reportedAtMillis\":1}"))) {
             TargetReply<?> reply = targets.engine(server.target())
                     .loadReport()
                     .toCompletableFuture()
@@ -158,15 +163,15 @@
         }
     }
 
-    private OrderResult order(Target target, EngineOrder order) {
+    private OrderResult sendOrder(Target target, EngineOrder order) {
         return targets.engine(target).order(order).toCompletableFuture().join();
     }
 
     private String generate(String answer) throws IOException {
-        Heard own = new Heard();
+        RecordingListener answerListener = new RecordingListener();
         try (ScriptedServer server = new ScriptedServer(answer)) {
-            targets.engine(server.target()).generate(call(), own);
-            return own.end.join();
+            targets.engine(server.target()).generate(call(), answerListener);
+            return answerListener.outcome.join();
         }
     }
 
@@ -174,9 +179,9 @@
         return new GenerateCall("a-1", "m", "p", 5, 0, 20_000, false, Optional.empty());
     }
 
-    private static final class Heard implements AnswerListener {
+    private static final class RecordingListener implements AnswerListener {
 
-        private final CompletableFuture<String> end = new CompletableFuture<>();
+        private final CompletableFuture<String> outcome = new CompletableFuture<>();
         private final List<String> texts = new ArrayList<>();
 
         @Override
@@ -186,12 +191,12 @@
 
         @Override
         public void onComplete(Usage _usage, String finishReason) {
-            end.complete("whole:" + String.join("", texts) + finishReason);
+            outcome.complete("whole:" + String.join("", texts) + finishReason);
         }
 
         @Override
         public void onFailure(TargetFailure failure) {
-            end.complete(failure.getClass().getSimpleName() + ":" + failure.detail());
+            outcome.complete(failure.getClass().getSimpleName() + ":" + failure.detail());
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/target/http/ScriptedServer.java
+++ b/src/test/java/org/dogwoodwinch/target/http/ScriptedServer.java
@@ -14,42 +14,42 @@
 /** Answers each connection's first request with the next of the given texts and closes. */
 final class ScriptedServer implements AutoCloseable {
 
-    private final ServerSocket server;
+    private final ServerSocket serverSocket;
 
     @MustBeClosed
     ScriptedServer(String... answers) throws IOException {
-        server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(() -> serve(List.of(answers)), "scripted-server");
+        serverSocket = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
+        Thread thread = new Thread(() -> serveAnswers(List.of(answers)), "scripted-server");
         thread.setDaemon(true);
         thread.start();
     }
 
     Target target() {
-        return new Target("t", "127.0.0.1", server.getLocalPort(), "dc", "g");
+        return new Target("t", "127.0.0.1", serverSocket.getLocalPort(), "dc", "g");
     }
 
     /** Makes an answer of lines whose body ends where the connection does. */
-    static String stream(String... lines) {
+    static String streamResponse(String... lines) {
         return "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n"
                 + String.join("\n", lines) + "\n";
     }
 
     /** Makes a whole answer. */
-    static String whole(int status, String contentType, String body) {
+    static String fixedLengthResponse(int status, String contentType, String body) {
         return "HTTP/1.1 " + status + " X\r\nContent-Type: " + contentType + "\r\nContent-Length: " + body.length()
                 + "\r\nConnection: close\r\n\r\n" + body;
     }
 
     @Override
     public void close() throws IOException {
-        server.close();
+        serverSocket.close();
     }
 
-    private void serve(List<String> answers) {
+    private void serveAnswers(List<String> answers) {
         try {
             for (String answer : answers) {
-                try (Socket socket = server.accept()) {
-                    readHead(socket.getInputStream());
+                try (Socket socket = serverSocket.accept()) {
+                    readRequestHead(socket.getInputStream());
                     socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
                     socket.getOutputStream().flush();
                     socket.shutdownOutput();
@@ -57,20 +57,20 @@
                 }
             }
         } catch (IOException e) {
-            if (!server.isClosed()) {
+            if (!serverSocket.isClosed()) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    private static void readHead(InputStream in) throws IOException {
-        StringBuilder head = new StringBuilder();
-        while (head.indexOf("\r\n\r\n") < 0) {
+    private static void readRequestHead(InputStream in) throws IOException {
+        StringBuilder requestHead = new StringBuilder();
+        while (requestHead.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
             if (next < 0) {
                 return;
             }
-            head.append((char) next);
+            requestHead.append((char) next);
         }
     }
 }
