--- a/src/main/java/org/dogwoodwinch/net/Addresses.java
+++ b/src/main/java/org/dogwoodwinch/net/Addresses.java
@@ -4,17 +4,17 @@
 import com.google.common.net.InetAddresses;
 import java.net.InetSocketAddress;
 
-/** Addresses of IP number and port, without name lookups. */
+/** Creates socket addresses from literal IP addresses and ports, without name resolution. */
 public final class Addresses {
 
     private Addresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @param text IP number, colon, port, not null
+     * @param text the address as {@code ip:port}, not null
      * @return the address
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text is not a literal IP address with a port
      */
     public static InetSocketAddress parse(String text) {
         HostAndPort parsed = HostAndPort.fromString(text);
@@ -22,12 +22,12 @@
     }
 
     /**
-     * Makes an address without a name lookup.
+     * Creates an address without name resolution.
      *
-     * @param host an IP number, not null
+     * @param host a literal IP address, not null
      * @param port the port
      * @return the address
-     * @throws IllegalArgumentException if the host is no IP number
+     * @throws IllegalArgumentException if the host is not a literal IP address
      */
     public static InetSocketAddress of(String host, int port) {
         return new InetSocketAddress(InetAddresses.forString(host), port);
--- a/src/main/java/org/dogwoodwinch/net/EventLoopTime.java
+++ b/src/main/java/org/dogwoodwinch/net/EventLoopTime.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The runtime's clocks, with timers on one event loop: what they touch needs no lock. */
+/** Reads the JVM's clocks and runs all timers on one event loop, so that state used only there needs no lock. */
 public final class EventLoopTime implements TimeSource {
 
     private static final Logger log = LoggerFactory.getLogger(EventLoopTime.class);
@@ -21,7 +21,7 @@
     /**
      * Creates a time source.
      *
-     * @param loop runs the timers, not null
+     * @param loop the event loop that runs the timers, not null
      */
     public EventLoopTime(EventLoop loop) {
         this.loop = Objects.requireNonNull(loop, "loop");
@@ -44,7 +44,7 @@
         return () -> future.cancel(false);
     }
 
-    /** A timer whose failure stays in a future that nobody reads would stop its work without a word. */
+    /** Logs the failure of a timer task, since no code reads the task's future and the failure would go unnoticed. */
     private static void runLoggingFailure(Runnable task) {
         try {
             task.run();
--- a/src/main/java/org/dogwoodwinch/net/Transport.java
+++ b/src/main/java/org/dogwoodwinch/net/Transport.java
@@ -15,10 +15,10 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * The kind of sockets: the kernel's epoll where its library loads, the runtime's own otherwise.
+ * The socket transport: native epoll if its library can be loaded, Java NIO otherwise.
  *
- * <p>Failure: a connection goes silent without a reset, with bytes under way. Only the native transport lets the kernel
- * notice it; the other relies on the time bounds of each call.
+ * <p>Failure: a connection stops delivering data without a reset while written bytes are unacknowledged. Only the native
+ * transport lets the kernel detect this; NIO relies on the timeouts of each call.
  */
 public final class Transport {
 
@@ -33,8 +33,8 @@
     /**
      * Starts the event loops.
      *
-     * @param threadsCount how many, at least one
-     * @return the transport; its owner shuts the group down
+     * @param threadsCount the number of event loop threads, at least one
+     * @return the transport; the caller shuts its event loop group down
      */
     public static Transport start(int threadsCount) {
         return Epoll.isAvailable()
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Takes over event loops of the runtime's own kind.
+     * Creates a transport that uses existing NIO event loops.
      *
-     * @param group the event loops, not null; its owner shuts it down
+     * @param group the event loops, not null; the caller shuts them down
      * @return the transport
      */
     public static Transport ofNio(EventLoopGroup group) {
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns the event loops.
+     * Returns the event loop group.
      *
      * @return the group
      */
@@ -62,37 +62,38 @@
     }
 
     /**
-     * Says which kind it is.
+     * Returns the name of the transport.
      *
-     * @return epoll or nio
+     * @return {@code epoll} or {@code nio}
      */
     public String name() {
         return nativeEpoll ? "epoll" : "nio";
     }
 
     /**
-     * Returns the kind of listening sockets.
+     * Returns the channel class of listening sockets.
      *
-     * @return a class for a bootstrap
+     * @return the class to set on a bootstrap
      */
     public Class<? extends ServerSocketChannel> serverChannel() {
         return nativeEpoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 
     /**
-     * Returns the kind of connections.
+     * Returns the channel class of outgoing connections.
      *
-     * @return a class for a bootstrap
+     * @return the class to set on a bootstrap
      */
     public Class<? extends SocketChannel> channel() {
         return nativeEpoll ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
     /**
-     * Lets the kernel give a connection up whose written bytes nobody acknowledged for that long.
+     * Makes the kernel close a connection whose written bytes stay unacknowledged for the given time. NIO does not support
+     * this; there, the method only disables Nagle's algorithm.
      *
-     * @param bootstrap opens the connections, not null
-     * @param timeoutMillis how long
+     * @param bootstrap the bootstrap that opens the connections, not null
+     * @param timeoutMillis the maximum time without acknowledgement, in milliseconds
      */
     public void setUnacknowledgedTimeout(Bootstrap bootstrap, int timeoutMillis) {
         bootstrap.option(ChannelOption.TCP_NODELAY, true);
--- a/src/main/java/org/dogwoodwinch/net/package-info.java
+++ b/src/main/java/org/dogwoodwinch/net/package-info.java
@@ -1,2 +1,2 @@
-/** The sockets, addresses and timers that all connections share. */
+/** Socket transport, addresses and event loop timers that all network code shares. */
 package org.dogwoodwinch.net;
--- a/src/main/java/org/dogwoodwinch/platform/ConfigurationDecoder.java
+++ b/src/main/java/org/dogwoodwinch/platform/ConfigurationDecoder.java
@@ -16,7 +16,7 @@
 import org.dogwoodwinch.forwarding.ServiceRoute;
 import org.dogwoodwinch.forwarding.WeightedService;
 
-/** Decodes the operator's configuration. */
+/** Decodes the operator's configuration from JSON. */
 public final class ConfigurationDecoder {
 
     private static final int MILLIS_PER_SECOND = 1_000;
@@ -26,14 +26,14 @@
     /**
      * Decodes a configuration.
      *
-     * @param body what the operator wrote, not null
-     * @return the table
-     * @throws IOException if it is none
+     * @param body the configuration as JSON, not null
+     * @return the route table
+     * @throws IOException if the configuration is malformed, has no version or contains an invalid value
      */
     public static RouteTable decode(Bytes body) throws IOException {
         JsonNode root = JsonTrees.read(body.toByteArray());
         if (!root.path("version").isNumber()) {
-            throw new IOException("not a configuration: it has no version");
+            throw new IOException("invalid configuration: version is missing or not a number");
         }
         try {
             List<ServiceRoute> routes = new ArrayList<>();
@@ -42,7 +42,7 @@
             root.path("services").forEach(service -> services.add(decodeService(service)));
             return new RouteTable(root.path("version").asLong(), routes, services, decodeLimits(root.path("limits")));
         } catch (IllegalArgumentException e) {
-            throw new IOException("not a configuration: " + e.getMessage(), e);
+            throw new IOException("invalid configuration: " + e.getMessage(), e);
         }
     }
 
@@ -57,7 +57,7 @@
                 route.path("targetLatencyMs").asLong(),
                 route.path("gapAimMs").asLong(),
                 Math.max(1, route.path("maxAttempts").asInt(1)),
-                // The wire's priority is a rank: zero comes first.
+                // The priority on the wire is a rank: zero is served first.
                 route.path("priority").asInt(),
                 decodeTrafficSplit(route));
     }
@@ -67,7 +67,7 @@
             case "safe" -> RouteKind.REPEATABLE;
             case "streaming" -> RouteKind.STREAM;
             case "unsafe" -> RouteKind.ONCE;
-            default -> throw new IllegalArgumentException("unknown kind of route: " + value);
+            default -> throw new IllegalArgumentException("unknown route kind: " + value);
         };
     }
 
--- a/src/main/java/org/dogwoodwinch/platform/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/EngineClient.java
@@ -33,7 +33,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Speaks to engines beside running calls. */
+/** Calls the control interface of engines: KV cache state, stage orders and the release of KV caches. */
 public final class EngineClient implements EngineControl {
 
     private static final Logger log = LoggerFactory.getLogger(EngineClient.class);
@@ -45,12 +45,12 @@
     private static final int MISDIRECTED_REQUEST = 421;
     private static final String LONG_POLL_HEADER = "wait-ms";
 
-    /** Columns of an event: number, sign, nothing, part, tokens kept, model. */
+    /** Columns of a cache event: sequence number, sign, unused, segment id, cached tokens, model. */
     private static final int EVENT_SEGMENT_COLUMN = 3;
 
     private static final int EVENT_CACHED_TOKENS_COLUMN = 4;
 
-    /** Columns of a row of the whole list: nothing, part, tokens kept, model. */
+    /** Columns of a row of the full cache list: unused, segment id, cached tokens, model. */
     private static final int LIST_SEGMENT_COLUMN = 1;
 
     private static final int LIST_CACHED_TOKENS_COLUMN = 2;
@@ -62,9 +62,9 @@
     /**
      * Creates a client.
      *
-     * @param controlCaller makes the calls, not null
-     * @param timeoutMillis how long an answer may take beside the time that the engine is asked to wait
-     * @param longPollMillis how long an engine may hold a question while nothing changes
+     * @param controlCaller sends the calls, not null
+     * @param timeoutMillis the timeout of a call, in milliseconds, in addition to the time for which the engine holds it
+     * @param longPollMillis how long an engine may hold a request for cache events while nothing changes, in milliseconds
      */
     public EngineClient(ControlCaller controlCaller, long timeoutMillis, long longPollMillis) {
         this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
@@ -177,12 +177,12 @@
                 timeout);
     }
 
-    /** On every call: the address may be another target's by now. */
+    /** Names the expected incarnation on every call, since another target may have got the address. */
     private static HttpHeaders controlHeaders(Incarnation engine) {
         return new DefaultHttpHeaders().set(HeaderNames.EXPECTED_INCARNATION, engine.id());
     }
 
-    /** Without its number or its epoch an answer cannot be told from an older one, and nothing of it is taken. */
+    /** Ignores an answer without sequence number or epoch, since it cannot be ordered against earlier answers. */
     private static Optional<CacheChanges> parseCacheChanges(Incarnation engine, ControlReply reply) {
         return readSequenced(engine, reply, "events")
                 .map(root -> new CacheChanges(
@@ -208,12 +208,12 @@
                 && !node.path("epoch").isNull()
                 && node.path(rowsField).isArray());
         if (root.isPresent() && complete.isEmpty()) {
-            logInvalidAnswer("no epoch, number or rows");
+            logInvalidAnswer("epoch, nextToken or rows missing or of the wrong type");
         }
         return complete;
     }
 
-    /** A row that is half there is passed over: a missing count read as zero would drop a part that is kept. */
+    /** Skips incomplete rows: a missing count read as zero would remove a segment that is still cached. */
     private static List<CacheChanges.CacheChange> parseCacheRows(
             JsonNode rows, int segmentColumn, int cachedTokensColumn) {
         List<CacheChanges.CacheChange> changes = new ArrayList<>();
@@ -231,7 +231,7 @@
             }
         }
         if (skippedCount > 0) {
-            logInvalidAnswer(skippedCount + " rows");
+            logInvalidAnswer(skippedCount + " malformed rows skipped");
         }
         return changes;
     }
@@ -240,7 +240,7 @@
         LogEvent.of("engine_answer_not_understood").with("error", error).warn(log);
     }
 
-    /** What another start of the engine says is not of this one; an engine that states no birth is taken at its word. */
+    /** Ignores answers of another incarnation; accepts the answer if either start time is unknown. */
     private static Optional<JsonNode> readBody(Incarnation engine, ControlReply reply) {
         if (!(reply instanceof ControlReply.Answered answered) || answered.status() != OK) {
             return Optional.empty();
--- a/src/main/java/org/dogwoodwinch/platform/HeaderNames.java
+++ b/src/main/java/org/dogwoodwinch/platform/HeaderNames.java
@@ -2,35 +2,35 @@
 
 import io.netty.util.AsciiString;
 
-/** The platform's header names. */
+/** Header names of the platform's wire protocol. */
 final class HeaderNames {
 
     static final AsciiString REQUEST_ID = AsciiString.cached("request-id");
     static final AsciiString DEADLINE_MILLIS = AsciiString.cached("deadline-ms");
 
-    /** The id of a target's incarnation, not of an instance of this system. */
+    /** The id of the target's incarnation that may run the call; not the id of an instance of this system. */
     static final AsciiString EXPECTED_INCARNATION = AsciiString.cached("expect-instance");
 
     static final AsciiString SERVER_STAMP = AsciiString.cached("server-stamp");
     static final AsciiString NOT_RUN = AsciiString.cached("not-run");
-    /** The calls a second that a target takes from all instances together, a decimal number. */
+    /** The calls per second that a target accepts from all instances together, as a decimal number. */
     static final AsciiString RATE_LIMIT = AsciiString.cached("server-limit");
 
     static final AsciiString LAST_EVENT_ID = AsciiString.cached("last-event-id");
     static final AsciiString MODEL = AsciiString.cached("model");
 
-    /** Two numbers: the tokens of the prompt, and the most that may be generated. */
+    /** Two numbers: the tokens of the prompt, and the maximum number of tokens to generate. */
     static final AsciiString TOKEN_COUNTS = AsciiString.cached("token-count");
 
-    /** All parts of the prompt, not its beginning alone. */
+    /** All segments of the prompt, despite the name: not only its prefix. */
     static final AsciiString PROMPT_SEGMENTS = AsciiString.cached("prompt-prefix");
 
-    /** The order in which the target admits what waits, 0 to 9, the lowest first. */
+    /** The priority in the target's queue, 0 to 9; the lowest number is admitted first. */
     static final AsciiString QUEUE_PRIORITY = AsciiString.cached("request-priority");
 
     static final AsciiString STAGE = AsciiString.cached("stage");
 
-    /** Where the memory of a read prompt is fetched from: address, slash, handle. */
+    /** Where the KV cache of a prefilled prompt is fetched from, as {@code address/handle}. */
     static final AsciiString KV_SOURCE = AsciiString.cached("kv-from");
 
     static final AsciiString KV_FETCH = AsciiString.cached("kv-fetch");
--- a/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
+++ b/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
@@ -22,14 +22,14 @@
 import org.dogwoodwinch.relay.CallHeaders;
 import org.dogwoodwinch.relay.SendFacts;
 
-/** Translates the platform's headers. */
+/** Translates between the platform's HTTP headers and this system's types. */
 public final class PlatformHeaders implements CallHeaders {
 
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final String PREFILL_STAGE = "prefill";
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
 
-    /** Concern one connection alone. */
+    /** Hop-by-hop headers, which apply to one connection and are not forwarded. */
     private static final List<AsciiString> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             HttpHeaderNames.CONTENT_LENGTH,
@@ -43,7 +43,10 @@
             HeaderNames.KEEP_ALIVE,
             HeaderNames.PROXY_CONNECTION);
 
-    /** Only this system may set them: from a caller they would reach into the memory and order of other requests. */
+    /**
+     * Headers that only this system may set; a caller's values are removed, since they could affect the KV caches and the
+     * queue order of other requests.
+     */
     private static final List<AsciiString> RESERVED_HEADERS = List.of(
             HeaderNames.DEADLINE_MILLIS,
             HeaderNames.EXPECTED_INCARNATION,
@@ -122,7 +125,7 @@
                 options.add(token.strip());
             }
         }
-        // A caller that lists what this call cannot do without would have it dropped on the way.
+        // Headers that the call needs are forwarded even if the caller lists them as connection options.
         options.removeIf(name -> HeaderNames.REQUEST_ID.contentEqualsIgnoreCase(name)
                 || HeaderNames.MODEL.contentEqualsIgnoreCase(name)
                 || HeaderNames.TOKEN_COUNTS.contentEqualsIgnoreCase(name)
@@ -161,7 +164,7 @@
         return segments;
     }
 
-    /** The field has the form {@code timeout=N}, in whole seconds. */
+    /** Parses the {@code timeout=N} parameter of a Keep-Alive header; N is in whole seconds. */
     private static OptionalLong parseIdleMillis(String keepAlive) {
         if (keepAlive == null) {
             return OptionalLong.empty();
@@ -176,7 +179,7 @@
         return OptionalLong.empty();
     }
 
-    /** Empty for what is no decimal number from zero on: it then says nothing. */
+    /** Returns empty if the text is not a non-negative decimal number; an invalid limit is ignored. */
     private static OptionalDouble parseRate(String text) {
         if (text == null || !DECIMAL_NUMBER.matcher(text).matches()) {
             return OptionalDouble.empty();
@@ -184,7 +187,7 @@
         return OptionalDouble.of(Double.parseDouble(text));
     }
 
-    /** Empty for what is no number of at most nine digits: no field of the platform needs more. */
+    /** Returns empty if the text is not a number of at most nine digits; no field of the platform needs more. */
     private static OptionalLong parseNumber(String text) {
         if (text == null || text.isEmpty() || text.length() > 9 || !text.chars().allMatch(Character::isDigit)) {
             return OptionalLong.empty();
--- a/src/main/java/org/dogwoodwinch/platform/StoreClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/StoreClient.java
@@ -27,16 +27,16 @@
 import org.dogwoodwinch.relay.ControlCaller;
 import org.dogwoodwinch.relay.ControlReply;
 
-/** Speaks to the platform's store. */
+/** Reads and writes the keyed streams and logs of the platform's store. */
 public final class StoreClient {
 
-    /** Where the operator's configuration lies. */
+    /** The topic that holds the operator's configuration. */
     public static final String OPERATOR_TOPIC = "keyed.op";
 
     /** The key of the operator's configuration. */
     public static final String CONFIGURATION_KEY = "config";
 
-    /** Where targets register themselves. */
+    /** The topic in which targets register themselves. */
     public static final String TARGETS_TOPIC = "keyed.servers";
 
     private static final int OK = 200;
@@ -52,9 +52,9 @@
     /**
      * Creates a client.
      *
-     * @param controlCaller makes the calls, not null
-     * @param address the store, not null
-     * @param timeoutMillis how long an answer may take beside the time that the store is asked to wait
+     * @param controlCaller sends the calls, not null
+     * @param address the store's address, not null
+     * @param timeoutMillis the timeout of a call, in milliseconds, in addition to the time for which the store holds it
      */
     public StoreClient(ControlCaller controlCaller, InetSocketAddress address, long timeoutMillis) {
         this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Returns a keyed stream.
+     * Returns a reader of a keyed stream.
      *
-     * @param topic its name, not null
+     * @param topic the topic, not null
      * @return the stream of the topic's only partition
      */
     public KeyedStream keyed(String topic) {
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Returns what writes records of a keyed stream.
+     * Returns a writer of a keyed stream.
      *
-     * @param topic its name, not null
+     * @param topic the topic, not null
      * @return the writer to the topic's only partition
      */
     public KeyedWriter writer(String topic) {
@@ -107,10 +107,10 @@
     }
 
     /**
-     * Returns a log that takes a record only where it ends as expected.
+     * Returns a log that appends a record only if the log ends at the expected offset.
      *
-     * @param topic its name, not null
-     * @return the log, the topic's only partition
+     * @param topic the topic, not null
+     * @return the log in the topic's only partition
      */
     public ConditionalLog log(String topic) {
         return (content, endOffset) -> {
@@ -141,7 +141,7 @@
             }
             return new ConditionalLog.Unknown("status " + answered.status());
         } catch (IOException e) {
-            return new ConditionalLog.Unknown("answer not understood: " + e.getMessage());
+            return new ConditionalLog.Unknown("invalid answer: " + e.getMessage());
         }
     }
 
@@ -188,7 +188,7 @@
                     root.path("truncated").asBoolean(),
                     root.path("end").asLong());
         } catch (IOException | IllegalArgumentException e) {
-            return new ReadResult.Unavailable("page not understood: " + e.getMessage());
+            return new ReadResult.Unavailable("invalid page: " + e.getMessage());
         }
     }
 
@@ -204,9 +204,9 @@
 
     private static ReadResult parseRecords(ByteBuffer buffer, long fromOffset) {
         if (buffer.remaining() < READ_HEADER_BYTES) {
-            return new ReadResult.Unavailable("answer too short");
+            return new ReadResult.Unavailable("answer too short: less than " + READ_HEADER_BYTES + " bytes");
         }
-        // The end of the partition and the first offset that is kept; where reading goes on follows from the records.
+        // Skips the partition's end and its first retained offset; the next offset to read follows from the records.
         buffer.getLong();
         buffer.getLong();
         List<KeyedRecord> records = new ArrayList<>();
@@ -214,7 +214,7 @@
         while (buffer.remaining() >= RECORD_LENGTH_BYTES) {
             int length = buffer.getInt();
             if (length < 1 || length > buffer.remaining()) {
-                return new ReadResult.Unavailable("record of " + length + " bytes");
+                return new ReadResult.Unavailable("invalid record length: " + length + " bytes");
             }
             byte[] content = new byte[length];
             buffer.get(content);
--- a/src/main/java/org/dogwoodwinch/platform/TargetEntryDecoder.java
+++ b/src/main/java/org/dogwoodwinch/platform/TargetEntryDecoder.java
@@ -9,15 +9,15 @@
 import org.dogwoodwinch.forwarding.Stage;
 
 /**
- * Decodes what a target states of itself in the platform's store.
+ * Decodes the entry with which a target registers in the platform's store.
  *
- * <p>Failure: an entry that is half understood, as of another version of a target or of a writer gone wrong, would be
- * read as a target that is ready, with a zero in place of what is missing. Whatever a choice rests on has to be there and
- * in range; otherwise the entry names no target to use, and the others hold.
+ * <p>Failure: an incomplete entry, written by another version of a target or by a faulty writer, would be decoded as a
+ * ready target, with zeros in place of missing fields. Every field that routing depends on must be present and in
+ * range; otherwise the entry is rejected, and the other entries stay in use.
  */
 public final class TargetEntryDecoder {
 
-    /** Over any entry; a larger one is no entry. */
+    /** More than any valid entry needs; a larger entry is rejected. */
     private static final int MAX_ENTRY_BYTES = 65_536;
 
     private static final int MAX_PORT = 65_535;
@@ -30,18 +30,18 @@
     /**
      * Decodes an entry.
      *
-     * @param id the entry's key, which is the incarnation's id and stands nowhere else, not null
-     * @param body the entry, not null
+     * @param id the entry's key, which is the incarnation's id and is not repeated in the entry, not null
+     * @param body the entry as JSON, not null
      * @return the incarnation
-     * @throws IOException if it is none, with the field that is wrong
+     * @throws IOException if the entry is invalid; the message names the field
      */
     public static Incarnation decode(String id, Bytes body) throws IOException {
         if (body.length() > MAX_ENTRY_BYTES) {
-            throw new IOException("an entry of " + body.length() + " bytes");
+            throw new IOException("entry too large: " + body.length() + " bytes, at most " + MAX_ENTRY_BYTES);
         }
         JsonNode entry = JsonTrees.read(body.toByteArray());
         if (entry == null || !entry.isObject()) {
-            throw new IOException("not an object");
+            throw new IOException("entry is not a JSON object");
         }
         String address = decodeAddress(entry);
         int colon = address.lastIndexOf(':');
@@ -50,22 +50,22 @@
                 requireText(entry, "service"),
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
-                // The wire's zone is a data centre.
+                // The field zone on the wire is the data centre.
                 requireText(entry, "zone"),
                 decodeSlots(entry),
                 decodeDraining(entry),
                 decodeOptionalStage(entry),
-                // The wire's own version field is that of the software; weights have theirs with each model.
+                // The entry's field version is the software's version; the version of the weights is in each model.
                 entry.path("models").path(0).path("version").asLong(),
                 decodeStartMillis(entry));
     }
 
     /**
-     * Decodes when a target started, from anything that it says of itself.
+     * Decodes the start time of a target from its entry or from one of its answers.
      *
-     * @param document the entry or answer, not null
-     * @return milliseconds of the platform's time; zero where it does not state it
-     * @throws IOException if what it states is no time
+     * @param document the entry or the answer, not null
+     * @return the start time in milliseconds of the platform's clock; zero if not stated
+     * @throws IOException if the stated value is not a positive integer
      */
     static long decodeStartMillis(JsonNode document) throws IOException {
         JsonNode value = document.path("born");
@@ -73,7 +73,7 @@
             return 0;
         }
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() <= 0) {
-            throw new IOException("born is no time: " + value);
+            throw new IOException("born is not a positive integer: " + value);
         }
         return value.asLong();
     }
@@ -81,7 +81,7 @@
     private static String requireText(JsonNode entry, String field) throws IOException {
         JsonNode value = entry.path(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new IOException(field + " is no text: " + value);
+            throw new IOException(field + " is not a non-empty string: " + value);
         }
         return value.asText();
     }
@@ -89,17 +89,17 @@
     private static String decodeAddress(JsonNode entry) throws IOException {
         String address = requireText(entry, "address");
         if (!ADDRESS.matcher(address).matches()) {
-            throw new IOException("address is none: " + address);
+            throw new IOException("invalid address: " + address);
         }
         int colon = address.lastIndexOf(':');
         for (String octet : address.substring(0, colon).split("[.]", -1)) {
             if (Integer.parseInt(octet) > MAX_OCTET) {
-                throw new IOException("address is none: " + address);
+                throw new IOException("invalid address: " + address);
             }
         }
         int port = Integer.parseInt(address.substring(colon + 1));
         if (port < 1 || port > MAX_PORT) {
-            throw new IOException("address has no port: " + address);
+            throw new IOException("invalid port in address: " + address);
         }
         return address;
     }
@@ -107,7 +107,7 @@
     private static int decodeSlots(JsonNode entry) throws IOException {
         JsonNode slots = entry.path("slots");
         if (!slots.isInt() || slots.asInt() < 1 || slots.asInt() > MAX_SLOTS) {
-            throw new IOException("slots is out of range: " + slots);
+            throw new IOException("slots is not an integer from 1 to " + MAX_SLOTS + ": " + slots);
         }
         return slots.asInt();
     }
@@ -117,11 +117,11 @@
         return switch (state) {
             case "ready" -> false;
             case "draining" -> true;
-            default -> throw new IOException("state is unknown: " + state);
+            default -> throw new IOException("unknown state: " + state);
         };
     }
 
-    /** Plain services state none. */
+    /** Returns {@link Stage#WHOLE} if no stage is stated, as with plain services. */
     private static Stage decodeOptionalStage(JsonNode entry) throws IOException {
         JsonNode value = entry.path("stage");
         boolean absent = value.isMissingNode()
@@ -131,17 +131,17 @@
     }
 
     /**
-     * Decodes a stage.
+     * Parses the name of a stage.
      *
-     * @param text the wire's word, not null
+     * @param text the name on the wire, not null
      * @return the stage
-     * @throws IOException if the word is none
+     * @throws IOException if the name is unknown
      */
     static Stage parseStage(String text) throws IOException {
         return switch (text) {
             case "prefill" -> Stage.PREFILL;
             case "decode" -> Stage.DECODE;
-            default -> throw new IOException("stage is unknown: " + text);
+            default -> throw new IOException("unknown stage: " + text);
         };
     }
 }
--- a/src/main/java/org/dogwoodwinch/platform/package-info.java
+++ b/src/main/java/org/dogwoodwinch/platform/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The users' platform as it speaks: names, formats and calls, translated into the product's own types. Nothing here
- * decides: no retry, no choice, no time bound of its own, no state beyond a connection.
+ * Translates the wire protocol of the users' platform (header names, JSON fields, calls) into this system's types. This
+ * package contains no policy: it does not retry, choose targets or set timeouts, and keeps no state beyond a connection.
  */
 package org.dogwoodwinch.platform;
--- a/src/main/java/org/dogwoodwinch/target/AnswerChunk.java
+++ b/src/main/java/org/dogwoodwinch/target/AnswerChunk.java
@@ -3,16 +3,17 @@
 import java.util.Objects;
 
 /**
- * A piece of an answer.
+ * A chunk of an answer.
  *
- * @param attemptId the attempt that it belongs to, not null
- * @param sequence the number of its first token in the answer, from zero; a receiver drops what it has and notices gaps
- * @param tokens how many tokens it holds, one or more
- * @param text the text, not null
+ * @param attemptId the attempt to which the chunk belongs, not null
+ * @param sequence the index of the chunk's first token in the answer, from zero; receivers use it to drop duplicates
+ *     and to detect gaps
+ * @param tokens the number of tokens in the chunk, at least one
+ * @param text the text of the tokens, not null
  */
 public record AnswerChunk(String attemptId, long sequence, int tokens, String text) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public AnswerChunk {
         Objects.requireNonNull(attemptId, "attemptId");
         Objects.requireNonNull(text, "text");
--- a/src/main/java/org/dogwoodwinch/target/AnswerListener.java
+++ b/src/main/java/org/dogwoodwinch/target/AnswerListener.java
@@ -1,27 +1,30 @@
 package org.dogwoodwinch.target;
 
-/** Receives one attempt's answer; calls come one at a time, and exactly one of the last two ends them. */
+/**
+ * Receives the answer of one attempt. Calls are made one at a time; the last one is either {@link #onComplete} or
+ * {@link #onFailure}.
+ */
 public interface AnswerListener {
 
     /**
-     * Takes a piece of the answer.
+     * Receives a chunk of the answer.
      *
-     * @param chunk the piece, not null
+     * @param chunk the chunk, not null
      */
     void onChunk(AnswerChunk chunk);
 
     /**
-     * The answer is whole.
+     * Called when the answer is complete.
      *
-     * @param usage what it cost, not null
-     * @param finishReason why it ended, as the engine says it ({@code stop}, {@code length}), not null
+     * @param usage the token counts of the answer, not null
+     * @param finishReason why generation ended, as reported by the engine ({@code stop}, {@code length}), not null
      */
     void onComplete(Usage usage, String finishReason);
 
     /**
-     * The attempt failed.
+     * Called when the attempt failed.
      *
-     * @param failure why, not null
+     * @param failure the reason, not null
      */
     void onFailure(TargetFailure failure);
 }
--- a/src/main/java/org/dogwoodwinch/target/AnswerStream.java
+++ b/src/main/java/org/dogwoodwinch/target/AnswerStream.java
@@ -1,21 +1,24 @@
 package org.dogwoodwinch.target;
 
-/** The handle on a running attempt. */
+/** Controls a running attempt. */
 public interface AnswerStream {
 
-    /** Stops reading from the target until {@link #resumeReading()}, so that a slow caller holds the target back. */
+    /**
+     * Stops reading from the target until {@link #resumeReading()}, which applies the backpressure of a slow caller to the
+     * target.
+     */
     void pauseReading();
 
-    /** Reads on. */
+    /** Resumes reading after {@link #pauseReading()}. */
     void resumeReading();
 
-    /** Gives the attempt up and tells the target to cancel it; the listener hears nothing more. */
+    /** Cancels the attempt, on the target too; the listener is not called again. */
     void cancel();
 
     /**
-     * Stops listening and lets the attempt run on, so that it can be joined by its id later or by another instance; the
-     * listener hears nothing more. An implementation closes its connection without telling the target to cancel; this
-     * default only stops reading.
+     * Stops receiving the answer while the attempt keeps running, so that the stream can be resumed by its attempt id, later
+     * or by another instance. The listener is not called again. Implementations close the connection without cancelling the
+     * attempt on the target; this default only stops reading.
      */
     default void detach() {
         pauseReading();
--- a/src/main/java/org/dogwoodwinch/target/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/target/EngineClient.java
@@ -3,61 +3,61 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 
-/** One engine, as the system uses it. */
+/** A client of one model engine. */
 public interface EngineClient {
 
     /**
-     * Starts an attempt.
+     * Starts an attempt to generate an answer.
      *
      * @param call the attempt, not null
-     * @param listener hears the answer, not null
-     * @return the handle
+     * @param listener receives the answer, not null
+     * @return the running attempt
      */
     AnswerStream generate(GenerateCall call, AnswerListener listener);
 
     /**
-     * Joins a stream that runs or ran on the engine, from a given token on.
+     * Resumes a stream that is running or has ended on the engine, from the given token on.
      *
      * @param attemptId the stream's attempt id, not null
-     * @param fromSequence the first token wanted
-     * @param listener hears the rest of the answer, not null
-     * @return the handle
+     * @param fromSequence the index of the first token to receive
+     * @param listener receives the rest of the answer, not null
+     * @return the running attempt
      */
     AnswerStream resume(String attemptId, long fromSequence, AnswerListener listener);
 
     /**
-     * Asks for the engine's load.
+     * Fetches the engine's load report.
      *
      * @return the report, or the failure
      */
     CompletionStage<TargetReply<LoadReport>> loadReport();
 
     /**
-     * Asks for cache events.
+     * Fetches events of the engine's prefix cache.
      *
-     * @param afterSequence the last event known
-     * @return the later events that the engine still has, in order, or the failure
+     * @param afterSequence the sequence number of the last known event
+     * @return the later events that the engine still retains, in order, or the failure
      */
     CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence);
 
     /**
-     * Exports the KV cache of an attempt for another engine to import.
+     * Exports the KV cache of an attempt, so that another engine can import it.
      *
      * @param attemptId the attempt, not null
-     * @return the reference, or the failure
+     * @return the reference to the export, or the failure
      */
     CompletionStage<TargetReply<KvReference>> exportKv(String attemptId);
 
     /**
-     * Sends an order.
+     * Sends an order to the engine.
      *
      * @param order the order, not null
-     * @return what the engine said
+     * @return the engine's answer, or {@link OrderResult.Unknown} if the answer was lost
      */
     CompletionStage<OrderResult> order(EngineOrder order);
 
     /**
-     * Asks for the engine's state.
+     * Fetches the engine's state.
      *
      * @return the state, or the failure
      */
--- a/src/main/java/org/dogwoodwinch/target/EngineConfiguration.java
+++ b/src/main/java/org/dogwoodwinch/target/EngineConfiguration.java
@@ -6,16 +6,16 @@
 import java.util.TreeSet;
 
 /**
- * The full configuration of one engine: what an order asks for and what an engine reports, never a delta.
+ * The full configuration of one engine, both in orders and in engine reports; never a delta.
  *
- * @param role the phases it serves, not null
+ * @param role the phases that the engine serves, not null
  * @param model the model's name, not null
  * @param modelVersion the version of the model's weights, not null
- * @param adapters the adapters loaded beside the model, each as {@code name@version}, not null
+ * @param adapters the adapters loaded in addition to the model, each as {@code name@version}, not null
  */
 public record EngineConfiguration(EngineRole role, String model, String modelVersion, SortedSet<String> adapters) {
 
-    /** Checks and copies the parts. */
+    /** Validates the components and copies the adapters. */
     public EngineConfiguration {
         Objects.requireNonNull(role, "role");
         Objects.requireNonNull(model, "model");
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Returns this configuration with another role.
+     * Returns a copy of this configuration with another role.
      *
-     * @param newRole the role, not null
+     * @param newRole the role of the copy, not null
      * @return the copy
      */
     public EngineConfiguration withRole(EngineRole newRole) {
--- a/src/main/java/org/dogwoodwinch/target/EngineRole.java
+++ b/src/main/java/org/dogwoodwinch/target/EngineRole.java
@@ -2,15 +2,15 @@
 
 /** The phases of generation that an engine serves. */
 public enum EngineRole {
-    /** Computes the KV cache of prompts and exports it. */
+    /** Computes the KV caches of prompts and exports them. */
     PREFILL,
     /** Imports KV caches and generates tokens. */
     DECODE,
-    /** Does both. */
+    /** Computes prompts and generates tokens. */
     MIXED;
 
     /**
-     * Says whether an engine of this role computes prompts.
+     * Returns whether an engine of this role computes prompts.
      *
      * @return true unless the role is {@link #DECODE}
      */
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Says whether an engine of this role generates tokens.
+     * Returns whether an engine of this role generates tokens.
      *
      * @return true unless the role is {@link #PREFILL}
      */
--- a/src/main/java/org/dogwoodwinch/target/EngineState.java
+++ b/src/main/java/org/dogwoodwinch/target/EngineState.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * What an engine reports of itself.
+ * The state that an engine reports.
  *
- * @param configuration what it runs, not null
- * @param appliedOrderId the last order it took; empty where it took none since it started
- * @param highestFencingToken the highest fencing token it has seen; -1 where it ignores tokens or has seen none
- * @param ready whether it serves; false while a model loads or a role changes
- * @param startedCount how many times the engine has started; a change tells of a crash
+ * @param configuration the current configuration, not null
+ * @param appliedOrderId the last order that the engine accepted; empty if it accepted none since it started
+ * @param highestFencingToken the highest fencing token that the engine has seen; -1 if it ignores tokens or has seen none
+ * @param ready whether the engine serves requests; false while a model loads or the role changes
+ * @param startedCount how many times the engine has started; an increase means that the engine crashed
  */
 public record EngineState(
         EngineConfiguration configuration,
@@ -18,7 +18,7 @@
         boolean ready,
         long startedCount) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public EngineState {
         Objects.requireNonNull(configuration, "configuration");
         Objects.requireNonNull(appliedOrderId, "appliedOrderId");
--- a/src/main/java/org/dogwoodwinch/target/LoadReport.java
+++ b/src/main/java/org/dogwoodwinch/target/LoadReport.java
@@ -1,17 +1,17 @@
 package org.dogwoodwinch.target;
 
 /**
- * An engine's report of its load; it lags.
+ * An engine's report of its load. It is older than the engine's actual load.
  *
- * @param reportedAtMillis when the engine measured it, in milliseconds of its own time of day
- * @param queuedPrefillTokens prompt tokens accepted and not yet computed
- * @param queuedDecodeTokens tokens still to be generated for accepted requests, as far as the engine can tell
- * @param runningRequests requests in its batch
- * @param waitingRequests requests that wait for a place in the batch
- * @param kvUsedBytes KV cache in use
- * @param kvTotalBytes KV cache there is
- * @param prefillTokensPerSecond prompt tokens it computes a second when busy
- * @param decodeTokensPerSecond tokens it generates a second over its whole batch when busy
+ * @param reportedAtMillis the time of the measurement, in milliseconds of the engine's own wall clock
+ * @param queuedPrefillTokens prompt tokens that are accepted and not yet computed
+ * @param queuedDecodeTokens the engine's estimate of the tokens still to be generated for accepted requests
+ * @param runningRequests requests in the batch
+ * @param waitingRequests requests that wait to enter the batch
+ * @param kvUsedBytes KV cache memory in use
+ * @param kvTotalBytes total KV cache memory
+ * @param prefillTokensPerSecond prompt tokens computed per second under load
+ * @param decodeTokensPerSecond tokens generated per second over the whole batch under load
  */
 public record LoadReport(
         long reportedAtMillis,
--- a/src/main/java/org/dogwoodwinch/target/ServiceAnswer.java
+++ b/src/main/java/org/dogwoodwinch/target/ServiceAnswer.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * A plain service's answer.
+ * The answer of a plain service.
  *
  * @param status the HTTP status
  * @param contentType the body's media type, not null
@@ -12,7 +12,7 @@
  */
 public record ServiceAnswer(int status, String contentType, Bytes body) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ServiceAnswer {
         Objects.requireNonNull(contentType, "contentType");
         Objects.requireNonNull(body, "body");
--- a/src/main/java/org/dogwoodwinch/target/ServiceClient.java
+++ b/src/main/java/org/dogwoodwinch/target/ServiceClient.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.CompletionStage;
 
-/** One plain service's target. */
+/** A client of one target of a plain service. */
 @FunctionalInterface
 public interface ServiceClient {
 
     /**
-     * Sends a call, once.
+     * Sends a call once, without retries.
      *
      * @param call the call, not null
      * @return the answer, or the failure
--- a/src/main/java/org/dogwoodwinch/target/Target.java
+++ b/src/main/java/org/dogwoodwinch/target/Target.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * A back end that requests are routed to.
+ * A back end to which requests are routed.
  *
- * @param name its name in the platform's instance list, not null
- * @param host its IP number, not null
- * @param port its port
- * @param dataCentre the data centre it stands in, not null
- * @param group the engine group or the service's name, not null
+ * @param name the target's name in the platform's instance list, not null
+ * @param host the target's IP address, not null
+ * @param port the target's port
+ * @param dataCentre the target's data centre, not null
+ * @param group the engine group or the name of the service, not null
  */
 public record Target(String name, String host, int port, String dataCentre, String group) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Target {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(host, "host");
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Returns where the target listens.
+     * Returns the address on which the target listens.
      *
      * @return {@code host:port}
      */
--- a/src/main/java/org/dogwoodwinch/target/TargetClients.java
+++ b/src/main/java/org/dogwoodwinch/target/TargetClients.java
@@ -1,21 +1,21 @@
 package org.dogwoodwinch.target;
 
-/** Makes the clients of targets; the users' own bench fits its interfaces in here. */
+/** Creates clients of targets; users plug in implementations for their own targets here. */
 public interface TargetClients {
 
     /**
-     * Returns the client of an engine.
+     * Returns a client of an engine.
      *
      * @param target the engine, not null
-     * @return its client; cheap to ask for
+     * @return the client; cheap to create
      */
     EngineClient engine(Target target);
 
     /**
-     * Returns the client of a plain service's target.
+     * Returns a client of a target of a plain service.
      *
      * @param target the target, not null
-     * @return its client; cheap to ask for
+     * @return the client; cheap to create
      */
     ServiceClient service(Target target);
 }
--- a/src/main/java/org/dogwoodwinch/target/TargetReply.java
+++ b/src/main/java/org/dogwoodwinch/target/TargetReply.java
@@ -5,7 +5,7 @@
 /**
  * The outcome of a short call to a target.
  *
- * @param <T> what the target answers
+ * @param <T> the type of the answer
  */
 public sealed interface TargetReply<T> {
 
@@ -13,25 +13,25 @@
      * The target answered.
      *
      * @param value the answer
-     * @param <T> its type
+     * @param <T> the type of the answer
      */
     record Answer<T>(T value) implements TargetReply<T> {}
 
     /**
      * The call failed.
      *
-     * @param failure why
-     * @param <T> the type of the answer that did not come
+     * @param failure the reason
+     * @param <T> the type of the missing answer
      */
     record Failure<T>(TargetFailure failure) implements TargetReply<T> {}
 
     /**
-     * Calls the function of this result's kind.
+     * Calls the function that matches the outcome.
      *
-     * @param answer for {@link Answer}
-     * @param failure for {@link Failure}
-     * @param <R> what the functions return
-     * @return what the function returned
+     * @param answer called for {@link Answer}
+     * @param failure called for {@link Failure}
+     * @param <R> the result type of the functions
+     * @return the result of the called function
      */
     default <R> R match(Function<T, R> answer, Function<TargetFailure, R> failure) {
         if (this instanceof Answer<T> value) {
--- a/src/main/java/org/dogwoodwinch/target/Usage.java
+++ b/src/main/java/org/dogwoodwinch/target/Usage.java
@@ -1,10 +1,10 @@
 package org.dogwoodwinch.target;
 
 /**
- * What an answer cost, as the engine counted it.
+ * The token counts of an answer, as reported by the engine.
  *
- * @param promptTokens tokens of the prompt
- * @param cachedPromptTokens how many of them the prefix cache held
- * @param completionTokens tokens generated
+ * @param promptTokens tokens in the prompt
+ * @param cachedPromptTokens prompt tokens that were in the prefix cache
+ * @param completionTokens generated tokens
  */
 public record Usage(long promptTokens, long cachedPromptTokens, long completionTokens) {}
--- a/src/main/java/org/dogwoodwinch/target/package-info.java
+++ b/src/main/java/org/dogwoodwinch/target/package-info.java
@@ -1,2 +1,2 @@
-/** Narrow interfaces to targets: model engines and plain services. */
+/** Client interfaces of targets (model engines and plain services) and the types that they exchange. */
 package org.dogwoodwinch.target;
