--- a/src/main/java/org/dogwoodwinch/net/Transport.java
+++ b/src/main/java/org/dogwoodwinch/net/Transport.java
@@ -17,8 +17,8 @@
 /**
  * The socket transport: native epoll if its library can be loaded, Java NIO otherwise.
  *
- * <p>Failure: a connection stops delivering data without a reset while written bytes are unacknowledged. Only the native
- * transport lets the kernel detect this; NIO relies on the timeouts of each call.
+ * <p>Failure: a connection stops delivering data without a reset while written bytes are unacknowledged. Only the
+ * native transport lets the kernel detect this; NIO relies on the timeouts of each call.
  */
 public final class Transport {
 
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Makes the kernel close a connection whose written bytes stay unacknowledged for the given time. NIO does not support
-     * this; there, the method only disables Nagle's algorithm.
+     * Makes the kernel close a connection whose written bytes stay unacknowledged for the given time. NIO does not
+     * support this; there, the method only disables Nagle's algorithm.
      *
      * @param bootstrap the bootstrap that opens the connections, not null
      * @param timeoutMillis the maximum time without acknowledgement, in milliseconds
--- a/src/main/java/org/dogwoodwinch/platform/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/EngineClient.java
@@ -63,8 +63,10 @@
      * Creates a client.
      *
      * @param controlCaller sends the calls, not null
-     * @param timeoutMillis the timeout of a call, in milliseconds, in addition to the time for which the engine holds it
-     * @param longPollMillis how long an engine may hold a request for cache events while nothing changes, in milliseconds
+     * @param timeoutMillis the timeout of a call, in milliseconds, in addition to the time for which the engine holds
+     *     it
+     * @param longPollMillis how long an engine may hold a request for cache events while nothing changes, in
+     *     milliseconds
      */
     public EngineClient(ControlCaller controlCaller, long timeoutMillis, long longPollMillis) {
         this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
--- a/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
+++ b/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
@@ -44,8 +44,8 @@
             HeaderNames.PROXY_CONNECTION);
 
     /**
-     * Headers that only this system may set; a caller's values are removed, since they could affect the KV caches and the
-     * queue order of other requests.
+     * Headers that only this system may set; a caller's values are removed, since they could affect the KV caches and
+     * the queue order of other requests.
      */
     private static final List<AsciiString> RESERVED_HEADERS = List.of(
             HeaderNames.DEADLINE_MILLIS,
--- a/src/main/java/org/dogwoodwinch/target/AnswerStream.java
+++ b/src/main/java/org/dogwoodwinch/target/AnswerStream.java
@@ -4,8 +4,8 @@
 public interface AnswerStream {
 
     /**
-     * Stops reading from the target until {@link #resumeReading()}, which applies the backpressure of a slow caller to the
-     * target.
+     * Stops reading from the target until {@link #resumeReading()}, which applies the backpressure of a slow caller to
+     * the target.
      */
     void pauseReading();
 
@@ -16,9 +16,9 @@
     void cancel();
 
     /**
-     * Stops receiving the answer while the attempt keeps running, so that the stream can be resumed by its attempt id, later
-     * or by another instance. The listener is not called again. Implementations close the connection without cancelling the
-     * attempt on the target; this default only stops reading.
+     * Stops receiving the answer while the attempt keeps running, so that the stream can be resumed by its attempt id,
+     * later or by another instance. The listener is not called again. Implementations close the connection without
+     * cancelling the attempt on the target; this default only stops reading.
      */
     default void detach() {
         pauseReading();
--- a/src/main/java/org/dogwoodwinch/target/GenerateCall.java
+++ b/src/main/java/org/dogwoodwinch/target/GenerateCall.java
@@ -6,8 +6,8 @@
 /**
  * One attempt to generate an answer on one engine.
  *
- * @param attemptId identifies the attempt and the engine's stream; answers are matched by this id, never by their order,
- *     not null
+ * @param attemptId identifies the attempt and the engine's stream; answers are matched by this id, never by their
+ *     order, not null
  * @param model the model's name, not null
  * @param prompt the full prompt, not null
  * @param maxTokens the maximum number of tokens to generate, more than zero
--- a/src/main/java/org/dogwoodwinch/target/OrderResult.java
+++ b/src/main/java/org/dogwoodwinch/target/OrderResult.java
@@ -11,7 +11,8 @@
     record Accepted(EngineState state) implements OrderResult {}
 
     /**
-     * The engine refused the order because it has seen a higher fencing token: the sender no longer holds the authority.
+     * The engine refused the order because it has seen a higher fencing token: the sender no longer holds the
+     * authority.
      *
      * @param highestToken the highest fencing token that the engine has seen
      */
--- a/src/main/java/org/dogwoodwinch/target/TargetClients.java
+++ b/src/main/java/org/dogwoodwinch/target/TargetClients.java
@@ -1,6 +1,6 @@
 package org.dogwoodwinch.target;
 
-/** Creates clients of targets; users plug in implementations for their own targets here. */
+/** Creates clients of targets; users provide their own implementation to connect targets of another kind. */
 public interface TargetClients {
 
     /**
--- a/src/main/java/org/dogwoodwinch/target/TargetFailure.java
+++ b/src/main/java/org/dogwoodwinch/target/TargetFailure.java
@@ -32,7 +32,8 @@
      * @param detail the reason given by the target
      * @param overloaded whether the target refused because of overload
      * @param leaving whether the target refused because it is draining
-     * @param retryAfterMillis when the request may be retried, in milliseconds from now; zero if the target did not state it
+     * @param retryAfterMillis when the request may be retried, in milliseconds from now; zero if the target did not
+     *     state it
      */
     record Refused(String detail, boolean overloaded, boolean leaving, long retryAfterMillis)
             implements TargetFailure {}
--- a/src/main/java/org/dogwoodwinch/target/http/BufferedAnswerHandler.java
+++ b/src/main/java/org/dogwoodwinch/target/http/BufferedAnswerHandler.java
@@ -14,7 +14,7 @@
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
 
-/** Collects one bounded answer. */
+/** Buffers one answer up to a maximum size. */
 final class BufferedAnswerHandler implements AsyncHandler<Void> {
 
     private final SendProgress progress = new SendProgress();
@@ -27,7 +27,7 @@
     /**
      * Creates a handler.
      *
-     * @param maxBodyBytes the longest body taken
+     * @param maxBodyBytes the maximum size of the body, in bytes
      */
     BufferedAnswerHandler(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
@@ -36,7 +36,7 @@
     /**
      * Returns the outcome.
      *
-     * @return completes normally, once
+     * @return the outcome; never completes exceptionally
      */
     CompletableFuture<TargetReply<ServiceAnswer>> reply() {
         return reply;
@@ -63,7 +63,7 @@
     public State onBodyPartReceived(HttpResponseBodyPart part) {
         byte[] bytes = part.getBodyPartBytes();
         if (body.size() + bytes.length > maxBodyBytes) {
-            fail(new TargetFailure.Broken("the answer is longer than " + maxBodyBytes + " bytes"));
+            fail(new TargetFailure.Broken("the answer exceeds " + maxBodyBytes + " bytes"));
             return State.ABORT;
         }
         body.write(bytes, 0, bytes.length);
@@ -78,7 +78,7 @@
     @Override
     public Void onCompleted() {
         if (status == 0) {
-            fail(new TargetFailure.Broken("no status came"));
+            fail(new TargetFailure.Broken("the response ended without a status"));
             return null;
         }
         reply.complete(RefusalBody.parse(contentType, body.toByteArray())
--- a/src/main/java/org/dogwoodwinch/target/http/EngineStreamHandler.java
+++ b/src/main/java/org/dogwoodwinch/target/http/EngineStreamHandler.java
@@ -18,10 +18,11 @@
 import org.dogwoodwinch.target.TargetFailure;
 
 /**
- * Reads one attempt's stream of lines.
+ * Reads the answer stream of one attempt, line by line.
  *
- * <p>The answer is whole only when the engine's own last line says so; the end of the HTTP body alone is a cut answer.
- * A line of another attempt breaks the stream, so that an engine or a proxy that mixes answers up is never believed.
+ * <p>An answer is complete only if the engine's final line says so; an HTTP body that ends without it is a truncated
+ * answer. A line of another attempt fails the stream, so that an engine or a proxy that mixes up answers cannot pass
+ * one caller's text to another.
  */
 final class EngineStreamHandler implements AsyncHandler<Void> {
 
@@ -44,8 +45,8 @@
     /**
      * Creates a handler.
      *
-     * @param attemptId the attempt whose lines are taken, not null
-     * @param listener hears the answer, not null
+     * @param attemptId the attempt whose lines are accepted, not null
+     * @param listener receives the answer, not null
      */
     EngineStreamHandler(String attemptId, AnswerListener listener) {
         this.attemptId = Objects.requireNonNull(attemptId, "attemptId");
@@ -53,27 +54,27 @@
     }
 
     /**
-     * Returns the switch that stops and resumes reading.
+     * Returns the controller that stops and resumes reading.
      *
-     * @return the switch
+     * @return the controller
      */
     ReadController readController() {
         return readController;
     }
 
     /**
-     * Silences the listener.
+     * Ends the attempt without calling the listener.
      *
-     * @return true where the engine may know of the attempt and has not ended it, so that it must be told
+     * @return true if the engine may have received the attempt and has not ended it, so that it must be cancelled there
      */
     boolean cancel() {
         return markEnded() && progress.mayHaveWritten();
     }
 
     /**
-     * Sets what is done when the listener has heard its last.
+     * Sets the callback that runs when the attempt has ended.
      *
-     * @param callback runs at least once after the end, at once where that has come, not null
+     * @param callback runs at least once after the end; immediately if the attempt has already ended, not null
      */
     void onEnd(Runnable callback) {
         onEnd = callback;
@@ -83,19 +84,19 @@
     }
 
     /**
-     * Ends the attempt as silent for too long.
+     * Fails the attempt with a timeout.
      *
-     * @param detail what was waited for, not null
-     * @return true where it had not ended before
+     * @param detail the event that did not occur in time, not null
+     * @return true if the attempt had not ended before
      */
     boolean timeOut(String detail) {
         return fail(new TargetFailure.TimedOut(detail));
     }
 
     /**
-     * Says whether the listener has heard its last.
+     * Returns whether the attempt has ended, after which the listener is not called again.
      *
-     * @return true after the end
+     * @return true if the attempt has ended
      */
     boolean hasEnded() {
         return ended.get();
@@ -145,7 +146,7 @@
         if (splitter.feed(bytes, this::handleLine)) {
             return State.CONTINUE;
         }
-        fail(new TargetFailure.Broken("a line is longer than " + MAX_LINE_BYTES + " bytes"));
+        fail(new TargetFailure.Broken("a stream line exceeds " + MAX_LINE_BYTES + " bytes"));
         return State.ABORT;
     }
 
@@ -158,7 +159,7 @@
     public Void onCompleted() {
         readController.detach();
         if (status == OK) {
-            fail(new TargetFailure.Broken("the answer was cut"));
+            fail(new TargetFailure.Broken("stream ended without its final line"));
             return null;
         }
         Optional<TargetFailure> refusal = RefusalBody.parse(contentType, errorBody.toByteArray());
@@ -166,15 +167,15 @@
         return null;
     }
 
-    /** Returns false where the stream is broken. */
+    /** Handles a line; returns false if the stream must be aborted. */
     private boolean handleLine(byte[] json) {
         Optional<StreamLine> parsed = TargetJson.read(json, LINE_READER);
         if (parsed.isEmpty()) {
-            return !fail(new TargetFailure.Broken("malformed line"));
+            return !fail(new TargetFailure.Broken("malformed stream line"));
         }
         StreamLine line = parsed.get();
         if (!attemptId.equals(line.attemptId())) {
-            return !fail(new TargetFailure.Broken("a line of attempt " + line.attemptId()));
+            return !fail(new TargetFailure.Broken("received a line of attempt " + line.attemptId()));
         }
         return handleMatchingLine(line);
     }
@@ -196,7 +197,7 @@
             fail(new TargetFailure.Failed(line.failure()));
             return true;
         }
-        return !fail(new TargetFailure.Broken("malformed line"));
+        return !fail(new TargetFailure.Broken("malformed stream line"));
     }
 
     private boolean fail(TargetFailure failure) {
--- a/src/main/java/org/dogwoodwinch/target/http/GenerateBody.java
+++ b/src/main/java/org/dogwoodwinch/target/http/GenerateBody.java
@@ -6,15 +6,15 @@
 import org.dogwoodwinch.target.KvReference;
 
 /**
- * A {@link GenerateCall} as it goes to an engine.
+ * The JSON body of a {@link GenerateCall}.
  *
- * @param attemptId names the attempt and the stream
+ * @param attemptId identifies the attempt and the stream
  * @param model the model's name
- * @param prompt the whole prompt
- * @param maxTokens the most tokens to generate
- * @param priority a higher one goes first
- * @param remainingMillis what is left of the deadline, in milliseconds
- * @param prefillOnly whether only the prompt's KV cache is wanted
+ * @param prompt the full prompt
+ * @param maxTokens the maximum number of tokens to generate
+ * @param priority the scheduling priority on the engine; higher values are scheduled first
+ * @param remainingMillis the time left until the deadline, in milliseconds
+ * @param prefillOnly whether to compute only the prompt's KV cache
  * @param kvReference the KV cache to import; null to compute the prompt
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
@@ -29,7 +29,7 @@
         KvReference kvReference) {
 
     /**
-     * Makes the body of a call.
+     * Creates the body of a call.
      *
      * @param call the call, not null
      * @return the body
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Returns the call, as an engine reads it.
+     * Converts this body to a call, as on the engine's side.
      *
      * @return the call
-     * @throws NullPointerException if a part is missing
+     * @throws NullPointerException if a required field is missing
      */
     public GenerateCall toCall() {
         return new GenerateCall(
--- a/src/main/java/org/dogwoodwinch/target/http/HttpCaller.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpCaller.java
@@ -15,7 +15,7 @@
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
 
-/** Sends one bounded HTTP call and turns whatever becomes of it into a value. */
+/** Sends HTTP calls with a timeout and a maximum answer size, and returns every outcome as a value. */
 public final class HttpCaller {
 
     /** The media type of JSON bodies. */
@@ -29,8 +29,8 @@
     /**
      * Creates a caller.
      *
-     * @param client sends the calls, not null; its owner closes it
-     * @param maxAnswerBytes the longest answer taken, in bytes
+     * @param client sends the calls, not null; not closed by this class
+     * @param maxAnswerBytes the maximum size of an answer, in bytes
      */
     public HttpCaller(AsyncHttpClient client, int maxAnswerBytes) {
         this.client = Objects.requireNonNull(client, "client");
@@ -38,14 +38,14 @@
     }
 
     /**
-     * Sends a call, once.
+     * Sends a call once, without retries.
      *
      * @param method the HTTP method, not null
      * @param url the URL, not null
-     * @param contentType the body's media type; empty where there is no body, not null
+     * @param contentType the body's media type; empty if there is no body, not null
      * @param body the body, not null
-     * @param timeoutMillis how long the whole call may take, in milliseconds
-     * @return the answer whatever its status, or the failure; completes normally
+     * @param timeoutMillis the timeout of the whole call, in milliseconds
+     * @return the answer with any status, or the failure; never completes exceptionally
      */
     public CompletionStage<TargetReply<ServiceAnswer>> call(
             String method, String url, String contentType, Bytes body, long timeoutMillis) {
@@ -54,25 +54,25 @@
             ListenableFuture<Void> exchange =
                     client.executeRequest(request(method, url, contentType, body, timeoutMillis), handler);
             if (exchange.isCancelled()) {
-                handler.onThrowable(new CancellationException("the client is closing"));
+                handler.onThrowable(new CancellationException("the HTTP client is closed"));
             }
         } catch (RuntimeException e) {
-            // A closed client or a malformed URL: without this, the caller would wait for an answer that never comes.
+            // The client is closed or the URL is malformed. Without this, the returned stage would never complete.
             handler.onThrowable(e);
         }
         return handler.reply();
     }
 
     /**
-     * Sends a call whose answer is JSON with status 200.
+     * Sends a call and parses its answer, which must be JSON with status 200.
      *
      * @param method the HTTP method, not null
      * @param url the URL, not null
-     * @param body the JSON body; empty for none, not null
-     * @param timeoutMillis how long the whole call may take, in milliseconds
+     * @param body the JSON body; empty if there is no body, not null
+     * @param timeoutMillis the timeout of the whole call, in milliseconds
      * @param type the answer's type, not null
      * @param <T> the answer's type
-     * @return the answer, or the failure; completes normally
+     * @return the answer, or the failure; never completes exceptionally
      */
     public <T> CompletionStage<TargetReply<T>> callJson(
             String method, String url, Bytes body, long timeoutMillis, Class<T> type) {
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Reads a reply whose answer is JSON with status 200.
+     * Parses a reply whose answer must be JSON with status 200.
      *
      * @param reply the reply, not null
-     * @param reader reads the body, not null; empty where it is malformed
+     * @param reader parses the body and returns empty if it is malformed, not null
      * @param <T> the answer's type
      * @return the answer, or the failure
      */
--- a/src/main/java/org/dogwoodwinch/target/http/HttpClients.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpClients.java
@@ -14,15 +14,20 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * The two AsyncHttpClients of a process: one that uses connections again and one that makes a fresh one for each call.
- * Neither ever sends a call a second time by itself.
+ * The two AsyncHttpClients of a process: one that pools connections and one that opens a new connection for each call.
+ * Neither retries a call.
  */
 public final class HttpClients {
 
-    /** Below the usual idle time of servers, so that the pool rarely hands out a connection its peer just closed. */
+    /**
+     * Shorter than the usual idle timeout of servers, so that the pool rarely returns a connection that the peer
+     * closed.
+     */
     private static final Duration POOLED_IDLE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** One read takes at most this: a paused caller's answer waits in the kernel and the engine, not on our heap. */
+    /**
+     * The maximum size of one read; the rest of a paused answer stays in the kernel and the engine, not on the heap.
+     */
     private static final int MAX_READ_BYTES = 8_192;
 
     private static final int MIN_READ_BYTES = 512;
@@ -34,8 +39,8 @@
     /**
      * Creates the clients.
      *
-     * @param group runs their I/O, not null; its owner shuts it down after {@link #close()}
-     * @param connectTimeoutMillis how long a connection may take to be made, in milliseconds
+     * @param group runs the I/O, not null; the caller shuts it down after {@link #close()}
+     * @param connectTimeoutMillis the connect timeout, in milliseconds
      */
     public HttpClients(EventLoopGroup group, int connectTimeoutMillis) {
         pooledClient = new DefaultAsyncHttpClient(config(group, connectTimeoutMillis, true));
@@ -43,9 +48,9 @@
     }
 
     /**
-     * Makes a caller for short calls over connections that are used again.
+     * Creates a caller for short calls over pooled connections.
      *
-     * @param maxAnswerBytes the longest answer taken, in bytes
+     * @param maxAnswerBytes the maximum size of an answer, in bytes
      * @return the caller
      */
     public HttpCaller pooledCaller(int maxAnswerBytes) {
@@ -53,9 +58,9 @@
     }
 
     /**
-     * Makes a caller that uses a fresh connection for each call.
+     * Creates a caller that uses a new connection for each call.
      *
-     * @param maxAnswerBytes the longest answer taken, in bytes
+     * @param maxAnswerBytes the maximum size of an answer, in bytes
      * @return the caller
      */
     public HttpCaller freshCaller(int maxAnswerBytes) {
@@ -63,11 +68,11 @@
     }
 
     /**
-     * Makes the client of an engine.
+     * Creates a client of an engine.
      *
      * @param target the engine, not null
      * @param time runs the timers, not null
-     * @param timeouts how long calls may take, not null
+     * @param timeouts the timeouts of the calls, not null
      * @return the client
      */
     HttpEngineClient engine(Target target, TimeSource time, TargetTimeouts timeouts) {
@@ -75,9 +80,9 @@
     }
 
     /**
-     * Closes both; calls in flight fail.
+     * Closes both clients; calls in flight fail.
      *
-     * @throws UncheckedIOException if one cannot be closed
+     * @throws UncheckedIOException if closing a client fails
      */
     public void close() {
         try {
@@ -92,7 +97,7 @@
         return new DefaultAsyncHttpClientConfig.Builder()
                 .setEventLoopGroup(group)
                 .setConnectTimeout(Duration.ofMillis(connectTimeoutMillis))
-                // The client's own retry would send a call a second time behind the back of the request's life.
+                // An automatic retry would send a call twice without the request's state reflecting it.
                 .setMaxRequestRetry(0)
                 .setFollowRedirect(false)
                 .setKeepAlive(keepAlive)
--- a/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
@@ -25,16 +25,18 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * One engine over HTTP.
+ * Calls one engine over HTTP.
  *
- * <p>Streams are lines of JSON ({@link StreamLine}); see docs/http-api.md for the paths. The callbacks come on the
- * client's I/O threads, or on the calling thread where nothing could be sent.
+ * <p>Streams are lines of JSON ({@link StreamLine}); docs/http-api.md describes the paths. Callbacks run on the
+ * client's I/O threads, or on the calling thread if nothing could be sent.
  */
 public final class HttpEngineClient implements EngineClient {
 
     private static final String ATTEMPTS_PATH = "/v1/attempts";
 
-    /** The request's own deadline timer goes first; the exchange's is only there to free what is left over. */
+    /**
+     * Lets the request's own deadline timer fire first; the HTTP timeout only releases an exchange that remains open.
+     */
     private static final long DEADLINE_SLACK_MILLIS = 2_000;
 
     private final AsyncHttpClient client;
@@ -46,10 +48,10 @@
     /**
      * Creates a client.
      *
-     * @param client sends the calls, not null; its owner closes it
+     * @param client sends the calls, not null; not closed by this class
      * @param target the engine, not null
      * @param time runs the timers, not null
-     * @param timeouts how long calls may take, not null
+     * @param timeouts the timeouts of the calls, not null
      */
     public HttpEngineClient(AsyncHttpClient client, Target target, TimeSource time, TargetTimeouts timeouts) {
         this.client = Objects.requireNonNull(client, "client");
@@ -115,7 +117,7 @@
         try {
             exchange = client.executeRequest(request, handler);
         } catch (RuntimeException e) {
-            // A closed client or a malformed URL: without this, the request would wait for an answer that never comes.
+            // The client is closed or the URL is malformed. Without this, the listener would never be called.
             handler.onThrowable(e);
             return new NoOpStream();
         }
@@ -139,7 +141,7 @@
                 : new OrderResult.Unknown(failure.detail());
     }
 
-    /** The handle on a stream that never started. */
+    /** A stream that was never started; all operations do nothing. */
     private static final class NoOpStream implements AnswerStream {
 
         @Override
--- a/src/main/java/org/dogwoodwinch/target/http/HttpEngineStream.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpEngineStream.java
@@ -6,7 +6,7 @@
 import org.dogwoodwinch.time.Cancellable;
 import org.dogwoodwinch.time.TimeSource;
 
-/** The handle on a stream that runs on an engine. */
+/** A running stream of an engine, with a timeout for silence. */
 final class HttpEngineStream implements AnswerStream {
 
     private final EngineStreamHandler handler;
@@ -17,13 +17,13 @@
     private volatile Cancellable silenceTimer = () -> {};
 
     /**
-     * Creates a handle and starts to watch for silence.
+     * Creates a stream; {@link #scheduleSilenceCheck()} starts its silence timer.
      *
      * @param handler reads the stream, not null
      * @param exchange the HTTP exchange, not null
-     * @param cancelOnEngine tells the engine to cancel, not null
+     * @param cancelOnEngine sends the cancellation to the engine, not null
      * @param time runs the timer, not null
-     * @param silenceMillis how long the engine may be silent, in milliseconds
+     * @param silenceMillis the maximum time without data, in milliseconds
      */
     HttpEngineStream(
             EngineStreamHandler handler,
@@ -38,10 +38,10 @@
         this.silenceMillis = silenceMillis;
     }
 
-    /** Watches for silence: a stopped engine process keeps its connection open, and no error would ever come. */
+    /** Schedules the silence check: a stopped engine process keeps its connection open and causes no error. */
     void scheduleSilenceCheck() {
         silenceTimer = time.schedule(silenceMillis, this::checkSilence);
-        // A timer that outlives its stream holds the whole request on the heap for as long as it has left to run.
+        // A timer that outlives its stream would keep the whole request on the heap until it fires.
         handler.onEnd(this::cancelSilenceTimer);
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Closes the connection; the engine is not told to cancel and keeps the stream for one that joins it. */
+    /** Closes the connection without cancelling on the engine, which keeps the stream so that it can be resumed. */
     @Override
     public void detach() {
         silenceTimer.cancel();
@@ -85,7 +85,7 @@
             scheduleSilenceCheck();
             return;
         }
-        if (handler.timeOut("nothing came for " + silenceMillis + " ms")) {
+        if (handler.timeOut("no data received for " + silenceMillis + " ms")) {
             exchange.cancel(true);
         }
     }
--- a/src/main/java/org/dogwoodwinch/target/http/HttpServiceClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpServiceClient.java
@@ -10,11 +10,11 @@
 import org.dogwoodwinch.target.TargetReply;
 
 /**
- * One plain service's target over HTTP.
+ * Calls one target of a plain service over HTTP.
  *
- * <p>A call that changes something goes over a fresh connection: on a pooled one, the target's own idle close can cross
- * the call on the way, and the caller would be told "may have run" for a call that never arrived. A fresh connection
- * costs a round trip, and its failure to be made proves that nothing was sent.
+ * <p>Calls whose method is not safe use a new connection. The target may close a pooled connection as idle while a call
+ * is being written to it; the caller would then get "may have run" for a call that never arrived. A new connection
+ * costs one round trip, and a failed connection attempt proves that nothing was sent.
  */
 public final class HttpServiceClient implements ServiceClient {
 
@@ -27,8 +27,8 @@
     /**
      * Creates a client.
      *
-     * @param pooledCaller sends calls that are safe to repeat, not null
-     * @param freshCaller sends the others, each over a connection of its own, not null
+     * @param pooledCaller sends calls with safe methods over pooled connections, not null
+     * @param freshCaller sends all other calls, each over a new connection, not null
      * @param target the target, not null
      */
     public HttpServiceClient(HttpCaller pooledCaller, HttpCaller freshCaller, Target target) {
--- a/src/main/java/org/dogwoodwinch/target/http/HttpTargetClients.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpTargetClients.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.target.TargetClients;
 import org.dogwoodwinch.time.TimeSource;
 
-/** Makes the clients of targets that speak HTTP. */
+/** Creates clients of targets over HTTP. */
 public final class HttpTargetClients implements TargetClients {
 
     private final HttpClients clients;
@@ -17,11 +17,11 @@
     private final TargetTimeouts timeouts;
 
     /**
-     * Creates the maker.
+     * Creates a factory.
      *
-     * @param clients send the calls, not null; their owner closes them
+     * @param clients send the calls, not null; not closed by this class
      * @param time runs the timers, not null
-     * @param timeouts how long calls may take, not null
+     * @param timeouts the timeouts of the calls, not null
      */
     public HttpTargetClients(HttpClients clients, TimeSource time, TargetTimeouts timeouts) {
         this.clients = Objects.requireNonNull(clients, "clients");
--- a/src/main/java/org/dogwoodwinch/target/http/LineSplitter.java
+++ b/src/main/java/org/dogwoodwinch/target/http/LineSplitter.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.function.Predicate;
 
-/** Cuts a byte stream into lines; not thread-safe. */
+/** Splits a byte stream into lines; not thread-safe. */
 final class LineSplitter {
 
     private final ByteArrayOutputStream currentLine = new ByteArrayOutputStream();
@@ -12,19 +12,19 @@
     /**
      * Creates a splitter.
      *
-     * @param maxLineBytes the longest line, in bytes; without a bound, a target that never ends a line would fill the
-     *     heap
+     * @param maxLineBytes the maximum length of a line, in bytes; without a limit, a target that never ends a line
+     *     would exhaust the heap
      */
     LineSplitter(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
     /**
-     * Takes bytes and hands out each line that they complete, empty ones left out.
+     * Adds bytes and passes each line that they complete to the consumer; empty lines are skipped.
      *
      * @param bytes the bytes, not null
-     * @param consumer takes a line without its end; returns false to stop
-     * @return false where a line is too long or the taker stopped
+     * @param consumer receives a line without its terminator; returns false to stop
+     * @return false if a line is too long or the consumer stopped
      */
     boolean feed(byte[] bytes, Predicate<byte[]> consumer) {
         int start = 0;
--- a/src/main/java/org/dogwoodwinch/target/http/OrderReply.java
+++ b/src/main/java/org/dogwoodwinch/target/http/OrderReply.java
@@ -5,31 +5,31 @@
 import org.dogwoodwinch.target.OrderResult;
 
 /**
- * What an engine answers to an order.
+ * The JSON body of an engine's answer to an order.
  *
  * @param result {@link #ACCEPTED}, {@link #FENCED} or {@link #REFUSED}
- * @param state the engine's state; null unless accepted
- * @param highestFencingToken the token that the engine holds, where fenced
- * @param detail a sentence for people; null where there is none
+ * @param state the engine's state; null unless the order was accepted
+ * @param highestFencingToken the highest fencing token that the engine has seen; set only if the order was fenced
+ * @param detail a human-readable explanation; null if there is none
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record OrderReply(String result, EngineState state, long highestFencingToken, String detail) {
 
-    /** The engine took the order. */
+    /** The engine accepted the order. */
     public static final String ACCEPTED = "accepted";
 
-    /** The engine has seen a higher fencing token. */
+    /** The engine refused the order because it has seen a higher fencing token. */
     public static final String FENCED = "fenced";
 
-    /** The engine refused and did nothing. */
+    /** The engine refused the order and changed nothing. */
     public static final String REFUSED = "refused";
 
     /**
-     * Makes the reply of a result.
+     * Creates the reply for a result.
      *
-     * @param result the result, not null and not unknown
+     * @param result the result, not null and not {@link OrderResult.Unknown}
      * @return the reply
-     * @throws IllegalArgumentException if the result is unknown: an engine knows what it did
+     * @throws IllegalArgumentException if the result is unknown, since an engine always knows the result
      */
     public static OrderReply of(OrderResult result) {
         if (result instanceof OrderResult.Accepted accepted) {
@@ -41,11 +41,11 @@
         if (result instanceof OrderResult.Refused refused) {
             return new OrderReply(REFUSED, null, 0, refused.detail());
         }
-        throw new IllegalArgumentException("an engine does not answer " + result);
+        throw new IllegalArgumentException("an engine cannot answer with the result " + result);
     }
 
     /**
-     * Returns the result; a reply that is not well-formed leaves it unknown.
+     * Converts this reply to a result; a malformed reply results in {@link OrderResult.Unknown}.
      *
      * @return the result
      */
--- a/src/main/java/org/dogwoodwinch/target/http/ReadController.java
+++ b/src/main/java/org/dogwoodwinch/target/http/ReadController.java
@@ -3,10 +3,11 @@
 import io.netty.channel.Channel;
 
 /**
- * Stops and resumes reading from the connection that carries a stream.
+ * Stops and resumes reading from the connection that carries a stream, and detects streams without data.
  *
- * <p>The connection may come after the pause (it is still being made) and goes back to the pool after the end; one that
- * went back with reading stopped would hang whoever gets it next, so {@link #detach()} always turns reading on again.
+ * <p>Reading may be paused before the connection is established, and the connection returns to the pool after the
+ * stream ends. A connection returned with reading stopped would block its next user, so {@link #detach()} always
+ * enables reading again.
  */
 final class ReadController {
 
@@ -15,7 +16,7 @@
     private boolean dataReceived;
 
     /**
-     * Takes the connection.
+     * Attaches the connection and applies the current pause state to it.
      *
      * @param connection the connection, not null
      */
@@ -24,7 +25,7 @@
         connection.config().setAutoRead(!paused);
     }
 
-    /** Lets the connection go, with reading on. */
+    /** Detaches the connection after enabling reading on it. */
     synchronized void detach() {
         if (channel != null) {
             channel.config().setAutoRead(true);
@@ -40,7 +41,7 @@
         }
     }
 
-    /** Reads on. */
+    /** Resumes reading. The time spent paused does not count as silence. */
     synchronized void resume() {
         paused = false;
         dataReceived = true;
@@ -49,15 +50,15 @@
         }
     }
 
-    /** Notes that something came. */
+    /** Records that data arrived. */
     synchronized void recordData() {
         dataReceived = true;
     }
 
     /**
-     * Says whether nothing came since the last call although reading was on.
+     * Returns whether no data arrived since the last call although reading was enabled.
      *
-     * @return true where the target was silent
+     * @return true if the target was silent
      */
     synchronized boolean wasSilent() {
         boolean silent = !dataReceived && !paused;
--- a/src/main/java/org/dogwoodwinch/target/http/SendProgress.java
+++ b/src/main/java/org/dogwoodwinch/target/http/SendProgress.java
@@ -5,34 +5,35 @@
 import org.dogwoodwinch.target.TargetFailure;
 
 /**
- * How far one request got, which decides whether a failure proves that it did not run.
+ * Tracks whether one request may have been written, which decides whether a failure proves that it did not run.
  *
- * <p>The mark is set before the first byte is handed to the socket. A request that fails after the mark may have
- * arrived even where the connection was a stale one from the pool and the write itself failed: the peer's reset can
- * overtake its reading. Calling that "not sent" would let a billed call run twice, so everything after the mark is
- * broken or timed out. The cost is a needless "may have run" now and then, which the fresh connections of
- * {@link HttpServiceClient} make rare for the calls that cannot be retried.
+ * <p>The flag is set before the first byte is passed to the socket. A request that fails after that may have arrived,
+ * even if the connection was a stale one from the pool and the write itself failed: the reset can arrive although the
+ * peer has read the request. Reporting such a request as "not sent" would allow a billed call to run twice, so every
+ * failure after the flag is set is reported as broken or timed out. This occasionally reports "may have run" for a
+ * request that did not arrive; the new connections of {@link HttpServiceClient} make this rare for calls that cannot be
+ * retried.
  */
 final class SendProgress {
 
     private volatile boolean mayHaveWritten;
 
-    /** Notes that the next step writes to the socket. */
+    /** Records that the next step writes to the socket. */
     void markWriteStarted() {
         mayHaveWritten = true;
     }
 
     /**
-     * Says whether a byte may have reached the target.
+     * Returns whether a byte may have reached the target.
      *
-     * @return true from just before the first write on
+     * @return true from immediately before the first write on
      */
     boolean mayHaveWritten() {
         return mayHaveWritten;
     }
 
     /**
-     * Turns an error into a failure.
+     * Converts an error to a failure.
      *
      * @param error the error, not null
      * @return the failure
--- a/src/main/java/org/dogwoodwinch/target/http/StreamLine.java
+++ b/src/main/java/org/dogwoodwinch/target/http/StreamLine.java
@@ -5,15 +5,15 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * One line of an engine's stream: a chunk, the whole answer's end, or a failure while it ran.
+ * One line of an engine's stream: a chunk, the end of a complete answer, or a failure.
  *
- * @param attemptId the attempt that the line belongs to, on every line
- * @param sequence for a chunk the number of its first token
- * @param tokens for a chunk how many tokens it holds
- * @param text for a chunk its text
- * @param usage for the end what the answer cost
- * @param finishReason for the end why it ended
- * @param failure for a failure what went wrong
+ * @param attemptId the attempt to which the line belongs; present on every line
+ * @param sequence for a chunk, the index of its first token; otherwise null
+ * @param tokens for a chunk, the number of its tokens; otherwise null
+ * @param text for a chunk, its text; otherwise null
+ * @param usage for the end of an answer, its token counts; otherwise null
+ * @param finishReason for the end of an answer, why generation ended; otherwise null
+ * @param failure for a failure, the error; otherwise null
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record StreamLine(
@@ -26,7 +26,7 @@
         String failure) {
 
     /**
-     * Makes the line of a chunk.
+     * Creates the line of a chunk.
      *
      * @param chunk the chunk, not null
      * @return the line
@@ -36,11 +36,11 @@
     }
 
     /**
-     * Makes the line that ends a whole answer.
+     * Creates the line that ends a complete answer.
      *
      * @param attemptId the attempt, not null
-     * @param usage what it cost, not null
-     * @param finishReason why it ended, not null
+     * @param usage the token counts of the answer, not null
+     * @param finishReason why generation ended, not null
      * @return the line
      */
     public static StreamLine complete(String attemptId, Usage usage, String finishReason) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Makes the line that ends a failed answer.
+     * Creates the line that ends a failed answer.
      *
      * @param attemptId the attempt, not null
-     * @param failure what went wrong, not null
+     * @param failure the error, not null
      * @return the line
      */
     public static StreamLine failed(String attemptId, String failure) {
@@ -59,18 +59,18 @@
     }
 
     /**
-     * Says whether this line is a well-formed chunk.
+     * Returns whether this line is a well-formed chunk.
      *
-     * @return true where every part of a chunk is there and in range
+     * @return true if all fields of a chunk are present and in range
      */
     public boolean isChunk() {
         return sequence != null && sequence >= 0 && tokens != null && tokens > 0 && text != null;
     }
 
     /**
-     * Says whether this line ends a whole answer.
+     * Returns whether this line ends a complete answer.
      *
-     * @return true where every part of the end is there
+     * @return true if the token counts and the finish reason are present
      */
     public boolean isComplete() {
         return usage != null && finishReason != null;
--- a/src/main/java/org/dogwoodwinch/target/http/TargetJson.java
+++ b/src/main/java/org/dogwoodwinch/target/http/TargetJson.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 
 /**
- * The JSON of targets and platform. Unknown fields are let through, since targets grow fields; a missing number is
- * malformed, since a zero in its place would be believed.
+ * Reads and writes the JSON of targets and of the platform. Unknown fields are ignored, since newer targets add fields.
+ * A document without a required number is malformed, since a zero in its place would be taken for a reported value.
  */
 public final class TargetJson {
 
@@ -25,35 +25,35 @@
     private TargetJson() {}
 
     /**
-     * Reads a value.
+     * Parses a value.
      *
      * @param json the JSON in UTF-8, not null
      * @param type the value's type, not null
      * @param <T> the value's type
-     * @return the value, or empty where the JSON is malformed or null
+     * @return the value, or empty if the JSON is malformed or null
      */
     public static <T> Optional<T> read(byte[] json, Class<T> type) {
         return read(json, MAPPER.readerFor(type));
     }
 
     /**
-     * Reads a list.
+     * Parses a list.
      *
      * @param json the JSON in UTF-8, not null
      * @param elementType the elements' type, not null
      * @param <T> the elements' type
-     * @return the list, or empty where the JSON is malformed or null
+     * @return the list, or empty if the JSON is malformed or null
      */
     public static <T> Optional<List<T>> readList(byte[] json, Class<T> elementType) {
         return read(json, MAPPER.readerForListOf(elementType));
     }
 
     /**
-     * Writes a value.
+     * Serializes a value.
      *
      * @param value the value, not null
      * @return the JSON in UTF-8
-     * @throws UncheckedIOException if the value has no JSON, which is a fault of this program
+     * @throws UncheckedIOException if the value cannot be serialized, which is a programming error
      */
     public static byte[] write(Object value) {
         try {
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Makes a reader that is kept and used many times, for what comes once for each token.
+     * Creates a reusable reader, for messages that are parsed once per token.
      *
      * @param type the value's type, not null
      * @return the reader; thread-safe
@@ -74,12 +74,12 @@
     }
 
     /**
-     * Reads a value with a kept reader.
+     * Parses a value with a reusable reader.
      *
      * @param json the JSON in UTF-8, not null
      * @param reader the reader, not null
      * @param <T> the value's type
-     * @return the value, or empty where the JSON is malformed or null
+     * @return the value, or empty if the JSON is malformed or null
      */
     static <T> Optional<T> read(byte[] json, ObjectReader reader) {
         try {
--- a/src/main/java/org/dogwoodwinch/target/http/TargetTimeouts.java
+++ b/src/main/java/org/dogwoodwinch/target/http/TargetTimeouts.java
@@ -1,17 +1,17 @@
 package org.dogwoodwinch.target.http;
 
 /**
- * How long calls to targets may take and how much they may answer.
+ * Timeouts of calls to targets, and the maximum size of their answers.
  *
- * @param callMillis a short call, such as a load report, in milliseconds
- * @param orderMillis an order, in milliseconds; stays inside the lease
- * @param resumeMillis a resumed stream as a whole, in milliseconds
- * @param silenceMillis how long a running stream may bring nothing, in milliseconds
- * @param maxAnswerBytes the longest answer that is not a stream, in bytes
+ * @param callMillis the timeout of a short call, such as a load report, in milliseconds
+ * @param orderMillis the timeout of an order, in milliseconds; shorter than the lease under which the order is sent
+ * @param resumeMillis the timeout of a resumed stream as a whole, in milliseconds
+ * @param silenceMillis the maximum time without data on a running stream, in milliseconds
+ * @param maxAnswerBytes the maximum size of an answer that is not a stream, in bytes
  */
 public record TargetTimeouts(
         long callMillis, long orderMillis, long resumeMillis, long silenceMillis, int maxAnswerBytes) {
 
-    /** What daemons use. */
+    /** The timeouts that daemons use. */
     public static final TargetTimeouts STANDARD = new TargetTimeouts(2_000, 5_000, 3_600_000, 30_000, 8 << 20);
 }
--- a/src/main/java/org/dogwoodwinch/target/http/package-info.java
+++ b/src/main/java/org/dogwoodwinch/target/http/package-info.java
@@ -1,2 +1,2 @@
-/** AsyncHttpClient adapters of the target interfaces. */
+/** Implementations of the target clients over HTTP, based on AsyncHttpClient. */
 package org.dogwoodwinch.target.http;
--- a/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
@@ -25,8 +25,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Entries of other writers, or of other versions of targets, lie among the sound ones. What is not understood whole
- * names no target: read as ready, with a zero for what is missing, it would take callers' requests that nobody answers.
+ * Failure: a malformed entry decoded as a ready target, with zeros for missing fields, gets requests and fails them.
  */
 class MutatedEntriesTest {
 
@@ -89,7 +88,7 @@
         assertThrows(IOException.class, () -> decode(entry));
     }
 
-    /** Bytes and fields changed at random: each is refused with a reason, or read with everything in range. */
+    /** Failure: an entry with random changes is decoded with values out of range. */
     @Test
     void mutatedEntryIsRejectedOrDecodedWithinRange() throws IOException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(18);
@@ -107,7 +106,7 @@
         assertTrue(rejectedCount > ROUNDS / 4, "refused " + rejectedCount);
     }
 
-    /** What is not understood leaves the last configuration in force; nothing but a refusal comes of it. */
+    /** Failure: a malformed configuration fails with an unexpected exception instead of being rejected. */
     @Test
     void mutatedConfigurationIsRejectedOrDecoded() throws IOException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(19);
--- a/src/test/java/org/dogwoodwinch/target/http/HttpEngineClientTest.java
+++ b/src/test/java/org/dogwoodwinch/target/http/HttpEngineClientTest.java
@@ -57,32 +57,26 @@
         assertEquals("whole:t stop", generate(ScriptedServer.streamResponse("", CHUNK, END)));
     }
 
-    /**
-     * The engine dies in the middle of its answer, and the connection ends as an orderly one does. The request hears of
-     * a cut answer that may have run, not of a whole one.
-     */
+    /** Failure: an engine dies while it answers, the connection closes in order, and the answer passes for complete. */
     @Test
     void streamWithoutFinalLineIsBroken() throws IOException {
-        assertEquals("Broken:the answer was cut", generate(ScriptedServer.streamResponse(CHUNK)));
+        assertEquals("Broken:stream ended without its final line", generate(ScriptedServer.streamResponse(CHUNK)));
     }
 
     @Test
     void malformedLineBreaksStream() throws IOException {
-        assertEquals("Broken:malformed line", generate(ScriptedServer.streamResponse(CHUNK, "{\"sequence\":")));
+        assertEquals("Broken:malformed stream line", generate(ScriptedServer.streamResponse(CHUNK, "{\"sequence\":")));
         assertEquals(
-                "Broken:malformed line",
+                "Broken:malformed stream line",
                 generate(ScriptedServer.streamResponse(
                         "{\"attemptId\":\"a-1\",\"sequence\":-1,\"tokens\":1,\"text\":\"\"}")));
     }
 
-    /**
-     * An engine, or something on the way, mixes two answers up. The line of the other attempt ends this one as broken:
-     * its text never reaches this caller.
-     */
+    /** Failure: an engine or a proxy mixes up two answers, and a caller receives text of another caller's request. */
     @Test
     void lineOfAnotherAttemptBreaksStream() throws IOException {
         assertEquals(
-                "Broken:a line of attempt a-2",
+                "Broken:received a line of attempt a-2",
                 generate(ScriptedServer.streamResponse(CHUNK.replace("a-1", "a-2"), END)));
     }
 
@@ -108,7 +102,10 @@
         assertTrue(listener.outcome.join().startsWith("NotSent:"), listener.outcome.join());
     }
 
-    /** The engine takes the request and closes without a word: it may have run, whatever the client library thinks. */
+    /**
+     * Failure: the engine closes the connection without an answer, and the HTTP library retries a call that may have
+     * run.
+     */
     @Test
     void connectionClosedWithoutAnswerIsBrokenAndNotRetried() throws IOException {
         try (ScriptedServer server = new ScriptedServer("", ScriptedServer.streamResponse(CHUNK, END))) {
@@ -122,10 +119,7 @@
         }
     }
 
-    /**
-     * An engine process is stopped: its connection stays open and nothing comes. Once it was silent for the allowed
-     * time, the attempt ends as timed out and may have run.
-     */
+    /** Failure: an engine process is stopped, its connection stays open, and the attempt never ends. */
     @Test
     void silentEngineTimesOut() throws IOException {
         try (ScriptedServer server = new ScriptedServer()) {
--- a/src/test/java/org/dogwoodwinch/target/http/ScriptedServer.java
+++ b/src/test/java/org/dogwoodwinch/target/http/ScriptedServer.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.dogwoodwinch.target.Target;
 
-/** Answers each connection's first request with the next of the given texts and closes. */
+/** Answers the first request of each connection with the next of the given responses and closes the connection. */
 final class ScriptedServer implements AutoCloseable {
 
     private final ServerSocket serverSocket;
@@ -28,13 +28,13 @@
         return new Target("t", "127.0.0.1", serverSocket.getLocalPort(), "dc", "g");
     }
 
-    /** Makes an answer of lines whose body ends where the connection does. */
+    /** Returns a response of lines whose body is terminated by the end of the connection. */
     static String streamResponse(String... lines) {
         return "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n"
                 + String.join("\n", lines) + "\n";
     }
 
-    /** Makes a whole answer. */
+    /** Returns a response with a content length. */
     static String fixedLengthResponse(int status, String contentType, String body) {
         return "HTTP/1.1 " + status + " X\r\nContent-Type: " + contentType + "\r\nContent-Length: " + body.length()
                 + "\r\nConnection: close\r\n\r\n" + body;
