--- a/src/main/java/org/dogwoodwinch/target/http/HttpCaller.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpCaller.java
@@ -54,7 +54,7 @@
             ListenableFuture<Void> exchange =
                     client.executeRequest(request(method, url, contentType, body, timeoutMillis), handler);
             if (exchange.isCancelled()) {
-                handler.onThrowable(new CancellationException("the HTTP client is closed"));
+                handler.onThrowable(new CancellationException("the HTTP client is closing"));
             }
         } catch (RuntimeException e) {
             // The client is closed or the URL is malformed. Without this, the returned stage would never complete.
