--- a/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/MutatedEntriesTest.java
@@ -83,7 +83,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("foreign")
+    @MethodSource("invalidEntries")
     void rejectsInvalidEntry(String entry) {
         assertThrows(IOException.class, () -> decode(entry));
     }
