--- a/src/main/java/org/dogwoodwinch/platform/TargetEntryDecoder.java
+++ b/src/main/java/org/dogwoodwinch/platform/TargetEntryDecoder.java
@@ -9,16 +9,16 @@
 import org.dogwoodwinch.forwarding.Stage;
 
 /**
- * Decodes what a target states of itself in the platform's store.
+ * Decodes the entry with which a target registers in the platform's store.
  *
- * <p>Failure: an entry that is half understood, as of another version of a target or of a writer gone wrong, would be
- * read as a target that is ready, with a zero in place of what is missing. Whatever a choice rests on has to be there and
- * in range; otherwise the entry names no target to use, and the others hold.
+ * <p>Failure: an incomplete entry, written by another version of a target or by a faulty writer, would be decoded as a
+ * ready target, with zeros in place of missing fields. Every field that routing depends on must be present and in
+ * range; otherwise the entry is rejected, and the other entries stay in use.
  */
 public final class TargetEntryDecoder {
 
-    /** Over any entry; a larger one is no entry. */
-    private static final int MAX_BYTES = 65_536;
+    /** More than any valid entry needs; a larger entry is rejected. */
+    private static final int MAX_ENTRY_BYTES = 65_536;
 
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
@@ -30,118 +30,118 @@
     /**
      * Decodes an entry.
      *
-     * @param id the entry's key, which is the incarnation's id and stands nowhere else, not null
-     * @param body the entry, not null
+     * @param id the entry's key, which is the incarnation's id and is not repeated in the entry, not null
+     * @param body the entry as JSON, not null
      * @return the incarnation
-     * @throws IOException if it is none, with the field that is wrong
+     * @throws IOException if the entry is invalid; the message names the field
      */
     public static Incarnation decode(String id, Bytes body) throws IOException {
-        if (body.length() > MAX_BYTES) {
-            throw new IOException("an entry of " + body.length() + " bytes");
+        if (body.length() > MAX_ENTRY_BYTES) {
+            throw new IOException("entry too large: " + body.length() + " bytes, at most " + MAX_ENTRY_BYTES);
         }
         JsonNode entry = JsonTrees.read(body.toByteArray());
         if (entry == null || !entry.isObject()) {
-            throw new IOException("not an object");
+            throw new IOException("entry is not a JSON object");
         }
-        String address = address(entry);
+        String address = decodeAddress(entry);
         int colon = address.lastIndexOf(':');
         return new Incarnation(
                 id,
-                text(entry, "service"),
+                requireText(entry, "service"),
                 address.substring(0, colon),
                 Integer.parseInt(address.substring(colon + 1)),
-                // The wire's zone is a data centre.
-                text(entry, "zone"),
-                slots(entry),
-                leaving(entry),
-                stageOf(entry),
-                // The wire's own version field is that of the software; weights have theirs with each model.
+                // The field zone on the wire is the data centre.
+                requireText(entry, "zone"),
+                decodeSlots(entry),
+                decodeDraining(entry),
+                decodeOptionalStage(entry),
+                // The entry's field version is the software's version; the version of the weights is in each model.
                 entry.path("models").path(0).path("version").asLong(),
-                born(entry));
+                decodeStartMillis(entry));
     }
 
     /**
-     * Decodes when a target started, from anything that it says of itself.
+     * Decodes the start time of a target from its entry or from one of its answers.
      *
-     * @param said the entry or answer, not null
-     * @return milliseconds of the platform's time; zero where it does not state it
-     * @throws IOException if what it states is no time
+     * @param document the entry or the answer, not null
+     * @return the start time in milliseconds of the platform's clock; zero if not stated
+     * @throws IOException if the stated value is not a positive integer
      */
-    static long born(JsonNode said) throws IOException {
-        JsonNode born = said.path("born");
-        if (born.isMissingNode()) {
+    static long decodeStartMillis(JsonNode document) throws IOException {
+        JsonNode value = document.path("born");
+        if (value.isMissingNode()) {
             return 0;
         }
-        if (!born.isIntegralNumber() || !born.canConvertToLong() || born.asLong() <= 0) {
-            throw new IOException("born is no time: " + born);
+        if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() <= 0) {
+            throw new IOException("born is not a positive integer: " + value);
         }
-        return born.asLong();
+        return value.asLong();
     }
 
-    private static String text(JsonNode entry, String field) throws IOException {
+    private static String requireText(JsonNode entry, String field) throws IOException {
         JsonNode value = entry.path(field);
         if (!value.isTextual() || value.asText().isEmpty()) {
-            throw new IOException(field + " is no text: " + value);
+            throw new IOException(field + " is not a non-empty string: " + value);
         }
         return value.asText();
     }
 
-    private static String address(JsonNode entry) throws IOException {
-        String address = text(entry, "address");
+    private static String decodeAddress(JsonNode entry) throws IOException {
+        String address = requireText(entry, "address");
         if (!ADDRESS.matcher(address).matches()) {
-            throw new IOException("address is none: " + address);
+            throw new IOException("invalid address: " + address);
         }
         int colon = address.lastIndexOf(':');
         for (String octet : address.substring(0, colon).split("[.]", -1)) {
             if (Integer.parseInt(octet) > MAX_OCTET) {
-                throw new IOException("address is none: " + address);
+                throw new IOException("invalid address: " + address);
             }
         }
         int port = Integer.parseInt(address.substring(colon + 1));
         if (port < 1 || port > MAX_PORT) {
-            throw new IOException("address has no port: " + address);
+            throw new IOException("invalid port in address: " + address);
         }
         return address;
     }
 
-    private static int slots(JsonNode entry) throws IOException {
+    private static int decodeSlots(JsonNode entry) throws IOException {
         JsonNode slots = entry.path("slots");
         if (!slots.isInt() || slots.asInt() < 1 || slots.asInt() > MAX_SLOTS) {
-            throw new IOException("slots is out of range: " + slots);
+            throw new IOException("slots is not an integer from 1 to " + MAX_SLOTS + ": " + slots);
         }
         return slots.asInt();
     }
 
-    private static boolean leaving(JsonNode entry) throws IOException {
-        String state = text(entry, "state");
+    private static boolean decodeDraining(JsonNode entry) throws IOException {
+        String state = requireText(entry, "state");
         return switch (state) {
             case "ready" -> false;
             case "draining" -> true;
-            default -> throw new IOException("state is unknown: " + state);
+            default -> throw new IOException("unknown state: " + state);
         };
     }
 
-    /** Plain services state none. */
-    private static Stage stageOf(JsonNode entry) throws IOException {
-        JsonNode word = entry.path("stage");
-        boolean none = word.isMissingNode()
-                || word.isNull()
-                || (word.isTextual() && word.asText().isEmpty());
-        return none ? Stage.WHOLE : stage(text(entry, "stage"));
+    /** Returns {@link Stage#WHOLE} if no stage is stated, as with plain services. */
+    private static Stage decodeOptionalStage(JsonNode entry) throws IOException {
+        JsonNode value = entry.path("stage");
+        boolean absent = value.isMissingNode()
+                || value.isNull()
+                || (value.isTextual() && value.asText().isEmpty());
+        return absent ? Stage.WHOLE : parseStage(requireText(entry, "stage"));
     }
 
     /**
-     * Decodes a stage.
+     * Parses the name of a stage.
      *
-     * @param word the wire's word, not null
+     * @param text the name on the wire, not null
      * @return the stage
-     * @throws IOException if the word is none
+     * @throws IOException if the name is unknown
      */
-    static Stage stage(String word) throws IOException {
-        return switch (word) {
+    static Stage parseStage(String text) throws IOException {
+        return switch (text) {
             case "prefill" -> Stage.PREFILL;
             case "decode" -> Stage.DECODE;
-            default -> throw new IOException("stage is unknown: " + word);
+            default -> throw new IOException("unknown stage: " + text);
         };
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/WholeAnswerHandler.java
+++ b/src/main/java/org/dogwoodwinch/target/http/BufferedAnswerHandler.java
@@ -14,8 +14,8 @@
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
 
-/** Collects one bounded answer. */
-final class WholeAnswerHandler implements AsyncHandler<Void> {
+/** Buffers one answer up to a maximum size. */
+final class BufferedAnswerHandler implements AsyncHandler<Void> {
 
     private final SendProgress progress = new SendProgress();
     private final CompletableFuture<TargetReply<ServiceAnswer>> reply = new CompletableFuture<>();
@@ -27,16 +27,16 @@
     /**
      * Creates a handler.
      *
-     * @param maxBodyBytes the longest body taken
+     * @param maxBodyBytes the maximum size of the body, in bytes
      */
-    WholeAnswerHandler(int maxBodyBytes) {
+    BufferedAnswerHandler(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
      * Returns the outcome.
      *
-     * @return completes normally, once
+     * @return the outcome; never completes exceptionally
      */
     CompletableFuture<TargetReply<ServiceAnswer>> reply() {
         return reply;
@@ -44,7 +44,7 @@
 
     @Override
     public void onRequestSend(NettyRequest _request) {
-        progress.beforeWrite();
+        progress.markWriteStarted();
     }
 
     @Override
@@ -63,7 +63,7 @@
     public State onBodyPartReceived(HttpResponseBodyPart part) {
         byte[] bytes = part.getBodyPartBytes();
         if (body.size() + bytes.length > maxBodyBytes) {
-            fail(new TargetFailure.Broken("the answer is longer than " + maxBodyBytes + " bytes"));
+            fail(new TargetFailure.Broken("the answer exceeds " + maxBodyBytes + " bytes"));
             return State.ABORT;
         }
         body.write(bytes, 0, bytes.length);
@@ -72,13 +72,13 @@
 
     @Override
     public void onThrowable(Throwable error) {
-        fail(progress.failureOf(error));
+        fail(progress.toFailure(error));
     }
 
     @Override
     public Void onCompleted() {
         if (status == 0) {
-            fail(new TargetFailure.Broken("no status came"));
+            fail(new TargetFailure.Broken("the response ended without a status"));
             return null;
         }
         reply.complete(RefusalBody.parse(contentType, body.toByteArray())
--- a/src/main/java/org/dogwoodwinch/target/http/EngineStreamHandler.java
+++ b/src/main/java/org/dogwoodwinch/target/http/EngineStreamHandler.java
@@ -18,34 +18,35 @@
 import org.dogwoodwinch.target.TargetFailure;
 
 /**
- * Reads one attempt's stream of lines.
+ * Reads the answer stream of one attempt, line by line.
  *
- * <p>The answer is whole only when the engine's own last line says so; the end of the HTTP body alone is a cut answer.
- * A line of another attempt breaks the stream, so that an engine or a proxy that mixes answers up is never believed.
+ * <p>An answer is complete only if the engine's final line says so; an HTTP body that ends without it is a truncated
+ * answer. A line of another attempt fails the stream, so that an engine or a proxy that mixes up answers cannot pass
+ * one caller's text to another.
  */
 final class EngineStreamHandler implements AsyncHandler<Void> {
 
-    private static final ObjectReader LINES = TargetJson.reader(StreamLine.class);
+    private static final ObjectReader LINE_READER = TargetJson.reader(StreamLine.class);
     private static final int OK = 200;
     private static final int MAX_LINE_BYTES = 1 << 20;
-    private static final int MAX_REFUSAL_BYTES = 1 << 16;
+    private static final int MAX_ERROR_BODY_BYTES = 1 << 16;
 
     private final String attemptId;
     private final AnswerListener listener;
     private final SendProgress progress = new SendProgress();
     private final AtomicBoolean ended = new AtomicBoolean();
     private final LineSplitter splitter = new LineSplitter(MAX_LINE_BYTES);
-    private final ByteArrayOutputStream refusal = new ByteArrayOutputStream();
-    private final PausableReading reading = new PausableReading();
-    private volatile Runnable whenEnded = () -> {};
+    private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
+    private final ReadController readController = new ReadController();
+    private volatile Runnable onEnd = () -> {};
     private int status;
     private String contentType = "";
 
     /**
      * Creates a handler.
      *
-     * @param attemptId the attempt whose lines are taken, not null
-     * @param listener hears the answer, not null
+     * @param attemptId the attempt whose lines are accepted, not null
+     * @param listener receives the answer, not null
      */
     EngineStreamHandler(String attemptId, AnswerListener listener) {
         this.attemptId = Objects.requireNonNull(attemptId, "attemptId");
@@ -53,49 +54,49 @@
     }
 
     /**
-     * Returns the switch that stops and resumes reading.
+     * Returns the controller that stops and resumes reading.
      *
-     * @return the switch
+     * @return the controller
      */
-    PausableReading reading() {
-        return reading;
+    ReadController readController() {
+        return readController;
     }
 
     /**
-     * Silences the listener.
+     * Ends the attempt without calling the listener.
      *
-     * @return true where the engine may know of the attempt and has not ended it, so that it must be told
+     * @return true if the engine may have received the attempt and has not ended it, so that it must be cancelled there
      */
     boolean cancel() {
-        return end() && progress.maybeWritten();
+        return markEnded() && progress.mayHaveWritten();
     }
 
     /**
-     * Sets what is done when the listener has heard its last.
+     * Sets the callback that runs when the attempt has ended.
      *
-     * @param newWhenEnded runs at least once after the end, at once where that has come, not null
+     * @param callback runs at least once after the end; immediately if the attempt has already ended, not null
      */
-    void whenEnded(Runnable newWhenEnded) {
-        whenEnded = newWhenEnded;
+    void onEnd(Runnable callback) {
+        onEnd = callback;
         if (ended.get()) {
-            newWhenEnded.run();
+            callback.run();
         }
     }
 
     /**
-     * Ends the attempt as silent for too long.
+     * Fails the attempt with a timeout.
      *
-     * @param detail what was waited for, not null
-     * @return true where it had not ended before
+     * @param detail the event that did not occur in time, not null
+     * @return true if the attempt had not ended before
      */
     boolean timeOut(String detail) {
         return fail(new TargetFailure.TimedOut(detail));
     }
 
     /**
-     * Says whether the listener has heard its last.
+     * Returns whether the attempt has ended, after which the listener is not called again.
      *
-     * @return true after the end
+     * @return true if the attempt has ended
      */
     boolean hasEnded() {
         return ended.get();
@@ -103,27 +104,27 @@
 
     @Override
     public void onTcpConnectSuccess(InetSocketAddress _remoteAddress, Channel connection) {
-        reading.attach(connection);
+        readController.attach(connection);
     }
 
     @Override
     public void onConnectionPooled(Channel connection) {
-        reading.attach(connection);
+        readController.attach(connection);
     }
 
     @Override
     public void onConnectionOffer(Channel _connection) {
-        reading.detach();
+        readController.detach();
     }
 
     @Override
     public void onRequestSend(NettyRequest _request) {
-        progress.beforeWrite();
+        progress.markWriteStarted();
     }
 
     @Override
     public State onStatusReceived(HttpResponseStatus responseStatus) {
-        reading.touch();
+        readController.recordData();
         status = responseStatus.getStatusCode();
         return State.CONTINUE;
     }
@@ -136,50 +137,50 @@
 
     @Override
     public State onBodyPartReceived(HttpResponseBodyPart part) {
-        reading.touch();
+        readController.recordData();
         byte[] bytes = part.getBodyPartBytes();
         if (status != OK) {
-            refusal.write(bytes, 0, Math.min(bytes.length, MAX_REFUSAL_BYTES - refusal.size()));
+            errorBody.write(bytes, 0, Math.min(bytes.length, MAX_ERROR_BODY_BYTES - errorBody.size()));
             return State.CONTINUE;
         }
-        if (splitter.feed(bytes, this::takeLine)) {
+        if (splitter.feed(bytes, this::handleLine)) {
             return State.CONTINUE;
         }
-        fail(new TargetFailure.Broken("a line is longer than " + MAX_LINE_BYTES + " bytes"));
+        fail(new TargetFailure.Broken("a stream line exceeds " + MAX_LINE_BYTES + " bytes"));
         return State.ABORT;
     }
 
     @Override
     public void onThrowable(Throwable error) {
-        fail(progress.failureOf(error));
+        fail(progress.toFailure(error));
     }
 
     @Override
     public Void onCompleted() {
-        reading.detach();
+        readController.detach();
         if (status == OK) {
-            fail(new TargetFailure.Broken("the answer was cut"));
+            fail(new TargetFailure.Broken("stream ended without its final line"));
             return null;
         }
-        Optional<TargetFailure> refused = RefusalBody.parse(contentType, refusal.toByteArray());
-        fail(refused.orElseGet(() -> new TargetFailure.Failed("status " + status)));
+        Optional<TargetFailure> refusal = RefusalBody.parse(contentType, errorBody.toByteArray());
+        fail(refusal.orElseGet(() -> new TargetFailure.Failed("status " + status)));
         return null;
     }
 
-    /** Returns false where the stream is broken. */
-    private boolean takeLine(byte[] json) {
-        Optional<StreamLine> parsed = TargetJson.read(json, LINES);
+    /** Handles a line; returns false if the stream must be aborted. */
+    private boolean handleLine(byte[] json) {
+        Optional<StreamLine> parsed = TargetJson.read(json, LINE_READER);
         if (parsed.isEmpty()) {
-            return !fail(new TargetFailure.Broken("malformed line"));
+            return !fail(new TargetFailure.Broken("malformed stream line"));
         }
         StreamLine line = parsed.get();
         if (!attemptId.equals(line.attemptId())) {
-            return !fail(new TargetFailure.Broken("a line of attempt " + line.attemptId()));
+            return !fail(new TargetFailure.Broken("received a line of attempt " + line.attemptId()));
         }
-        return takeOwnLine(line);
+        return handleMatchingLine(line);
     }
 
-    private boolean takeOwnLine(StreamLine line) {
+    private boolean handleMatchingLine(StreamLine line) {
         if (line.isChunk()) {
             if (!ended.get()) {
                 listener.onChunk(new AnswerChunk(attemptId, line.sequence(), line.tokens(), line.text()));
@@ -187,7 +188,7 @@
             return true;
         }
         if (line.isComplete()) {
-            if (end()) {
+            if (markEnded()) {
                 listener.onComplete(line.usage(), line.finishReason());
             }
             return true;
@@ -196,22 +197,22 @@
             fail(new TargetFailure.Failed(line.failure()));
             return true;
         }
-        return !fail(new TargetFailure.Broken("malformed line"));
+        return !fail(new TargetFailure.Broken("malformed stream line"));
     }
 
     private boolean fail(TargetFailure failure) {
-        if (!end()) {
+        if (!markEnded()) {
             return false;
         }
         listener.onFailure(failure);
         return true;
     }
 
-    private boolean end() {
+    private boolean markEnded() {
         if (!ended.compareAndSet(false, true)) {
             return false;
         }
-        whenEnded.run();
+        onEnd.run();
         return true;
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
@@ -25,36 +25,38 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * One engine over HTTP.
+ * Calls one engine over HTTP.
  *
- * <p>Streams are lines of JSON ({@link StreamLine}); see docs/http-api.md for the paths. The callbacks come on the
- * client's I/O threads, or on the calling thread where nothing could be sent.
+ * <p>Streams are lines of JSON ({@link StreamLine}); docs/http-api.md describes the paths. Callbacks run on the
+ * client's I/O threads, or on the calling thread if nothing could be sent.
  */
 public final class HttpEngineClient implements EngineClient {
 
-    private static final String ATTEMPTS = "/v1/attempts";
+    private static final String ATTEMPTS_PATH = "/v1/attempts";
 
-    /** The request's own deadline timer goes first; the exchange's is only there to free what is left over. */
+    /**
+     * Lets the request's own deadline timer fire first; the HTTP timeout only releases an exchange that remains open.
+     */
     private static final long DEADLINE_SLACK_MILLIS = 2_000;
 
     private final AsyncHttpClient client;
     private final HttpCaller caller;
-    private final String base;
+    private final String baseUrl;
     private final TimeSource time;
     private final TargetTimeouts timeouts;
 
     /**
      * Creates a client.
      *
-     * @param client sends the calls, not null; its owner closes it
+     * @param client sends the calls, not null; not closed by this class
      * @param target the engine, not null
      * @param time runs the timers, not null
-     * @param timeouts how long calls may take, not null
+     * @param timeouts the timeouts of the calls, not null
      */
     public HttpEngineClient(AsyncHttpClient client, Target target, TimeSource time, TargetTimeouts timeouts) {
         this.client = Objects.requireNonNull(client, "client");
         this.caller = new HttpCaller(client, timeouts.maxAnswerBytes());
-        this.base = "http://" + target.address();
+        this.baseUrl = "http://" + target.address();
         this.time = Objects.requireNonNull(time, "time");
         this.timeouts = timeouts;
     }
@@ -62,7 +64,7 @@
     @Override
     public AnswerStream generate(GenerateCall call, AnswerListener listener) {
         Request request = new RequestBuilder("POST", true)
-                .setUrl(base + ATTEMPTS)
+                .setUrl(baseUrl + ATTEMPTS_PATH)
                 .setHeader("Content-Type", HttpCaller.JSON)
                 .setBody(TargetJson.write(GenerateBody.of(call)))
                 .setRequestTimeout(Duration.ofMillis(call.remainingMillis() + DEADLINE_SLACK_MILLIS))
@@ -81,12 +83,12 @@
 
     @Override
     public CompletionStage<TargetReply<LoadReport>> loadReport() {
-        return caller.callJson("GET", base + "/v1/load", Bytes.EMPTY, timeouts.callMillis(), LoadReport.class);
+        return caller.callJson("GET", baseUrl + "/v1/load", Bytes.EMPTY, timeouts.callMillis(), LoadReport.class);
     }
 
     @Override
     public CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
-        String url = base + "/v1/cache-events?after=" + afterSequence;
+        String url = baseUrl + "/v1/cache-events?after=" + afterSequence;
         return caller.call("GET", url, "", Bytes.EMPTY, timeouts.callMillis())
                 .thenApply(reply -> HttpCaller.parse(reply, body -> TargetJson.readList(body, CacheEvent.class)));
     }
@@ -100,13 +102,13 @@
     @Override
     public CompletionStage<OrderResult> order(EngineOrder order) {
         Bytes body = Bytes.of(TargetJson.write(order));
-        return caller.callJson("POST", base + "/v1/orders", body, timeouts.orderMillis(), OrderReply.class)
-                .thenApply(reply -> reply.match(OrderReply::toResult, HttpEngineClient::failedOrder));
+        return caller.callJson("POST", baseUrl + "/v1/orders", body, timeouts.orderMillis(), OrderReply.class)
+                .thenApply(reply -> reply.match(OrderReply::toResult, HttpEngineClient::toOrderResult));
     }
 
     @Override
     public CompletionStage<TargetReply<EngineState>> state() {
-        return caller.callJson("GET", base + "/v1/state", Bytes.EMPTY, timeouts.callMillis(), EngineState.class);
+        return caller.callJson("GET", baseUrl + "/v1/state", Bytes.EMPTY, timeouts.callMillis(), EngineState.class);
     }
 
     private AnswerStream stream(Request request, String attemptId, AnswerListener listener) {
@@ -115,13 +117,13 @@
         try {
             exchange = client.executeRequest(request, handler);
         } catch (RuntimeException e) {
-            // A closed client or a malformed URL: without this, the request would wait for an answer that never comes.
+            // The client is closed or the URL is malformed. Without this, the listener would never be called.
             handler.onThrowable(e);
-            return new EndedStream();
+            return new NoOpStream();
         }
         HttpEngineStream stream = new HttpEngineStream(
                 handler, exchange, () -> cancelOnEngine(attemptId), time, timeouts.silenceMillis());
-        stream.watchSilence();
+        stream.scheduleSilenceCheck();
         return stream;
     }
 
@@ -130,17 +132,17 @@
     }
 
     private String attemptUrl(String attemptId) {
-        return base + ATTEMPTS + "/" + attemptId;
+        return baseUrl + ATTEMPTS_PATH + "/" + attemptId;
     }
 
-    private static OrderResult failedOrder(TargetFailure failure) {
+    private static OrderResult toOrderResult(TargetFailure failure) {
         return failure.provesNotRun()
                 ? new OrderResult.Refused(failure.detail())
                 : new OrderResult.Unknown(failure.detail());
     }
 
-    /** The handle on a stream that never started. */
-    private static final class EndedStream implements AnswerStream {
+    /** A stream that was never started; all operations do nothing. */
+    private static final class NoOpStream implements AnswerStream {
 
         @Override
         public void pauseReading() {}
--- a/src/main/java/org/dogwoodwinch/target/http/HttpServiceClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpServiceClient.java
@@ -10,36 +10,37 @@
 import org.dogwoodwinch.target.TargetReply;
 
 /**
- * One plain service's target over HTTP.
+ * Calls one target of a plain service over HTTP.
  *
- * <p>A call that changes something goes over a fresh connection: on a pooled one, the target's own idle close can cross
- * the call on the way, and the caller would be told "may have run" for a call that never arrived. A fresh connection
- * costs a round trip, and its failure to be made proves that nothing was sent.
+ * <p>Calls whose method is not safe use a new connection. The target may close a pooled connection as idle while a call
+ * is being written to it; the caller would then get "may have run" for a call that never arrived. A new connection
+ * costs one round trip, and a failed connection attempt proves that nothing was sent.
  */
 public final class HttpServiceClient implements ServiceClient {
 
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD", "OPTIONS");
 
-    private final HttpCaller pooled;
-    private final HttpCaller fresh;
-    private final String base;
+    private final HttpCaller pooledCaller;
+    private final HttpCaller freshCaller;
+    private final String baseUrl;
 
     /**
      * Creates a client.
      *
-     * @param pooled sends calls that are safe to repeat, not null
-     * @param fresh sends the others, each over a connection of its own, not null
+     * @param pooledCaller sends calls with safe methods over pooled connections, not null
+     * @param freshCaller sends all other calls, each over a new connection, not null
      * @param target the target, not null
      */
-    public HttpServiceClient(HttpCaller pooled, HttpCaller fresh, Target target) {
-        this.pooled = Objects.requireNonNull(pooled, "pooled");
-        this.fresh = Objects.requireNonNull(fresh, "fresh");
-        this.base = "http://" + target.address();
+    public HttpServiceClient(HttpCaller pooledCaller, HttpCaller freshCaller, Target target) {
+        this.pooledCaller = Objects.requireNonNull(pooledCaller, "pooled");
+        this.freshCaller = Objects.requireNonNull(freshCaller, "fresh");
+        this.baseUrl = "http://" + target.address();
     }
 
     @Override
     public CompletionStage<TargetReply<ServiceAnswer>> call(ServiceCall call) {
-        HttpCaller caller = SAFE_METHODS.contains(call.method()) ? pooled : fresh;
-        return caller.call(call.method(), base + call.path(), call.contentType(), call.body(), call.remainingMillis());
+        HttpCaller caller = SAFE_METHODS.contains(call.method()) ? pooledCaller : freshCaller;
+        return caller.call(
+                call.method(), baseUrl + call.path(), call.contentType(), call.body(), call.remainingMillis());
     }
 }
