--- a/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
+++ b/src/main/java/org/dogwoodwinch/control/AuthorityRunner.java
@@ -89,7 +89,7 @@
             return;
         }
         client.get()
-                .order(send.order())
+                .sendOrder(send.order())
                 .whenComplete((result, failure) ->
                         onResult(send, failure == null ? result : new OrderResult.Unknown(String.valueOf(failure))));
     }
@@ -107,7 +107,7 @@
 
     private void readState(String engine) {
         findClient(engine)
-                .ifPresent(client -> client.state().whenComplete((reply, failure) -> {
+                .ifPresent(client -> client.fetchState().whenComplete((reply, failure) -> {
                     if (failure == null) {
                         onState(engine, reply);
                     }
@@ -124,7 +124,7 @@
         return services.fleet().engines().stream()
                 .filter(target -> target.name().equals(engine))
                 .findFirst()
-                .map((Target target) -> services.targetClients().engine(target));
+                .map((Target target) -> services.targetClients().engineClient(target));
     }
 
     /** Gives access to the agent under its owner's lock. */
--- a/src/main/java/org/dogwoodwinch/control/ControlServices.java
+++ b/src/main/java/org/dogwoodwinch/control/ControlServices.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.external.WeightStore;
 import org.dogwoodwinch.peer.PeerBus;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 
 /**
  * The external services that a {@link ControlNode} uses.
@@ -25,7 +25,7 @@
         WeightStore weightStore,
         PeerBus peerBoard,
         BooleanSupplier isCataloguePublisher,
-        TargetClients targetClients,
+        TargetClientFactory targetClients,
         FleetInventory fleet,
         TargetActivity targetActivity) {
 
--- a/src/main/java/org/dogwoodwinch/control/DrainAwareRouter.java
+++ b/src/main/java/org/dogwoodwinch/control/DrainAwareRouter.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * A router that sends no new requests to targets that are out of service, and counts the requests of this instance in
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void onCompleted(String attemptId, Usage usage) {
+    public void onCompleted(String attemptId, TokenUsage usage) {
         sentAttempts.remove(attemptId);
         delegate.onCompleted(attemptId, usage);
     }
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
@@ -36,10 +36,10 @@
 import org.dogwoodwinch.routing.RoutingPolicy;
 import org.dogwoodwinch.settings.PlatformSettings;
 import org.dogwoodwinch.settings.Settings;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.http.HttpCaller;
 import org.dogwoodwinch.target.http.HttpClients;
-import org.dogwoodwinch.target.http.HttpTargetClients;
+import org.dogwoodwinch.target.http.HttpTargetClientFactory;
 
 /** Builds the parts of a daemon behind its listeners and connects them. */
 final class DaemonParts {
@@ -79,7 +79,8 @@
                 new HttpInstanceList(caller, platform.instanceListUrl()),
                 context.time(),
                 platform.instanceListPollMillis());
-        TargetClients targets = new HttpTargetClients(clients, context.time(), PartSettings.timeouts(settings));
+        TargetClientFactory targets =
+                new HttpTargetClientFactory(clients, context.time(), PartSettings.timeouts(settings));
         this.peers = new PeerParts(settings, context, directory, metrics);
         PeerBus board = peers.board();
         String name = settings.instance().name();
--- a/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
@@ -13,7 +13,7 @@
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.EngineState;
 import org.dogwoodwinch.target.LoadReport;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.time.Cancellable;
 import org.dogwoodwinch.time.TimeSource;
@@ -31,7 +31,7 @@
 
     private final Supplier<List<ListedInstance>> listed;
     private final Supplier<? extends Iterable<String>> outOfService;
-    private final TargetClients clients;
+    private final TargetClientFactory clients;
     private final FleetView fleet;
     private final LoadAwareRouter router;
     private final TimeSource time;
@@ -58,7 +58,7 @@
     EnginePoller(
             Supplier<List<ListedInstance>> listed,
             Supplier<? extends Iterable<String>> outOfService,
-            TargetClients clients,
+            TargetClientFactory clients,
             FleetView fleet,
             LoadAwareRouter router,
             TimeSource time,
@@ -124,8 +124,8 @@
         if (asked.putIfAbsent(name, Boolean.TRUE) != null) {
             return;
         }
-        EngineClient engine = clients.engine(TargetDirectory.toTarget(line));
-        engine.loadReport().whenComplete((load, _error) -> {
+        EngineClient engine = clients.engineClient(TargetDirectory.toTarget(line));
+        engine.fetchLoadReport().whenComplete((load, _error) -> {
             asked.remove(name);
             if (load instanceof TargetReply.Answer<LoadReport> answer) {
                 fleet.onLoadReport(name, answer.value());
@@ -133,8 +133,9 @@
             }
         });
         if (withState) {
-            engine.state().thenAccept(state -> takeState(name, state));
-            engine.cacheEvents(lastCacheEvents.getOrDefault(name, -1L)).thenAccept(events -> takeEvents(name, events));
+            engine.fetchState().thenAccept(state -> takeState(name, state));
+            engine.fetchCacheEvents(lastCacheEvents.getOrDefault(name, -1L))
+                    .thenAccept(events -> takeEvents(name, events));
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -131,7 +131,7 @@
     public ForwardingDaemon(ForwardingSettings settings, Transport transport, UniformRandomProvider random) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.transport = Objects.requireNonNull(transport, "transport");
-        this.time = new EventLoopTime(transport.group().next());
+        this.time = new EventLoopTime(transport.eventLoopGroup().next());
         ConnectionPolicy connections = new ConnectionPolicy(
                 settings.forwarding().connectTimeoutMillis(),
                 settings.forwarding().unacknowledgedMillis(),
@@ -140,7 +140,8 @@
         LoadTracker loads = new LoadTracker();
         KvCacheIndex parts = new KvCacheIndex();
         PrefillRates rates = new PrefillRates(FIRST_TOKENS_PER_MILLI);
-        ControlCaller caller = new ControlCaller(transport, transport.group().next(), time, connections);
+        ControlCaller caller =
+                new ControlCaller(transport, transport.eventLoopGroup().next(), time, connections);
         EngineClient engines = new EngineClient(caller, ENGINE_TIMEOUT_MILLIS, ENGINE_WAIT_MILLIS);
         StoreClient store = new StoreClient(
                 caller,
@@ -266,7 +267,7 @@
         ForwardingService.listenMetrics(transport, address(settings.forwarding().metricsListen()), metrics);
         service.listen(transport, address(settings.forwarding().listen()));
         PeerMember self = fleet.listen(address(settings.peers().listen()));
-        transport.group().next().execute(() -> {
+        transport.eventLoopGroup().next().execute(() -> {
             configuration.start();
             targets.start();
             cacheWatch.start();
@@ -314,8 +315,8 @@
      */
     public void watch(Path file) {
         SettingsWatch watch = new SettingsWatch(file, time, SETTINGS_CHECK_MILLIS, this::reload);
-        transport.group().next().execute(watch::start);
-        Signals.on("HUP", () -> transport.group().next().execute(watch::check));
+        transport.eventLoopGroup().next().execute(watch::start);
+        Signals.on("HUP", () -> transport.eventLoopGroup().next().execute(watch::check));
     }
 
     /**
@@ -324,7 +325,7 @@
      * @param fresh the settings read anew, not null
      */
     public void reload(ForwardingSettings fresh) {
-        transport.group().next().execute(() -> {
+        transport.eventLoopGroup().next().execute(() -> {
             SettingsChange change = SettingsChange.between(settings, fresh);
             settings = change.inForce();
             budget.setRatio(settings.retries().ratio());
@@ -342,7 +343,7 @@
      */
     public CompletionStage<Integer> stop() {
         CompletableFuture<Integer> stopped = new CompletableFuture<>();
-        transport.group().next().execute(() -> {
+        transport.eventLoopGroup().next().execute(() -> {
             leaving = true;
             leftAtMillis = time.monotonicMillis();
             service.leave();
--- a/src/main/java/org/dogwoodwinch/daemon/LeavingTellingRouter.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LeavingTellingRouter.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Passes everything on, and tells the peers which target refused because it is leaving. Thread-safe. */
 final class LeavingTellingRouter implements Router {
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void onCompleted(String attemptId, Usage usage) {
+    public void onCompleted(String attemptId, TokenUsage usage) {
         targets.invalidate(attemptId);
         router.onCompleted(attemptId, usage);
     }
--- a/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PartSettings.java
@@ -52,7 +52,7 @@
      * @return the times
      */
     static TargetTimeouts timeouts(Settings settings) {
-        TargetTimeouts standard = TargetTimeouts.STANDARD;
+        TargetTimeouts standard = TargetTimeouts.DEFAULT;
         return new TargetTimeouts(
                 standard.callMillis(),
                 settings.leases().orderTimeoutMillis(),
--- a/src/main/java/org/dogwoodwinch/http/AnswerJson.java
+++ b/src/main/java/org/dogwoodwinch/http/AnswerJson.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * Writes the JSON of one generated answer and its pieces.
@@ -78,7 +78,7 @@
      * @param usage what the answer cost, not null
      * @return the JSON
      */
-    byte[] usagePiece(Usage usage) {
+    byte[] usagePiece(TokenUsage usage) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(pieceHead);
         out.writeBytes(utf8(",\"choices\":[],\"usage\":" + usageJson(usage) + "}"));
@@ -93,7 +93,7 @@
      * @param finishReason why it ended, not null
      * @return the JSON
      */
-    byte[] whole(String text, Usage usage, String finishReason) {
+    byte[] whole(String text, TokenUsage usage, String finishReason) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(utf8(wholeHead + ",\"choices\":[{\"index\":0,"));
         if (kind == AnswerShape.Kind.CHAT) {
@@ -116,7 +116,7 @@
                 + ",\"created\":" + createdSeconds + ",\"model\":" + quoted(entry);
     }
 
-    private static String usageJson(Usage usage) {
+    private static String usageJson(TokenUsage usage) {
         return "{\"prompt_tokens\":" + usage.promptTokens() + ",\"completion_tokens\":" + usage.completionTokens()
                 + ",\"total_tokens\":" + (usage.promptTokens() + usage.completionTokens())
                 + ",\"prompt_tokens_details\":{\"cached_tokens\":" + usage.cachedPromptTokens() + "}}";
--- a/src/main/java/org/dogwoodwinch/http/AnswerWriter.java
+++ b/src/main/java/org/dogwoodwinch/http/AnswerWriter.java
@@ -2,7 +2,7 @@
 
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.target.AnswerChunk;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Writes one generated answer in the shape that its caller wants; runs on the connection's event loop alone. */
 interface AnswerWriter {
@@ -20,7 +20,7 @@
      * @param usage what it cost, not null
      * @param finishReason why it ended, not null
      */
-    void complete(Usage usage, String finishReason);
+    void complete(TokenUsage usage, String finishReason);
 
     /**
      * Ends the answer with a refusal.
--- a/src/main/java/org/dogwoodwinch/http/CallerExchange.java
+++ b/src/main/java/org/dogwoodwinch/http/CallerExchange.java
@@ -11,7 +11,7 @@
 import org.dogwoodwinch.request.RequestHandle;
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.TimeSource;
 
 /**
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void onComplete(Usage usage, String finishReason) {
+    public void onComplete(TokenUsage usage, String finishReason) {
         onLoop(() -> end(OK, usage.completionTokens(), () -> writer.complete(usage, finishReason)));
     }
 
--- a/src/main/java/org/dogwoodwinch/http/StreamedAnswerWriter.java
+++ b/src/main/java/org/dogwoodwinch/http/StreamedAnswerWriter.java
@@ -14,7 +14,7 @@
 import java.util.Objects;
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.target.AnswerChunk;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * Writes an answer as server-sent events.
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void complete(Usage usage, String finishReason) {
+    public void complete(TokenUsage usage, String finishReason) {
         start();
         writeEvent(DATA, json.lastPiece(finishReason));
         if (includeUsage) {
--- a/src/main/java/org/dogwoodwinch/http/WholeAnswerWriter.java
+++ b/src/main/java/org/dogwoodwinch/http/WholeAnswerWriter.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.target.AnswerChunk;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Collects an answer and writes it in one piece. */
 final class WholeAnswerWriter implements AnswerWriter {
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void complete(Usage usage, String finishReason) {
+    public void complete(TokenUsage usage, String finishReason) {
         reply.writeWhole(channel, Replies.of(OK, Replies.JSON, json.whole(text.toString(), usage, finishReason)));
     }
 
--- a/src/main/java/org/dogwoodwinch/measure/DirectCaller.java
+++ b/src/main/java/org/dogwoodwinch/measure/DirectCaller.java
@@ -10,9 +10,9 @@
 import org.dogwoodwinch.target.AnswerListener;
 import org.dogwoodwinch.target.GenerateCall;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.TimeSource;
 
 /** Calls the engines themselves, in turn: what a caller would get without the daemon. */
@@ -20,7 +20,7 @@
 
     private static final long DEADLINE_MILLIS = 120_000;
 
-    private final TargetClients clients;
+    private final TargetClientFactory clients;
     private final List<Target> engines;
     private final String model;
     private final int maxTokens;
@@ -36,7 +36,7 @@
      * @param maxTokens the most tokens of an answer
      * @param time measures, not null
      */
-    DirectCaller(TargetClients clients, List<Target> engines, String model, int maxTokens, TimeSource time) {
+    DirectCaller(TargetClientFactory clients, List<Target> engines, String model, int maxTokens, TimeSource time) {
         this.clients = Objects.requireNonNull(clients, "clients");
         this.engines = List.copyOf(engines);
         this.model = Objects.requireNonNull(model, "model");
@@ -50,7 +50,7 @@
         GenerateCall call =
                 new GenerateCall(requestId, model, prompt, maxTokens, 0, DEADLINE_MILLIS, false, Optional.empty());
         Collector collector = new Collector(time);
-        clients.engine(engine).generate(call, collector);
+        clients.engineClient(engine).generate(call, collector);
         return collector.answer;
     }
 
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void onComplete(Usage _usage, String _finishReason) {
+        public void onComplete(TokenUsage _usage, String _finishReason) {
             answer.complete(new PathAnswer(true, text.toString(), firstNanos, time.monotonicNanos() - startNanos));
         }
 
--- a/src/main/java/org/dogwoodwinch/measure/PathMeasurement.java
+++ b/src/main/java/org/dogwoodwinch/measure/PathMeasurement.java
@@ -16,7 +16,7 @@
 import org.dogwoodwinch.external.http.HttpInstanceList;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.http.HttpClients;
-import org.dogwoodwinch.target.http.HttpTargetClients;
+import org.dogwoodwinch.target.http.HttpTargetClientFactory;
 import org.dogwoodwinch.target.http.TargetTimeouts;
 import org.dogwoodwinch.time.SystemTimeSource;
 
@@ -97,7 +97,7 @@
         DaemonCaller daemon = new DaemonCaller(group, processes.daemon().callersUrl(), MAX_TOKENS, time);
         try {
             List<Target> engines = listEngines(clients, processes.standIns().instanceListUrl());
-            HttpTargetClients targets = new HttpTargetClients(clients, time, TargetTimeouts.STANDARD);
+            HttpTargetClientFactory targets = new HttpTargetClientFactory(clients, time, TargetTimeouts.DEFAULT);
             DirectCaller direct = new DirectCaller(targets, engines, "booking-model", MAX_TOKENS, time);
             new PathLoad(daemon, "warm", ANSWER_TOKENS, MAX_TOKENS).run(WARM_REQUESTS, LATENCY_CONCURRENT);
             new PathLoad(direct, "warm-direct", ANSWER_TOKENS, MAX_TOKENS).run(WARM_REQUESTS, LATENCY_CONCURRENT);
--- a/src/main/java/org/dogwoodwinch/measure/capacity/ControlFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/capacity/ControlFleet.java
@@ -22,7 +22,7 @@
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Control nodes in one process on virtual time, with a log that takes any number of appends and counts them. */
@@ -136,16 +136,16 @@
     }
 
     /** Without planned changes no engine is called. */
-    private enum NoClients implements TargetClients {
+    private enum NoClients implements TargetClientFactory {
         INSTANCE;
 
         @Override
-        public EngineClient engine(Target target) {
+        public EngineClient engineClient(Target target) {
             throw new IllegalStateException("no engine is called in this measurement: " + target.name());
         }
 
         @Override
-        public ServiceClient service(Target target) {
+        public ServiceClient serviceClient(Target target) {
             throw new IllegalStateException("no service is called in this measurement: " + target.name());
         }
     }
--- a/src/main/java/org/dogwoodwinch/measure/control/VirtualFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/control/VirtualFleet.java
@@ -25,7 +25,7 @@
 import org.dogwoodwinch.target.EngineRole;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Control nodes in virtual time before stand-in engines and a stand-in log. */
@@ -166,15 +166,15 @@
         }
     }
 
-    private final class Engines implements TargetClients {
+    private final class Engines implements TargetClientFactory {
 
         @Override
-        public EngineClient engine(Target target) {
+        public EngineClient engineClient(Target target) {
             return engines.get(target.name());
         }
 
         @Override
-        public ServiceClient service(Target target) {
+        public ServiceClient serviceClient(Target target) {
             throw new IllegalStateException("no service " + target);
         }
     }
--- a/src/main/java/org/dogwoodwinch/measure/requests/ClaimTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/ClaimTrial.java
@@ -16,7 +16,7 @@
 import org.dogwoodwinch.request.StreamPointer;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Claims at a steady rate through several instances on one log: appends, bytes and how long a claim takes. */
@@ -92,7 +92,8 @@
             ledger.claim(new ClaimRequest(key, number, pointer), outcome -> {
                 if (outcome instanceof ClaimOutcome.Acquired won) {
                     waits.recordValue(time.monotonicMillis() - askedMillis);
-                    ledger.recordAnswer(won.claimId(), new StoredAnswer.Generated(text, new Usage(10, 0, 50), "stop"));
+                    ledger.recordAnswer(
+                            won.claimId(), new StoredAnswer.Generated(text, new TokenUsage(10, 0, 50), "stop"));
                 } else {
                     refused++;
                 }
--- a/src/main/java/org/dogwoodwinch/measure/requests/RetryTrial.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/RetryTrial.java
@@ -16,7 +16,7 @@
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
 import org.dogwoodwinch.time.VirtualTimeSource;
@@ -80,7 +80,7 @@
     }
 
     /** Answers at once, or fails with a chance. */
-    private static final class FailingService implements TargetClients {
+    private static final class FailingService implements TargetClientFactory {
 
         private final UniformRandomProvider random;
         private final double failureShare;
@@ -92,12 +92,12 @@
         }
 
         @Override
-        public EngineClient engine(Target target) {
+        public EngineClient engineClient(Target target) {
             throw new IllegalStateException("no engine here: " + target);
         }
 
         @Override
-        public ServiceClient service(Target _target) {
+        public ServiceClient serviceClient(Target _target) {
             return _call -> {
                 calls++;
                 TargetReply<ServiceAnswer> reply = random.nextDouble() < failureShare
--- a/src/main/java/org/dogwoodwinch/measure/requests/TrialFleet.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/TrialFleet.java
@@ -19,13 +19,13 @@
 import org.dogwoodwinch.target.EngineRole;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.TimeSource;
 
 /** Stand-in engines in virtual time, a router that draws any allowed one, and a count of crashes. */
-final class TrialFleet implements TargetClients, Router, StandInEngineObserver {
+final class TrialFleet implements TargetClientFactory, Router, StandInEngineObserver {
 
     static final String GROUP = "reader";
     private static final String CRASH_MARKER = "[crash]";
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public EngineClient engine(Target target) {
+    public EngineClient engineClient(Target target) {
         return engines.get(target.name());
     }
 
     @Override
-    public ServiceClient service(Target target) {
+    public ServiceClient serviceClient(Target target) {
         throw new IllegalStateException("no service here: " + target);
     }
 
@@ -93,7 +93,7 @@
     public void onFirstToken(String _attemptId, long _elapsedMillis) {}
 
     @Override
-    public void onCompleted(String _attemptId, Usage _usage) {}
+    public void onCompleted(String _attemptId, TokenUsage _usage) {}
 
     @Override
     public void onFailed(String _attemptId, TargetFailure _failure) {}
--- a/src/main/java/org/dogwoodwinch/measure/requests/TrialSink.java
+++ b/src/main/java/org/dogwoodwinch/measure/requests/TrialSink.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.request.RefusalReason;
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Counts answers, and refusals by reason, of many requests. */
 final class TrialSink implements AnswerSink {
@@ -27,7 +27,7 @@
     public void onChunk(AnswerChunk _chunk) {}
 
     @Override
-    public void onComplete(Usage _usage, String _finishReason) {
+    public void onComplete(TokenUsage _usage, String _finishReason) {
         answers++;
     }
 
--- a/src/main/java/org/dogwoodwinch/net/Transport.java
+++ b/src/main/java/org/dogwoodwinch/net/Transport.java
@@ -23,11 +23,11 @@
 public final class Transport {
 
     private final boolean nativeEpoll;
-    private final EventLoopGroup group;
+    private final EventLoopGroup eventLoopGroup;
 
     private Transport(boolean nativeEpoll, EventLoopGroup group) {
         this.nativeEpoll = nativeEpoll;
-        this.group = group;
+        this.eventLoopGroup = group;
     }
 
     /**
@@ -57,8 +57,8 @@
      *
      * @return the group
      */
-    public EventLoopGroup group() {
-        return group;
+    public EventLoopGroup eventLoopGroup() {
+        return eventLoopGroup;
     }
 
     /**
@@ -75,7 +75,7 @@
      *
      * @return the class to set on a bootstrap
      */
-    public Class<? extends ServerSocketChannel> serverChannel() {
+    public Class<? extends ServerSocketChannel> serverChannelClass() {
         return nativeEpoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 
@@ -84,7 +84,7 @@
      *
      * @return the class to set on a bootstrap
      */
-    public Class<? extends SocketChannel> channel() {
+    public Class<? extends SocketChannel> channelClass() {
         return nativeEpoll ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
--- a/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
+++ b/src/main/java/org/dogwoodwinch/peer/NettyPeerTransport.java
@@ -92,8 +92,8 @@
      */
     public synchronized int listen(String host, int port, Predicate<Bytes> messageHandler) {
         Channel channel = new ServerBootstrap()
-                .group(sockets.group())
-                .channel(sockets.serverChannel())
+                .group(sockets.eventLoopGroup())
+                .channel(sockets.serverChannelClass())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -159,8 +159,8 @@
         // Otherwise a dead connection would stay in use for as long as bytes are written to it.
         sockets.setUnacknowledgedTimeout(bootstrap, UNACKNOWLEDGED_TIMEOUT_MILLIS);
         ChannelFuture connection = bootstrap
-                .group(sockets.group())
-                .channel(sockets.channel())
+                .group(sockets.eventLoopGroup())
+                .channel(sockets.channelClass())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
--- a/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
@@ -100,7 +100,7 @@
         Line line = new Line(address);
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
-                .channel(transport.channel())
+                .channel(transport.channelClass())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, policy.connectTimeoutMillis())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/src/main/java/org/dogwoodwinch/relay/FrontListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/FrontListener.java
@@ -42,8 +42,8 @@
      */
     void bind(InetSocketAddress address) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(transport.group())
-                .channel(transport.serverChannel())
+                .group(transport.eventLoopGroup())
+                .channel(transport.serverChannelClass())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
--- a/src/main/java/org/dogwoodwinch/relay/ReadyListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/ReadyListener.java
@@ -51,8 +51,8 @@
     static Channel bind(Transport transport, InetSocketAddress address, Function<String, Page> pages)
             throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(transport.group())
-                .channel(transport.serverChannel())
+                .group(transport.eventLoopGroup())
+                .channel(transport.serverChannelClass())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/src/main/java/org/dogwoodwinch/relay/SocketConnector.java
+++ b/src/main/java/org/dogwoodwinch/relay/SocketConnector.java
@@ -29,8 +29,8 @@
     @Override
     public void connect(Incarnation target, ChannelHandler handler, Outcome outcome) {
         Bootstrap bootstrap = new Bootstrap()
-                .group(transport.group().next())
-                .channel(transport.channel())
+                .group(transport.eventLoopGroup().next())
+                .channel(transport.channelClass())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, policy.connectTimeoutMillis())
                 .handler(handler);
         transport.setUnacknowledgedTimeout(bootstrap, policy.unacknowledgedMillis());
--- a/src/main/java/org/dogwoodwinch/replay/BaselineRouter.java
+++ b/src/main/java/org/dogwoodwinch/replay/BaselineRouter.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.routing.TargetSummary;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** The plain ways to choose a target that ours is compared with; they see what ours sees of who is leaving. */
 final class BaselineRouter implements Router {
@@ -54,7 +54,7 @@
     public void onFirstToken(String _attemptId, long _elapsedMillis) {}
 
     @Override
-    public void onCompleted(String attemptId, Usage _usage) {
+    public void onCompleted(String attemptId, TokenUsage _usage) {
         end(attemptId);
     }
 
--- a/src/main/java/org/dogwoodwinch/replay/ReplayRequest.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplayRequest.java
@@ -14,7 +14,7 @@
 import org.dogwoodwinch.standin.EngineCost;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** The way of one traced request through admission, routing and engines to its outcome. */
 final class ReplayRequest {
@@ -119,7 +119,7 @@
             }
 
             @Override
-            public void onComplete(Usage usage) {
+            public void onComplete(TokenUsage usage) {
                 instance.router().onCompleted(id, usage);
                 completed(usage, prefillOnly, imported);
             }
@@ -140,7 +140,7 @@
         }
     }
 
-    private void completed(Usage usage, boolean prefillOnly, boolean imported) {
+    private void completed(TokenUsage usage, boolean prefillOnly, boolean imported) {
         if (!imported) {
             world.tally().onPrompt(usage.promptTokens(), usage.cachedPromptTokens());
         }
--- a/src/main/java/org/dogwoodwinch/replay/ReplaySequence.java
+++ b/src/main/java/org/dogwoodwinch/replay/ReplaySequence.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.replay;
 
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** One attempt on a replayed engine. */
 final class ReplaySequence {
@@ -67,7 +67,7 @@
 
     void complete() {
         int completion = prefillOnly ? 0 : request.outputTokens();
-        listener.onComplete(new Usage(request.promptTokens(), cachedTokens, completion));
+        listener.onComplete(new TokenUsage(request.promptTokens(), cachedTokens, completion));
     }
 
     void fail(TargetFailure failure) {
@@ -79,7 +79,7 @@
 
         void onFirstToken();
 
-        void onComplete(Usage usage);
+        void onComplete(TokenUsage usage);
 
         void onFailure(TargetFailure failure);
     }
--- a/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerBuffer.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.request;
 
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * Collects the answer of one request for storage on the log. Once the answer exceeds the size limit, only its length is
@@ -24,7 +24,7 @@
         }
     }
 
-    StoredAnswer toStoredAnswer(Usage usage, String finishReason) {
+    StoredAnswer toStoredAnswer(TokenUsage usage, String finishReason) {
         if (totalChars > maxBytes) {
             return new StoredAnswer.TooLong(totalChars);
         }
--- a/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerDelivery.java
@@ -2,7 +2,7 @@
 
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * Delivers the answer of one request to the caller's sink and reports the latency of its chunks to the observer. Not
@@ -37,7 +37,7 @@
         sink.onChunk(chunk);
     }
 
-    void complete(Usage usage, String finishReason) {
+    void complete(TokenUsage usage, String finishReason) {
         sink.onComplete(usage, finishReason);
     }
 
--- a/src/main/java/org/dogwoodwinch/request/AnswerSink.java
+++ b/src/main/java/org/dogwoodwinch/request/AnswerSink.java
@@ -2,7 +2,7 @@
 
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * Receives the answer of one request and forwards it to the caller.
@@ -25,7 +25,7 @@
      * @param usage the tokens used, not null
      * @param finishReason the reason for which the generation ended, not null
      */
-    void onComplete(Usage usage, String finishReason);
+    void onComplete(TokenUsage usage, String finishReason);
 
     /**
      * Called when a plain service has answered.
--- a/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
+++ b/src/main/java/org/dogwoodwinch/request/ClaimJoin.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.Cancellable;
 
 /**
@@ -20,7 +20,7 @@
     /** Receives the result of the join, exactly once. */
     interface Listener {
 
-        void onAnswered(Usage usage);
+        void onAnswered(TokenUsage usage);
 
         /** The earlier request is proved not to have run; the key may be claimed again. */
         void onKeyReleased();
@@ -104,7 +104,7 @@
                         service -> {
                             finished = true;
                             delivery.completeServiceAnswer(service);
-                            listener.onAnswered(new Usage(0, 0, 0));
+                            listener.onAnswered(new TokenUsage(0, 0, 0));
                             return null;
                         },
                         _tooLong -> {
@@ -177,7 +177,7 @@
     }
 
     @Override
-    public void onCompleted(Usage usage, String finishReason) {
+    public void onCompleted(TokenUsage usage, String finishReason) {
         finished = true;
         delivery.complete(usage, finishReason);
         listener.onAnswered(usage);
--- a/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/EngineAttempt.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.target.GenerateCall;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.Cancellable;
 
 /**
@@ -25,7 +25,7 @@
 
         void onDelivered(AnswerChunk chunk);
 
-        void onCompleted(Usage usage, String finishReason);
+        void onCompleted(TokenUsage usage, String finishReason);
 
         void onAttemptFailed(TargetFailure failure, boolean crashed);
 
@@ -132,7 +132,7 @@
     }
 
     private EngineClient engine() {
-        return context.clients().engine(target);
+        return context.clients().engineClient(target);
     }
 
     private Reader openReader() {
@@ -207,7 +207,7 @@
         }
     }
 
-    private void onComplete(Reader source, Usage usage, String finishReason) {
+    private void onComplete(Reader source, TokenUsage usage, String finishReason) {
         if (isStale(source)) {
             context.observer().onLateAnswerDropped(request);
             return;
@@ -335,7 +335,7 @@
         }
 
         @Override
-        public void onComplete(Usage usage, String finishReason) {
+        public void onComplete(TokenUsage usage, String finishReason) {
             executor.execute(() -> EngineAttempt.this.onComplete(this, usage, finishReason));
         }
 
--- a/src/main/java/org/dogwoodwinch/request/PrefillStep.java
+++ b/src/main/java/org/dogwoodwinch/request/PrefillStep.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.target.KvReference;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * Runs the prefill of a prompt on one engine and exports the resulting KV cache for another engine. The result is
@@ -22,7 +22,7 @@
     private final String attemptId;
     private final Consumer<TargetReply<KvReference>> onDone;
     private AnswerStream stream;
-    private Usage usage = new Usage(0, 0, 0);
+    private TokenUsage usage = new TokenUsage(0, 0, 0);
     private boolean finished;
 
     PrefillStep(
@@ -44,7 +44,7 @@
         }
     }
 
-    Usage usage() {
+    TokenUsage usage() {
         return usage;
     }
 
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void onComplete(Usage cost, String _finishReason) {
+    public void onComplete(TokenUsage cost, String _finishReason) {
         executor.execute(() -> {
             usage = cost;
             exportKvCache();
--- a/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestAttempt.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * One attempt of a request: a call to a plain service, a generation on one engine, or a prefill on one engine followed
@@ -20,7 +20,7 @@
     /** Receives the result of the attempt, exactly once. */
     interface Listener {
 
-        void onCompleted(StoredAnswer stored, Usage usage);
+        void onCompleted(StoredAnswer stored, TokenUsage usage);
 
         void onFailed(Target target, TargetFailure failure);
 
@@ -28,7 +28,7 @@
     }
 
     private static final String PREFILL_SUFFIX = "-prefill";
-    private static final Usage NO_USAGE = new Usage(0, 0, 0);
+    private static final TokenUsage NO_USAGE = new TokenUsage(0, 0, 0);
 
     private final RequestContext context;
     private final SerialExecutor executor;
@@ -114,7 +114,7 @@
         String prefillId = attemptId + PREFILL_SUFFIX;
         PrefillStep step = new PrefillStep(
                 executor,
-                context.clients().engine(target),
+                context.clients().engineClient(target),
                 prefillId,
                 reply -> onPrefilled(work, target, prefillId, reply));
         prefill = Optional.of(step);
@@ -126,7 +126,7 @@
     }
 
     private void onPrefilled(Operation.Generate work, Target target, String prefillId, TargetReply<KvReference> reply) {
-        Usage usage = prefill.map(PrefillStep::usage).orElse(NO_USAGE);
+        TokenUsage usage = prefill.map(PrefillStep::usage).orElse(NO_USAGE);
         prefill = Optional.empty();
         reply.match(
                 reference -> {
@@ -171,7 +171,7 @@
         context.observer().onAttemptSending(request, attemptId, target);
         context.router().onSent(attemptId, target, query);
         context.clients()
-                .service(target)
+                .serviceClient(target)
                 .call(TargetCalls.service(request, work, attemptId, context.nowMillis()))
                 .whenComplete((reply, fault) -> executor.execute(() -> onServiceReply(
                         reply != null
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public void onCompleted(Usage usage, String finishReason) {
+    public void onCompleted(TokenUsage usage, String finishReason) {
         context.quarantine().onAttemptEnded(request.fingerprint(), attemptId, true);
         delivery.complete(usage, finishReason);
         listener.onCompleted(answerBuffer.toStoredAnswer(usage, finishReason), usage);
--- a/src/main/java/org/dogwoodwinch/request/RequestContext.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestContext.java
@@ -7,14 +7,14 @@
 import org.dogwoodwinch.catalogue.CatalogueEntry;
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.TimeSource;
 
 /** The collaborators that all requests of one instance share; {@link RequestCoordinator} documents them. */
 record RequestContext(
         AdmissionController admission,
         Router router,
-        TargetClients clients,
+        TargetClientFactory clients,
         Function<String, Optional<Target>> targetLookup,
         Function<CatalogueEntry, String> modelLookup,
         TimeSource time,
--- a/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestCoordinator.java
@@ -10,7 +10,7 @@
 import org.dogwoodwinch.catalogue.CatalogueEntry;
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.TimeSource;
 
 /**
@@ -46,7 +46,7 @@
     public RequestCoordinator(
             AdmissionController admission,
             Router router,
-            TargetClients clients,
+            TargetClientFactory clients,
             Function<String, Optional<Target>> targetLookup,
             Function<CatalogueEntry, String> modelLookup,
             TimeSource time,
--- a/src/main/java/org/dogwoodwinch/request/RequestExecution.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestExecution.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.routing.RouteQuery;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.Cancellable;
 
 /**
@@ -213,7 +213,7 @@
         context.observer().onResendJoined(request);
         ClaimJoin newJoin = new ClaimJoin(context, executor, request, delivery, claim, new ClaimJoin.Listener() {
             @Override
-            public void onAnswered(Usage usage) {
+            public void onAnswered(TokenUsage usage) {
                 usedTokens = 0;
                 context.observer().onCompleted(request, usage);
                 finish();
@@ -253,7 +253,7 @@
     private RequestAttempt.Listener attemptListener() {
         return new RequestAttempt.Listener() {
             @Override
-            public void onCompleted(StoredAnswer stored, Usage usage) {
+            public void onCompleted(StoredAnswer stored, TokenUsage usage) {
                 RequestExecution.this.onCompleted(stored, usage);
             }
 
@@ -272,7 +272,7 @@
         };
     }
 
-    private void onCompleted(StoredAnswer stored, Usage usage) {
+    private void onCompleted(StoredAnswer stored, TokenUsage usage) {
         if (!claimId.isEmpty()) {
             context.claimStore().recordAnswer(claimId, stored);
         }
--- a/src/main/java/org/dogwoodwinch/request/RequestObserver.java
+++ b/src/main/java/org/dogwoodwinch/request/RequestObserver.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.request;
 
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Observes requests for counters, histograms and log lines. Implementations must not block. */
 public interface RequestObserver {
@@ -48,7 +48,7 @@
      * @param request the request, not null
      * @param usage the tokens used; all zero for a plain service, not null
      */
-    default void onCompleted(CallerRequest request, Usage usage) {}
+    default void onCompleted(CallerRequest request, TokenUsage usage) {}
 
     /**
      * Called when the request is refused.
--- a/src/main/java/org/dogwoodwinch/request/StoredAnswer.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswer.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** The answer to a claimed request, stored on the log for resends. */
 public sealed interface StoredAnswer {
@@ -16,7 +16,7 @@
      * @param usage the tokens used, not null
      * @param finishReason the reason for which the generation ended, not null
      */
-    record Generated(String text, Usage usage, String finishReason) implements StoredAnswer {
+    record Generated(String text, TokenUsage usage, String finishReason) implements StoredAnswer {
 
         /** Checks that no component is null. */
         public Generated {
--- a/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
+++ b/src/main/java/org/dogwoodwinch/request/StoredAnswerRecord.java
@@ -4,7 +4,7 @@
 import java.util.Base64;
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * The form in which a {@link StoredAnswer} is stored on the log.
@@ -50,7 +50,7 @@
 
     StoredAnswer toStoredAnswer() {
         if (kind.equals(GENERATED)) {
-            return new StoredAnswer.Generated(text, new Usage(first, second, third), label);
+            return new StoredAnswer.Generated(text, new TokenUsage(first, second, third), label);
         }
         if (kind.equals(SERVICE)) {
             Bytes body = Bytes.of(Base64.getDecoder().decode(text));
--- a/src/main/java/org/dogwoodwinch/routing/LoadAwareRouter.java
+++ b/src/main/java/org/dogwoodwinch/routing/LoadAwareRouter.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.target.EngineRole;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.TimeSource;
 
 /**
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void onCompleted(String attemptId, Usage usage) {
+    public void onCompleted(String attemptId, TokenUsage usage) {
         synchronized (fleet) {
             Attempt attempt = removeAttempt(attemptId);
             if (attempt == null) {
@@ -281,7 +281,7 @@
         return attempt;
     }
 
-    private void recordCacheOutcome(Attempt attempt, Usage usage) {
+    private void recordCacheOutcome(Attempt attempt, TokenUsage usage) {
         TargetState state = attempt.targetState();
         long[] blockHashes = attempt.blockHashes();
         if (!state.role().servesPrefill() || blockHashes.length == 0 || usage.promptTokens() <= 0) {
--- a/src/main/java/org/dogwoodwinch/routing/Router.java
+++ b/src/main/java/org/dogwoodwinch/routing/Router.java
@@ -2,7 +2,7 @@
 
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Chooses targets for attempts and adapts to their outcomes. */
 public interface Router {
@@ -38,7 +38,7 @@
      * @param attemptId identifies the attempt, not null
      * @param usage the tokens that it used, not null
      */
-    void onCompleted(String attemptId, Usage usage);
+    void onCompleted(String attemptId, TokenUsage usage);
 
     /**
      * Records that an attempt failed.
--- a/src/main/java/org/dogwoodwinch/standin/StandInEngine.java
+++ b/src/main/java/org/dogwoodwinch/standin/StandInEngine.java
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public synchronized CompletionStage<TargetReply<LoadReport>> loadReport() {
+    public synchronized CompletionStage<TargetReply<LoadReport>> fetchLoadReport() {
         if (down) {
             return failed();
         }
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public synchronized CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
+    public synchronized CompletionStage<TargetReply<List<CacheEvent>>> fetchCacheEvents(long afterSequence) {
         if (down) {
             return failed();
         }
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public synchronized CompletionStage<OrderResult> order(EngineOrder order) {
+    public synchronized CompletionStage<OrderResult> sendOrder(EngineOrder order) {
         if (down) {
             return CompletableFuture.completedFuture(new OrderResult.Refused("the engine is down"));
         }
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public synchronized CompletionStage<TargetReply<EngineState>> state() {
+    public synchronized CompletionStage<TargetReply<EngineState>> fetchState() {
         return down ? failed() : answered(stateNow());
     }
 
--- a/src/main/java/org/dogwoodwinch/standin/StandInSequence.java
+++ b/src/main/java/org/dogwoodwinch/standin/StandInSequence.java
@@ -3,7 +3,7 @@
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.AnswerListener;
 import org.dogwoodwinch.target.GenerateCall;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** One request inside a stand-in engine; the engine guards it. */
 final class StandInSequence {
@@ -103,7 +103,7 @@
         }
     }
 
-    private Usage usage() {
-        return new Usage(promptTokens, cachedPromptTokens, generated);
+    private TokenUsage usage() {
+        return new TokenUsage(promptTokens, cachedPromptTokens, generated);
     }
 }
--- a/src/main/java/org/dogwoodwinch/standin/http/EngineService.java
+++ b/src/main/java/org/dogwoodwinch/standin/http/EngineService.java
@@ -49,9 +49,9 @@
             return;
         }
         switch (path) {
-            case "/v1/load" -> answer(engine.loadReport(), reply);
-            case "/v1/cache-events" -> answer(engine.cacheEvents(call.number("after", -1)), reply);
-            case "/v1/state" -> answer(engine.state(), reply);
+            case "/v1/load" -> answer(engine.fetchLoadReport(), reply);
+            case "/v1/cache-events" -> answer(engine.fetchCacheEvents(call.number("after", -1)), reply);
+            case "/v1/state" -> answer(engine.fetchState(), reply);
             case "/v1/orders" -> order(call, reply);
             case "/test/crash" -> {
                 engine.crash();
@@ -117,7 +117,7 @@
     private void order(StandInCall call, StandInReply reply) {
         EngineOrder order =
                 TargetJson.read(call.body().toByteArray(), EngineOrder.class).orElseThrow();
-        engine.order(order).whenComplete((result, _error) -> reply.json(OrderReply.of(result)));
+        engine.sendOrder(order).whenComplete((result, _error) -> reply.json(OrderReply.of(result)));
     }
 
     private static <T> void answer(CompletionStage<TargetReply<T>> stage, StandInReply reply) {
--- a/src/main/java/org/dogwoodwinch/standin/http/EngineStream.java
+++ b/src/main/java/org/dogwoodwinch/standin/http/EngineStream.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.AnswerListener;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.target.http.StreamLine;
 import org.dogwoodwinch.target.http.TargetJson;
 import org.dogwoodwinch.time.TimeSource;
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public synchronized void onComplete(Usage usage, String finishReason) {
+    public synchronized void onComplete(TokenUsage usage, String finishReason) {
         if (stop()) {
             reply.line(TargetJson.write(StreamLine.complete(attemptId, usage, finishReason)));
             reply.end();
--- a/src/main/java/org/dogwoodwinch/standin/platform/PlatformStandInMain.java
+++ b/src/main/java/org/dogwoodwinch/standin/platform/PlatformStandInMain.java
@@ -31,7 +31,7 @@
     public Integer call() throws IOException, InterruptedException {
         Transport transport = Transport.start(1);
         try (PlatformStandIn platform = new PlatformStandIn(
-                transport, new EventLoopTime(transport.group().next()), PlatformStandInMain::fault)) {
+                transport, new EventLoopTime(transport.eventLoopGroup().next()), PlatformStandInMain::fault)) {
             System.out.println("{\"storeAddress\":\"" + platform.storeAddress() + "\"}");
             new CountDownLatch(1).await();
         }
--- a/src/main/java/org/dogwoodwinch/standin/platform/RehearsalMain.java
+++ b/src/main/java/org/dogwoodwinch/standin/platform/RehearsalMain.java
@@ -47,7 +47,7 @@
         Transport platformLoop = Transport.start(1);
         Transport daemonLoop = Transport.start(1);
         try (PlatformStandIn platform = new PlatformStandIn(
-                platformLoop, new EventLoopTime(platformLoop.group().next()), PlatformStandInMain::fault)) {
+                platformLoop, new EventLoopTime(platformLoop.eventLoopGroup().next()), PlatformStandInMain::fault)) {
             List<ForwardingDaemon> daemons = new ArrayList<>();
             for (String name : List.of("a-1", "a-2", "b-1", "b-2")) {
                 daemons.add(start(settingsFile(name, platform.storeAddress()), daemonLoop));
--- a/src/main/java/org/dogwoodwinch/standin/platform/StandInListener.java
+++ b/src/main/java/org/dogwoodwinch/standin/platform/StandInListener.java
@@ -56,8 +56,8 @@
      */
     public static StandInListener bind(Transport transport, StandInHandler handler) throws IOException {
         ChannelFuture binding = new ServerBootstrap()
-                .group(transport.group())
-                .channel(transport.serverChannel())
+                .group(transport.eventLoopGroup())
+                .channel(transport.serverChannelClass())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel added) {
--- a/src/main/java/org/dogwoodwinch/target/AnswerListener.java
+++ b/src/main/java/org/dogwoodwinch/target/AnswerListener.java
@@ -19,7 +19,7 @@
      * @param usage the token counts of the answer, not null
      * @param finishReason why generation ended, as reported by the engine ({@code stop}, {@code length}), not null
      */
-    void onComplete(Usage usage, String finishReason);
+    void onComplete(TokenUsage usage, String finishReason);
 
     /**
      * Called when the attempt failed.
--- a/src/main/java/org/dogwoodwinch/target/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/target/EngineClient.java
@@ -30,7 +30,7 @@
      *
      * @return the report, or the failure
      */
-    CompletionStage<TargetReply<LoadReport>> loadReport();
+    CompletionStage<TargetReply<LoadReport>> fetchLoadReport();
 
     /**
      * Fetches events of the engine's prefix cache.
@@ -38,7 +38,7 @@
      * @param afterSequence the sequence number of the last known event
      * @return the later events that the engine still retains, in order, or the failure
      */
-    CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence);
+    CompletionStage<TargetReply<List<CacheEvent>>> fetchCacheEvents(long afterSequence);
 
     /**
      * Exports the KV cache of an attempt, so that another engine can import it.
@@ -54,12 +54,12 @@
      * @param order the order, not null
      * @return the engine's answer, or {@link OrderResult.Unknown} if the answer was lost
      */
-    CompletionStage<OrderResult> order(EngineOrder order);
+    CompletionStage<OrderResult> sendOrder(EngineOrder order);
 
     /**
      * Fetches the engine's state.
      *
      * @return the state, or the failure
      */
-    CompletionStage<TargetReply<EngineState>> state();
+    CompletionStage<TargetReply<EngineState>> fetchState();
 }
--- a/src/main/java/org/dogwoodwinch/target/TargetClients.java
+++ b/src/main/java/org/dogwoodwinch/target/TargetClientFactory.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.target;
 
 /** Creates clients of targets; users provide their own implementation to connect targets of another kind. */
-public interface TargetClients {
+public interface TargetClientFactory {
 
     /**
      * Returns a client of an engine.
@@ -9,7 +9,7 @@
      * @param target the engine, not null
      * @return the client; cheap to create
      */
-    EngineClient engine(Target target);
+    EngineClient engineClient(Target target);
 
     /**
      * Returns a client of a target of a plain service.
@@ -17,5 +17,5 @@
      * @param target the target, not null
      * @return the client; cheap to create
      */
-    ServiceClient service(Target target);
+    ServiceClient serviceClient(Target target);
 }
--- a/src/main/java/org/dogwoodwinch/target/Usage.java
+++ b/src/main/java/org/dogwoodwinch/target/TokenUsage.java
@@ -7,4 +7,4 @@
  * @param cachedPromptTokens prompt tokens that were in the prefix cache
  * @param completionTokens generated tokens
  */
-public record Usage(long promptTokens, long cachedPromptTokens, long completionTokens) {}
+public record TokenUsage(long promptTokens, long cachedPromptTokens, long completionTokens) {}
--- a/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpEngineClient.java
@@ -82,12 +82,12 @@
     }
 
     @Override
-    public CompletionStage<TargetReply<LoadReport>> loadReport() {
+    public CompletionStage<TargetReply<LoadReport>> fetchLoadReport() {
         return caller.callJson("GET", baseUrl + "/v1/load", Bytes.EMPTY, timeouts.callMillis(), LoadReport.class);
     }
 
     @Override
-    public CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
+    public CompletionStage<TargetReply<List<CacheEvent>>> fetchCacheEvents(long afterSequence) {
         String url = baseUrl + "/v1/cache-events?after=" + afterSequence;
         return caller.call("GET", url, "", Bytes.EMPTY, timeouts.callMillis())
                 .thenApply(reply -> HttpCaller.parse(reply, body -> TargetJson.readList(body, CacheEvent.class)));
@@ -100,14 +100,14 @@
     }
 
     @Override
-    public CompletionStage<OrderResult> order(EngineOrder order) {
+    public CompletionStage<OrderResult> sendOrder(EngineOrder order) {
         Bytes body = Bytes.of(TargetJson.write(order));
         return caller.callJson("POST", baseUrl + "/v1/orders", body, timeouts.orderMillis(), OrderReply.class)
                 .thenApply(reply -> reply.match(OrderReply::toResult, HttpEngineClient::toOrderResult));
     }
 
     @Override
-    public CompletionStage<TargetReply<EngineState>> state() {
+    public CompletionStage<TargetReply<EngineState>> fetchState() {
         return caller.callJson("GET", baseUrl + "/v1/state", Bytes.EMPTY, timeouts.callMillis(), EngineState.class);
     }
 
--- a/src/main/java/org/dogwoodwinch/target/http/HttpTargetClients.java
+++ b/src/main/java/org/dogwoodwinch/target/http/HttpTargetClientFactory.java
@@ -4,11 +4,11 @@
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.TimeSource;
 
 /** Creates clients of targets over HTTP. */
-public final class HttpTargetClients implements TargetClients {
+public final class HttpTargetClientFactory implements TargetClientFactory {
 
     private final HttpClients clients;
     private final HttpCaller pooledCaller;
@@ -23,7 +23,7 @@
      * @param time runs the timers, not null
      * @param timeouts the timeouts of the calls, not null
      */
-    public HttpTargetClients(HttpClients clients, TimeSource time, TargetTimeouts timeouts) {
+    public HttpTargetClientFactory(HttpClients clients, TimeSource time, TargetTimeouts timeouts) {
         this.clients = Objects.requireNonNull(clients, "clients");
         this.time = Objects.requireNonNull(time, "time");
         this.timeouts = Objects.requireNonNull(timeouts, "timeouts");
@@ -32,12 +32,12 @@
     }
 
     @Override
-    public EngineClient engine(Target target) {
+    public EngineClient engineClient(Target target) {
         return clients.engine(target, time, timeouts);
     }
 
     @Override
-    public ServiceClient service(Target target) {
+    public ServiceClient serviceClient(Target target) {
         return new HttpServiceClient(pooledCaller, freshCaller, target);
     }
 }
--- a/src/main/java/org/dogwoodwinch/target/http/StreamLine.java
+++ b/src/main/java/org/dogwoodwinch/target/http/StreamLine.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import org.dogwoodwinch.target.AnswerChunk;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * One line of an engine's stream: a chunk, the end of a complete answer, or a failure.
@@ -21,7 +21,7 @@
         Long sequence,
         Integer tokens,
         String text,
-        Usage usage,
+        TokenUsage usage,
         String finishReason,
         String failure) {
 
@@ -43,7 +43,7 @@
      * @param finishReason why generation ended, not null
      * @return the line
      */
-    public static StreamLine complete(String attemptId, Usage usage, String finishReason) {
+    public static StreamLine complete(String attemptId, TokenUsage usage, String finishReason) {
         return new StreamLine(attemptId, null, null, null, usage, finishReason, null);
     }
 
--- a/src/main/java/org/dogwoodwinch/target/http/TargetTimeouts.java
+++ b/src/main/java/org/dogwoodwinch/target/http/TargetTimeouts.java
@@ -13,5 +13,5 @@
         long callMillis, long orderMillis, long resumeMillis, long silenceMillis, int maxAnswerBytes) {
 
     /** The timeouts that daemons use. */
-    public static final TargetTimeouts STANDARD = new TargetTimeouts(2_000, 5_000, 3_600_000, 30_000, 8 << 20);
+    public static final TargetTimeouts DEFAULT = new TargetTimeouts(2_000, 5_000, 3_600_000, 30_000, 8 << 20);
 }
--- a/src/test/java/org/dogwoodwinch/control/ControlNodeFixtures.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlNodeFixtures.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.TimeSource;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
@@ -67,15 +67,15 @@
     }
 
     /** Creates no clients, since there are no engines. */
-    private static final class NoTargets implements TargetClients {
+    private static final class NoTargets implements TargetClientFactory {
 
         @Override
-        public EngineClient engine(Target target) {
+        public EngineClient engineClient(Target target) {
             throw new IllegalStateException("no engine " + target);
         }
 
         @Override
-        public ServiceClient service(Target target) {
+        public ServiceClient serviceClient(Target target) {
             throw new IllegalStateException("no service " + target);
         }
     }
--- a/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
+++ b/src/test/java/org/dogwoodwinch/control/ControlSimulation.java
@@ -35,7 +35,7 @@
 import org.dogwoodwinch.target.EngineRole;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /**
@@ -285,7 +285,7 @@
         }
     }
 
-    private final class SimulatedClients implements TargetClients {
+    private final class SimulatedClients implements TargetClientFactory {
 
         private final SimulatedNetwork network;
 
@@ -294,13 +294,13 @@
         }
 
         @Override
-        public EngineClient engine(Target target) {
+        public EngineClient engineClient(Target target) {
             return network.engineClient(
                     engines.get(target.name()), target.group().equals("checking"));
         }
 
         @Override
-        public ServiceClient service(Target target) {
+        public ServiceClient serviceClient(Target target) {
             throw new IllegalStateException("no service " + target);
         }
     }
--- a/src/test/java/org/dogwoodwinch/control/DrainReportExchangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/DrainReportExchangeTest.java
@@ -21,7 +21,7 @@
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -42,7 +42,7 @@
         markOutOfService();
         time.advanceMillis(1_000);
         assertEquals(new TargetActivity.RequestsInFlight(true, 1, 2), first.drainExchange.requestsInFlight("engine-1"));
-        second.router.onCompleted("a1", new Usage(1, 0, 1));
+        second.router.onCompleted("a1", new TokenUsage(1, 0, 1));
         second.router.onFailed("a2", new TargetFailure.Broken("cut"));
         time.advanceMillis(1_000);
         assertEquals(new TargetActivity.RequestsInFlight(true, 0, 0), first.drainExchange.requestsInFlight("engine-1"));
@@ -125,7 +125,7 @@
         public void onFirstToken(String _attemptId, long _elapsedMillis) {}
 
         @Override
-        public void onCompleted(String _attemptId, Usage _usage) {}
+        public void onCompleted(String _attemptId, TokenUsage _usage) {}
 
         @Override
         public void onFailed(String _attemptId, TargetFailure _failure) {}
--- a/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/control/PlannedChangeTest.java
@@ -109,7 +109,7 @@
         simulation
                 .engines
                 .get("ignoring-1")
-                .order(new org.dogwoodwinch.target.EngineOrder(
+                .sendOrder(new org.dogwoodwinch.target.EngineOrder(
                         "stray", 0, engineState("ignoring-1").configuration().withRole(EngineRole.DECODE)));
         simulation.advance(4_000);
         assertEquals(
@@ -203,8 +203,12 @@
     }
 
     private EngineState engineState(String engine) {
-        TargetReply<EngineState> reply =
-                simulation.engines.get(engine).state().toCompletableFuture().getNow(null);
+        TargetReply<EngineState> reply = simulation
+                .engines
+                .get(engine)
+                .fetchState()
+                .toCompletableFuture()
+                .getNow(null);
         assertTrue(reply instanceof TargetReply.Answer<EngineState>, () -> "no state: " + reply);
         return ((TargetReply.Answer<EngineState>) reply).value();
     }
--- a/src/test/java/org/dogwoodwinch/control/SimulatedNetwork.java
+++ b/src/test/java/org/dogwoodwinch/control/SimulatedNetwork.java
@@ -113,14 +113,14 @@
         }
 
         @Override
-        public CompletionStage<OrderResult> order(EngineOrder order) {
+        public CompletionStage<OrderResult> sendOrder(EngineOrder order) {
             return transmit(
-                    checksFencing ? fencedOrderDelayMillis : unfencedOrderDelayMillis, () -> engine.order(order));
+                    checksFencing ? fencedOrderDelayMillis : unfencedOrderDelayMillis, () -> engine.sendOrder(order));
         }
 
         @Override
-        public CompletionStage<TargetReply<EngineState>> state() {
-            return transmit(1, engine::state);
+        public CompletionStage<TargetReply<EngineState>> fetchState() {
+            return transmit(1, engine::fetchState);
         }
 
         @Override
@@ -134,13 +134,13 @@
         }
 
         @Override
-        public CompletionStage<TargetReply<LoadReport>> loadReport() {
-            return engine.loadReport();
+        public CompletionStage<TargetReply<LoadReport>> fetchLoadReport() {
+            return engine.fetchLoadReport();
         }
 
         @Override
-        public CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
-            return engine.cacheEvents(afterSequence);
+        public CompletionStage<TargetReply<List<CacheEvent>>> fetchCacheEvents(long afterSequence) {
+            return engine.fetchCacheEvents(afterSequence);
         }
 
         @Override
--- a/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
@@ -40,7 +40,7 @@
     @BeforeEach
     void start() throws IOException {
         platform = new PlatformStandIn(
-                platformLoop, new EventLoopTime(platformLoop.group().next()), ForwardingDaemonTest::fault);
+                platformLoop, new EventLoopTime(platformLoop.eventLoopGroup().next()), ForwardingDaemonTest::fault);
         daemon = new ForwardingDaemon(settings(), daemonLoop, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
         daemon.start();
         assertTrue(becomesReady());
@@ -48,9 +48,9 @@
 
     @AfterEach
     void stop() {
-        daemonLoop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        daemonLoop.eventLoopGroup().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         platform.close();
-        platformLoop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        platformLoop.eventLoopGroup().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     private static TargetFault fault(StandInRequest request) {
@@ -140,7 +140,7 @@
     @Test
     void withoutTheStoreCallsGoOn() throws Exception {
         CompletableFuture<Void> silent = new CompletableFuture<>();
-        platformLoop.group().next().execute(() -> {
+        platformLoop.eventLoopGroup().next().execute(() -> {
             platform.store().mode(StoreStandIn.Mode.SILENT);
             silent.complete(null);
         });
@@ -176,7 +176,7 @@
         String before = call("/safe/a", "v1", "").toLowerCase(Locale.ROOT);
         assertTrue(before.contains("server-stamp"), before);
         platformLoop
-                .group()
+                .eventLoopGroup()
                 .next()
                 .execute(() -> platform.store()
                         .put("keyed.op", "config", "{\"version\":9,\"routes\":[],\"services\":[],\"limits\":{}}"));
@@ -185,7 +185,7 @@
             answer = call("/safe/a", "w" + i, "");
         }
         assertTrue(answer.startsWith("HTTP/1.1 404 "), answer);
-        platformLoop.group().next().execute(() -> platform.configure(3));
+        platformLoop.eventLoopGroup().next().execute(() -> platform.configure(3));
         assertTrue(call("/safe/a", "x1", "").startsWith("HTTP/1.1 404 "), "an older version must not come back");
     }
 }
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualCall.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualCall.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.request.Refusal;
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** One call of one caller: records how it ended. */
 final class VirtualCall implements AnswerSink {
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void onComplete(Usage _usage, String _finishReason) {
+    public void onComplete(TokenUsage _usage, String _finishReason) {
         end(new RequestEvent.Answered(run.time.wallMillis(), id, text.toString()));
     }
 
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualInstance.java
@@ -37,10 +37,10 @@
 import org.dogwoodwinch.target.EngineClient;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 
 /** One life of one instance on virtual time: once it is dead, nothing that it still does reaches anything. */
-final class VirtualInstance implements TargetClients, LogService {
+final class VirtualInstance implements TargetClientFactory, LogService {
 
     private static final long RETENTION_MILLIS = 3_600_000;
     private static final int MOST_KEYS = 10_000;
@@ -178,12 +178,12 @@
     }
 
     @Override
-    public EngineClient engine(Target target) {
+    public EngineClient engineClient(Target target) {
         return new VirtualLink(run.engine(target.name()), this::isAlive);
     }
 
     @Override
-    public ServiceClient service(Target target) {
+    public ServiceClient serviceClient(Target target) {
         throw new IllegalStateException("this run has no plain services: " + target.name());
     }
 
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualLink.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualLink.java
@@ -18,7 +18,7 @@
 import org.dogwoodwinch.target.OrderResult;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** A connection from one instance to one engine; once the instance is dead, nothing passes either way. */
 final class VirtualLink implements EngineClient {
@@ -42,13 +42,13 @@
     }
 
     @Override
-    public CompletionStage<TargetReply<LoadReport>> loadReport() {
-        return alive.getAsBoolean() ? engine.loadReport() : new CompletableFuture<>();
+    public CompletionStage<TargetReply<LoadReport>> fetchLoadReport() {
+        return alive.getAsBoolean() ? engine.fetchLoadReport() : new CompletableFuture<>();
     }
 
     @Override
-    public CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
-        return alive.getAsBoolean() ? engine.cacheEvents(afterSequence) : new CompletableFuture<>();
+    public CompletionStage<TargetReply<List<CacheEvent>>> fetchCacheEvents(long afterSequence) {
+        return alive.getAsBoolean() ? engine.fetchCacheEvents(afterSequence) : new CompletableFuture<>();
     }
 
     @Override
@@ -57,13 +57,13 @@
     }
 
     @Override
-    public CompletionStage<OrderResult> order(EngineOrder order) {
-        return alive.getAsBoolean() ? engine.order(order) : new CompletableFuture<>();
+    public CompletionStage<OrderResult> sendOrder(EngineOrder order) {
+        return alive.getAsBoolean() ? engine.sendOrder(order) : new CompletableFuture<>();
     }
 
     @Override
-    public CompletionStage<TargetReply<EngineState>> state() {
-        return alive.getAsBoolean() ? engine.state() : new CompletableFuture<>();
+    public CompletionStage<TargetReply<EngineState>> fetchState() {
+        return alive.getAsBoolean() ? engine.fetchState() : new CompletableFuture<>();
     }
 
     private AnswerStream gate(AnswerStream stream) {
@@ -97,7 +97,7 @@
             }
 
             @Override
-            public void onComplete(Usage usage, String finishReason) {
+            public void onComplete(TokenUsage usage, String finishReason) {
                 if (alive.getAsBoolean()) {
                     listener.onComplete(usage, finishReason);
                 }
--- a/src/test/java/org/dogwoodwinch/faultrun/VirtualRouter.java
+++ b/src/test/java/org/dogwoodwinch/faultrun/VirtualRouter.java
@@ -9,7 +9,7 @@
 import org.dogwoodwinch.routing.Router;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /** Takes any engine that is in service and not excluded. */
 final class VirtualRouter implements Router {
@@ -41,7 +41,7 @@
     public void onFirstToken(String _attemptId, long _elapsedMillis) {}
 
     @Override
-    public void onCompleted(String _attemptId, Usage _usage) {}
+    public void onCompleted(String _attemptId, TokenUsage _usage) {}
 
     @Override
     public void onFailed(String _attemptId, TargetFailure _failure) {}
--- a/src/test/java/org/dogwoodwinch/http/CallerHandlerTest.java
+++ b/src/test/java/org/dogwoodwinch/http/CallerHandlerTest.java
@@ -22,7 +22,7 @@
 import org.dogwoodwinch.request.RefusalReason;
 import org.dogwoodwinch.target.AnswerChunk;
 import org.dogwoodwinch.target.ServiceAnswer;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -30,7 +30,7 @@
 @Timeout(60)
 class CallerHandlerTest {
 
-    private static final Usage USAGE = new Usage(3, 1, 2);
+    private static final TokenUsage USAGE = new TokenUsage(3, 1, 2);
 
     private final WatchedTime time = new WatchedTime();
     private final EdgeFixture edge = new EdgeFixture(time, new SilentObserver(), Optional.empty());
--- a/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
+++ b/src/test/java/org/dogwoodwinch/request/FaultyEngineLink.java
@@ -19,7 +19,7 @@
 import org.dogwoodwinch.target.OrderResult;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /**
@@ -100,13 +100,13 @@
     }
 
     @Override
-    public CompletionStage<TargetReply<LoadReport>> loadReport() {
-        return engine.loadReport();
+    public CompletionStage<TargetReply<LoadReport>> fetchLoadReport() {
+        return engine.fetchLoadReport();
     }
 
     @Override
-    public CompletionStage<TargetReply<List<CacheEvent>>> cacheEvents(long afterSequence) {
-        return engine.cacheEvents(afterSequence);
+    public CompletionStage<TargetReply<List<CacheEvent>>> fetchCacheEvents(long afterSequence) {
+        return engine.fetchCacheEvents(afterSequence);
     }
 
     @Override
@@ -115,13 +115,13 @@
     }
 
     @Override
-    public CompletionStage<OrderResult> order(EngineOrder _order) {
+    public CompletionStage<OrderResult> sendOrder(EngineOrder _order) {
         return CompletableFuture.failedFuture(new IllegalStateException("no orders here"));
     }
 
     @Override
-    public CompletionStage<TargetReply<EngineState>> state() {
-        return engine.state();
+    public CompletionStage<TargetReply<EngineState>> fetchState() {
+        return engine.fetchState();
     }
 
     /** One connection, compared by identity. */
@@ -170,7 +170,7 @@
         }
 
         @Override
-        public void onComplete(Usage usage, String finishReason) {
+        public void onComplete(TokenUsage usage, String finishReason) {
             if (!ended) {
                 ended = true;
                 open.remove(this);
--- a/src/test/java/org/dogwoodwinch/request/LogClaimStoreTest.java
+++ b/src/test/java/org/dogwoodwinch/request/LogClaimStoreTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.dogwoodwinch.standin.MemoryLog;
 import org.dogwoodwinch.standin.MemoryLogLimits;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -95,7 +95,7 @@
     void resendReadsTheAnswerOfACompletedClaim() {
         firstStore.claim(claim("key", 1), outcomes::add);
         time.advanceMillis(100);
-        StoredAnswer answer = new StoredAnswer.Generated("checked", new Usage(3, 0, 1), "stop");
+        StoredAnswer answer = new StoredAnswer.Generated("checked", new TokenUsage(3, 0, 1), "stop");
         firstStore.recordAnswer(((ClaimOutcome.Acquired) outcomes.get(0)).claimId(), answer);
         time.advanceMillis(100);
         secondStore.claim(claim("key", 1), outcomes::add);
--- a/src/test/java/org/dogwoodwinch/request/RequestFixture.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestFixture.java
@@ -26,9 +26,9 @@
 import org.dogwoodwinch.target.ServiceAnswer;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Stand-in engines behind one coordinator in virtual time, and a plain service whose answers are set by the test. */
@@ -82,14 +82,14 @@
                     return () -> {};
                 },
                 new FirstAllowedRouter(),
-                new TargetClients() {
+                new TargetClientFactory() {
                     @Override
-                    public EngineClient engine(Target target) {
+                    public EngineClient engineClient(Target target) {
                         return engines.get(target.name());
                     }
 
                     @Override
-                    public ServiceClient service(Target _target) {
+                    public ServiceClient serviceClient(Target _target) {
                         return service;
                     }
                 },
@@ -151,7 +151,7 @@
         }
 
         @Override
-        public void onComplete(Usage _usage, String _finishReason) {
+        public void onComplete(TokenUsage _usage, String _finishReason) {
             complete = true;
         }
 
@@ -185,7 +185,7 @@
         public void onFirstToken(String _attemptId, long _elapsedMillis) {}
 
         @Override
-        public void onCompleted(String _attemptId, Usage _usage) {}
+        public void onCompleted(String _attemptId, TokenUsage _usage) {}
 
         @Override
         public void onFailed(String _attemptId, TargetFailure _failure) {}
--- a/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
+++ b/src/test/java/org/dogwoodwinch/request/RequestSimulation.java
@@ -34,7 +34,7 @@
 import org.dogwoodwinch.target.ServiceCall;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Simulates, in virtual time, three instances, three engines, two plain services and callers that resend requests. */
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void onComplete(Usage _usage, String _finishReason) {
+        public void onComplete(TokenUsage _usage, String _finishReason) {
             // Callers occasionally resend a request although they received its answer.
             end(new RequestEvent.Answered(time.wallMillis(), callId, text.toString()), random.nextInt(4) == 0);
         }
--- a/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
+++ b/src/test/java/org/dogwoodwinch/request/SimulatedInstance.java
@@ -17,15 +17,15 @@
 import org.dogwoodwinch.target.ServiceCall;
 import org.dogwoodwinch.target.ServiceClient;
 import org.dogwoodwinch.target.Target;
-import org.dogwoodwinch.target.TargetClients;
+import org.dogwoodwinch.target.TargetClientFactory;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 
 /**
  * One instance of a {@link RequestSimulation}, whose process can be paused, killed and restarted and whose links break.
  */
-final class SimulatedInstance implements TargetClients {
+final class SimulatedInstance implements TargetClientFactory {
 
     private final RequestSimulation simulation;
     private final String name;
@@ -147,12 +147,12 @@
     }
 
     @Override
-    public EngineClient engine(Target target) {
+    public EngineClient engineClient(Target target) {
         return links.get(target.name());
     }
 
     @Override
-    public ServiceClient service(Target target) {
+    public ServiceClient serviceClient(Target target) {
         return call -> callService(target, call);
     }
 
@@ -189,7 +189,7 @@
         public void onFirstToken(String _attemptId, long _elapsedMillis) {}
 
         @Override
-        public void onCompleted(String _attemptId, Usage _usage) {}
+        public void onCompleted(String _attemptId, TokenUsage _usage) {}
 
         @Override
         public void onFailed(String _attemptId, TargetFailure _failure) {}
--- a/src/test/java/org/dogwoodwinch/routing/LoadAwareRouterTest.java
+++ b/src/test/java/org/dogwoodwinch/routing/LoadAwareRouterTest.java
@@ -20,7 +20,7 @@
 import org.dogwoodwinch.target.LoadReport;
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -66,7 +66,7 @@
         setInstanceList("e1", "e2", "e3");
         String attempt = send("e2", SHARED_PREFIX, 600);
         router.onFirstToken(attempt, 80);
-        router.onCompleted(attempt, new Usage(600, 0, 10));
+        router.onCompleted(attempt, new TokenUsage(600, 0, 10));
         assertEquals("e2", chooseRoute(newQuery(SHARED_PREFIX)).target().name());
         time.advanceMillis(1_800_000);
         Map<String, Integer> choices = countChoices(newQuery(SHARED_PREFIX), 60);
@@ -102,7 +102,7 @@
                 router.onFailed(attempt, new TargetFailure.Broken("reset"));
             } else {
                 router.onFirstToken(attempt, 500);
-                router.onCompleted(attempt, new Usage(10, 0, 1));
+                router.onCompleted(attempt, new TokenUsage(10, 0, 1));
             }
             time.advanceMillis(100);
         }
--- a/src/test/java/org/dogwoodwinch/standin/StandInEngineTest.java
+++ b/src/test/java/org/dogwoodwinch/standin/StandInEngineTest.java
@@ -18,7 +18,7 @@
 import org.dogwoodwinch.target.LoadReport;
 import org.dogwoodwinch.target.OrderResult;
 import org.dogwoodwinch.target.TargetFailure;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -104,10 +104,10 @@
     void aCheckingEngineRefusesAnOldFencingTokenAndAnIgnoringOneObeys() {
         EngineConfiguration decode = MIXED.withRole(EngineRole.DECODE);
         StandInEngine checking = engine(StandInEngineOptions.STANDARD);
-        checking.order(new EngineOrder("new", 9, decode));
+        checking.sendOrder(new EngineOrder("new", 9, decode));
         assertEquals(new OrderResult.Fenced(9), result(checking, new EngineOrder("old", 8, MIXED)));
         StandInEngine ignoring = engine(StandInEngineOptions.STANDARD.withChecksFencing(false));
-        ignoring.order(new EngineOrder("new", 9, decode));
+        ignoring.sendOrder(new EngineOrder("new", 9, decode));
         assertInstanceOf(OrderResult.Accepted.class, result(ignoring, new EngineOrder("old", 8, MIXED)));
     }
 
@@ -124,11 +124,14 @@
     }
 
     private long queuedPrefill(StandInEngine engine) {
-        return engine.loadReport().toCompletableFuture().join().match(LoadReport::queuedPrefillTokens, _failure -> -1L);
+        return engine.fetchLoadReport()
+                .toCompletableFuture()
+                .join()
+                .match(LoadReport::queuedPrefillTokens, _failure -> -1L);
     }
 
     private static OrderResult result(StandInEngine engine, EngineOrder order) {
-        return engine.order(order).toCompletableFuture().join();
+        return engine.sendOrder(order).toCompletableFuture().join();
     }
 
     private StandInEngine engine(StandInEngineOptions options) {
@@ -142,7 +145,7 @@
     private static final class Recording implements AnswerListener {
 
         private final List<AnswerChunk> chunks = new ArrayList<>();
-        private Usage usage;
+        private TokenUsage usage;
         private TargetFailure failure;
 
         @Override
@@ -151,7 +154,7 @@
         }
 
         @Override
-        public void onComplete(Usage newUsage, String _finishReason) {
+        public void onComplete(TokenUsage newUsage, String _finishReason) {
             usage = newUsage;
         }
 
--- a/src/test/java/org/dogwoodwinch/target/http/HttpEngineClientTest.java
+++ b/src/test/java/org/dogwoodwinch/target/http/HttpEngineClientTest.java
@@ -25,7 +25,7 @@
 import org.dogwoodwinch.target.Target;
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.TargetReply;
-import org.dogwoodwinch.target.Usage;
+import org.dogwoodwinch.target.TokenUsage;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -43,7 +43,7 @@
     private final EventLoopGroup group = new NioEventLoopGroup(1);
     private final HttpClients clients = new HttpClients(group, 2_000);
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final HttpTargetClients targets = new HttpTargetClients(clients, time, TargetTimeouts.STANDARD);
+    private final HttpTargetClientFactory targets = new HttpTargetClientFactory(clients, time, TargetTimeouts.DEFAULT);
     private final RecordingListener listener = new RecordingListener();
 
     @AfterEach
@@ -98,7 +98,7 @@
         try (ScriptedServer server = new ScriptedServer()) {
             stoppedTarget = server.target();
         }
-        targets.engine(stoppedTarget).generate(call(), listener);
+        targets.engineClient(stoppedTarget).generate(call(), listener);
         assertTrue(listener.outcome.join().startsWith("NotSent:"), listener.outcome.join());
     }
 
@@ -109,9 +109,9 @@
     @Test
     void connectionClosedWithoutAnswerIsBrokenAndNotRetried() throws IOException {
         try (ScriptedServer server = new ScriptedServer("", ScriptedServer.streamResponse(CHUNK, END))) {
-            targets.engine(server.target()).generate(call(), listener);
+            targets.engineClient(server.target()).generate(call(), listener);
             assertTrue(listener.outcome.join().startsWith("Broken:"), listener.outcome.join());
-            TargetReply<ServiceAnswer> second = targets.service(server.target())
+            TargetReply<ServiceAnswer> second = targets.serviceClient(server.target())
                     .call(new ServiceCall("a-2", "POST", "/", "", Bytes.EMPTY, 2_000))
                     .toCompletableFuture()
                     .join();
@@ -123,8 +123,8 @@
     @Test
     void silentEngineTimesOut() throws IOException {
         try (ScriptedServer server = new ScriptedServer()) {
-            targets.engine(server.target()).generate(call(), listener);
-            time.advanceMillis(TargetTimeouts.STANDARD.silenceMillis());
+            targets.engineClient(server.target()).generate(call(), listener);
+            time.advanceMillis(TargetTimeouts.DEFAULT.silenceMillis());
             assertTrue(listener.outcome.join().startsWith("TimedOut:"), listener.outcome.join());
         }
     }
@@ -149,8 +149,8 @@
     void loadReportWithMissingNumberIsRejected() throws IOException {
         try (ScriptedServer server = new ScriptedServer(
                 ScriptedServer.fixedLengthResponse(200, "application/json", "{\"reportedAtMillis\":1}"))) {
-            TargetReply<?> reply = targets.engine(server.target())
-                    .loadReport()
+            TargetReply<?> reply = targets.engineClient(server.target())
+                    .fetchLoadReport()
                     .toCompletableFuture()
                     .join();
             assertEquals(new TargetReply.Failure<>(new TargetFailure.Broken("malformed answer")), reply);
@@ -158,13 +158,16 @@
     }
 
     private OrderResult sendOrder(Target target, EngineOrder order) {
-        return targets.engine(target).order(order).toCompletableFuture().join();
+        return targets.engineClient(target)
+                .sendOrder(order)
+                .toCompletableFuture()
+                .join();
     }
 
     private String generate(String answer) throws IOException {
         RecordingListener answerListener = new RecordingListener();
         try (ScriptedServer server = new ScriptedServer(answer)) {
-            targets.engine(server.target()).generate(call(), answerListener);
+            targets.engineClient(server.target()).generate(call(), answerListener);
             return answerListener.outcome.join();
         }
     }
@@ -184,7 +187,7 @@
         }
 
         @Override
-        public void onComplete(Usage _usage, String finishReason) {
+        public void onComplete(TokenUsage _usage, String finishReason) {
             outcome.complete("whole:" + String.join("", texts) + finishReason);
         }
 
