--- a/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
+++ b/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
@@ -31,125 +31,125 @@
     private static final Logger log = LoggerFactory.getLogger(BrokenTargets.class);
 
     /** A word goes by two relays, a round each; a probe and its word take less than the pause once more. */
-    private static final int HEARERS_PAUSES = 2;
+    private static final int PEER_EJECTION_FACTOR = 2;
 
     /** Beside that, up to as long again by chance: hearers whose pauses end at once would all try at once. */
-    private static final int SPREAD_PAUSES = 2;
+    private static final int PEER_EJECTION_JITTER = 2;
 
-    private static final long KEEP_MILLIS = 5_000;
-    private static final int FIELDS = 2;
+    private static final long TTL_MILLIS = 5_000;
+    private static final int FIELD_COUNT = 2;
 
     private final String ownName;
     private final RelayExchange exchange;
     private final TargetHealth health;
-    private final ToLongFunction<String> bornMillis;
+    private final ToLongFunction<String> startedMillis;
     private final UniformRandomProvider random;
-    private final Set<String> believedBroken = new HashSet<>();
-    private final Set<String> probedFromHere = new HashSet<>();
+    private final Set<String> ejectedTargets = new HashSet<>();
+    private final Set<String> probedTargets = new HashSet<>();
 
     BrokenTargets(
             String ownName,
             RelayExchange exchange,
             TargetHealth health,
-            ToLongFunction<String> bornMillis,
+            ToLongFunction<String> startedMillis,
             UniformRandomProvider random) {
         this.ownName = Objects.requireNonNull(ownName, "ownName");
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.health = Objects.requireNonNull(health, "health");
-        this.bornMillis = Objects.requireNonNull(bornMillis, "bornMillis");
+        this.startedMillis = Objects.requireNonNull(startedMillis, "startedMillis");
         this.random = Objects.requireNonNull(random, "random");
     }
 
     /** Hears from now on. */
     void start() {
-        exchange.subscribe(PeerTopic.BROKEN_TARGET, this::heard);
+        exchange.subscribe(PeerTopic.BROKEN_TARGET, this::onUpdate);
     }
 
     @Override
     public long brokeOff(String targetId) {
-        boolean news = !health.isEjected(targetId);
-        long pauseMillis = health.recordBrokenConnection(targetId);
-        if (news && pauseMillis > 0) {
-            believedBroken.add(targetId);
-            probedFromHere.add(targetId);
-            tell(targetId, pauseMillis);
+        boolean newlyEjected = !health.isEjected(targetId);
+        long ejectionMillis = health.recordBrokenConnection(targetId);
+        if (newlyEjected && ejectionMillis > 0) {
+            ejectedTargets.add(targetId);
+            probedTargets.add(targetId);
+            publish(targetId, ejectionMillis);
         }
-        return pauseMillis;
+        return ejectionMillis;
     }
 
     /** After a pause that was a probe, and its outcome is told; within one the answer is to a call from before it. */
     @Override
     public void answered(String targetId) {
         health.recordAnswer(targetId);
-        if (!health.isEjected(targetId) && believedBroken.remove(targetId)) {
-            probedFromHere.remove(targetId);
-            tell(targetId, 0);
+        if (!health.isEjected(targetId) && ejectedTargets.remove(targetId)) {
+            probedTargets.remove(targetId);
+            publish(targetId, 0);
         }
     }
 
     @Override
     public void forget(String targetId) {
-        believedBroken.remove(targetId);
-        probedFromHere.remove(targetId);
+        ejectedTargets.remove(targetId);
+        probedTargets.remove(targetId);
         health.remove(targetId);
     }
 
-    private void tell(String targetId, long pauseMillis) {
+    private void publish(String targetId, long ejectionMillis) {
         exchange.publish(
                 PeerTopic.BROKEN_TARGET,
                 targetId,
-                Packing.pack(pauseMillis, (packer, millis) -> {
-                    packer.packArrayHeader(FIELDS);
-                    packer.packLong(bornMillis.applyAsLong(targetId));
+                Packing.pack(ejectionMillis, (packer, millis) -> {
+                    packer.packArrayHeader(FIELD_COUNT);
+                    packer.packLong(startedMillis.applyAsLong(targetId));
                     packer.packLong(millis);
                 }),
-                KEEP_MILLIS);
+                TTL_MILLIS);
     }
 
-    private void heard(PeerUpdate item) {
+    private void onUpdate(PeerUpdate update) {
         try {
-            Word word = Packing.unpack(item.payload().toByteArray(), unpacker -> {
-                Packing.expectFields(unpacker, FIELDS);
-                return new Word(unpacker.unpackLong(), unpacker.unpackLong());
+            EjectionMessage message = Packing.unpack(update.payload().toByteArray(), unpacker -> {
+                Packing.expectFields(unpacker, FIELD_COUNT);
+                return new EjectionMessage(unpacker.unpackLong(), unpacker.unpackLong());
             });
-            if (word.bornMillis == bornMillis.applyAsLong(item.key())) {
-                apply(item, word.pauseMillis);
+            if (message.startedMillis == startedMillis.applyAsLong(update.key())) {
+                apply(update, message.ejectionMillis);
             }
         } catch (IOException e) {
             LogEvent.of("broken_target_not_understood")
-                    .with("peer", item.origin())
+                    .with("peer", update.origin())
                     .with("error", e.getMessage())
                     .warn(log);
         }
     }
 
-    private void apply(PeerUpdate item, long pauseMillis) {
-        String targetId = item.key();
-        if (pauseMillis <= 0) {
-            probedFromHere.remove(targetId);
+    private void apply(PeerUpdate update, long ejectionMillis) {
+        String targetId = update.key();
+        if (ejectionMillis <= 0) {
+            probedTargets.remove(targetId);
             health.recordPeerRecovery(targetId);
-            if (believedBroken.remove(targetId)) {
-                log(item, 0);
+            if (ejectedTargets.remove(targetId)) {
+                log(update, 0);
             }
-        } else if (!probedFromHere.contains(targetId) || item.origin().compareTo(ownName) < 0) {
-            boolean news = believedBroken.add(targetId);
-            probedFromHere.remove(targetId);
-            double pauses = HEARERS_PAUSES + SPREAD_PAUSES * random.nextDouble();
-            long leftAloneMillis = Math.round(pauses * pauseMillis) - item.ageMillis();
-            health.recordPeerEjection(targetId, pauseMillis, leftAloneMillis);
-            if (news) {
-                log(item, leftAloneMillis);
+        } else if (!probedTargets.contains(targetId) || update.origin().compareTo(ownName) < 0) {
+            boolean newlyEjected = ejectedTargets.add(targetId);
+            probedTargets.remove(targetId);
+            double factor = PEER_EJECTION_FACTOR + PEER_EJECTION_JITTER * random.nextDouble();
+            long peerEjectionMillis = Math.round(factor * ejectionMillis) - update.ageMillis();
+            health.recordPeerEjection(targetId, ejectionMillis, peerEjectionMillis);
+            if (newlyEjected) {
+                log(update, peerEjectionMillis);
             }
         }
     }
 
-    private static void log(PeerUpdate item, long pauseMillis) {
+    private static void log(PeerUpdate update, long ejectionMillis) {
         LogEvent.of("broken_target_heard")
-                .with("target", item.key())
-                .with("pauseMillis", pauseMillis)
-                .with("peer", item.origin())
+                .with("target", update.key())
+                .with("pauseMillis", ejectionMillis)
+                .with("peer", update.origin())
                 .info(log);
     }
 
-    private record Word(long bornMillis, long pauseMillis) {}
+    private record EjectionMessage(long startedMillis, long ejectionMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
@@ -22,60 +22,60 @@
     private static final Logger log = LoggerFactory.getLogger(EnginesAway.class);
 
     /** A newcomer hears of an engine that is away about as long as one may be. */
-    private static final long KEEP_MILLIS = 15_000;
+    private static final long TTL_MILLIS = 15_000;
 
-    private static final int FIELDS = 2;
+    private static final int FIELD_COUNT = 2;
 
     private final RelayExchange exchange;
     private final TargetHealth health;
-    private final ToLongFunction<String> bornMillis;
+    private final ToLongFunction<String> startedMillis;
 
-    EnginesAway(RelayExchange exchange, TargetHealth health, ToLongFunction<String> bornMillis) {
+    EnginesAway(RelayExchange exchange, TargetHealth health, ToLongFunction<String> startedMillis) {
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.health = Objects.requireNonNull(health, "health");
-        this.bornMillis = Objects.requireNonNull(bornMillis, "bornMillis");
+        this.startedMillis = Objects.requireNonNull(startedMillis, "startedMillis");
     }
 
     /** Hears from now on. */
     void start() {
-        exchange.subscribe(PeerTopic.LEAVING, this::heard);
+        exchange.subscribe(PeerTopic.LEAVING, this::onUpdate);
     }
 
     /**
      * Leaves an engine alone, and tells the others.
      *
      * @param engineId the engine, not null
-     * @param millis for how long; zero where it is back
+     * @param durationMillis for how long; zero where it is back
      */
-    void tell(String engineId, long millis) {
-        apply(engineId, millis);
-        Word word = new Word(bornMillis.applyAsLong(engineId), millis);
-        exchange.publish(PeerTopic.LEAVING, engineId, word.encode(), KEEP_MILLIS);
+    void publish(String engineId, long durationMillis) {
+        apply(engineId, durationMillis);
+        StageChangeMessage message = new StageChangeMessage(startedMillis.applyAsLong(engineId), durationMillis);
+        exchange.publish(PeerTopic.LEAVING, engineId, message.encode(), TTL_MILLIS);
     }
 
-    private void heard(PeerUpdate item) {
+    private void onUpdate(PeerUpdate update) {
         try {
-            Word word = Word.decode(item.payload());
-            if (word.bornMillis != bornMillis.applyAsLong(item.key())) {
+            StageChangeMessage message = StageChangeMessage.decode(update.payload());
+            if (message.startedMillis != startedMillis.applyAsLong(update.key())) {
                 return;
             }
-            apply(item.key(), word.awayMillis - item.ageMillis());
+            apply(update.key(), message.durationMillis - update.ageMillis());
             LogEvent.of("engine_away")
-                    .with("target", item.key())
-                    .with("millis", word.awayMillis)
-                    .with("peer", item.origin())
+                    .with("target", update.key())
+                    .with("millis", message.durationMillis)
+                    .with("peer", update.origin())
                     .info(log);
         } catch (IOException e) {
             LogEvent.of("engine_away_not_understood")
-                    .with("peer", item.origin())
+                    .with("peer", update.origin())
                     .with("error", e.getMessage())
                     .warn(log);
         }
     }
 
-    private void apply(String engineId, long millis) {
-        if (millis > 0) {
-            health.startStageChange(engineId, millis);
+    private void apply(String engineId, long durationMillis) {
+        if (durationMillis > 0) {
+            health.startStageChange(engineId, durationMillis);
         } else {
             health.endStageChange(engineId);
         }
@@ -84,23 +84,23 @@
     /**
      * What is told.
      *
-     * @param bornMillis the engine's birth
-     * @param awayMillis how long it is left alone; zero where it is back
+     * @param startedMillis the engine's birth
+     * @param durationMillis how long it is left alone; zero where it is back
      */
-    private record Word(long bornMillis, long awayMillis) {
+    private record StageChangeMessage(long startedMillis, long durationMillis) {
 
         Bytes encode() {
-            return Packing.pack(this, (packer, word) -> {
-                packer.packArrayHeader(FIELDS);
-                packer.packLong(word.bornMillis);
-                packer.packLong(word.awayMillis);
+            return Packing.pack(this, (packer, message) -> {
+                packer.packArrayHeader(FIELD_COUNT);
+                packer.packLong(message.startedMillis);
+                packer.packLong(message.durationMillis);
             });
         }
 
-        static Word decode(Bytes payload) throws IOException {
+        static StageChangeMessage decode(Bytes payload) throws IOException {
             return Packing.unpack(payload.toByteArray(), unpacker -> {
-                Packing.expectFields(unpacker, FIELDS);
-                return new Word(unpacker.unpackLong(), unpacker.unpackLong());
+                Packing.expectFields(unpacker, FIELD_COUNT);
+                return new StageChangeMessage(unpacker.unpackLong(), unpacker.unpackLong());
             });
         }
     }
--- a/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
@@ -43,18 +43,18 @@
     private static final Logger log = LoggerFactory.getLogger(FleetExchange.class);
 
     /** Instances come and go rarely; a call that waits long is one call less to pay. */
-    private static final long MEMBERS_WAIT_MILLIS = 8_000;
+    private static final long MEMBERS_LONG_POLL_MILLIS = 8_000;
 
     private static final long MEMBERS_PAUSE_MILLIS = 2_000;
     private static final int MAX_MESSAGE_BYTES = 262_144;
     private static final double BYTES_PER_MEGABIT = 125_000;
 
     /** A reader's long call, its pause, and a word that may be lost; nothing of the members is bound to a time. */
-    private static final ReplicaPolicy MEMBERS_TOLD =
-            new ReplicaPolicy(MEMBERS_WAIT_MILLIS + MEMBERS_PAUSE_MILLIS + 2_000, 500, 3);
+    private static final ReplicaPolicy MEMBERS_REPLICA_POLICY =
+            new ReplicaPolicy(MEMBERS_LONG_POLL_MILLIS + MEMBERS_PAUSE_MILLIS + 2_000, 500, 3);
 
     /** A suspicion outlives a caller's retries by far. */
-    private static final long SUSPECT_MILLIS = 600_000;
+    private static final long SUSPICION_TTL_MILLIS = 600_000;
 
     private static final long QUARANTINE_MILLIS = 600_000;
 
@@ -72,14 +72,14 @@
             Transport sockets,
             TimeSource time,
             UniformRandomProvider random,
-            KeyedStream stream,
-            KeyedWriter writer,
-            FollowerPolicy follow,
+            KeyedStream memberStream,
+            KeyedWriter memberWriter,
+            FollowerPolicy followerPolicy,
             LoadTracker loads,
             ForwardingMetrics metrics) {
         this.settings = settings;
         String name = settings.instance().name();
-        this.members = new MemberList(name, writer, time, settings.peers().renewMillis());
+        this.members = new MemberList(name, memberWriter, time, settings.peers().renewMillis());
         this.transport = new NettyPeerTransport(sockets, MAX_MESSAGE_BYTES, Optional.empty(), Optional.empty());
         this.exchange = new RelayExchange(
                 new PeerSettings(
@@ -94,16 +94,16 @@
                 time,
                 transport,
                 members::others,
-                new TrafficReport(metrics));
-        exchange.beforeEachRound(() -> metrics.showInstances(sharersCount()));
+                new TrafficMetrics(metrics));
+        exchange.beforeEachRound(() -> metrics.showInstances(maxInstanceCount()));
         this.streams = new StreamSharing(exchange, time);
         this.follower = new StreamFollower(
-                streams.share(MemberList.TOPIC, stream, MEMBERS_TOLD),
+                streams.share(MemberList.TOPIC, memberStream, MEMBERS_REPLICA_POLICY),
                 new FollowerPolicy(
-                        MEMBERS_WAIT_MILLIS,
+                        MEMBERS_LONG_POLL_MILLIS,
                         MEMBERS_PAUSE_MILLIS,
-                        follow.firstBackoffMillis(),
-                        follow.maxBackoffMillis()),
+                        followerPolicy.firstBackoffMillis(),
+                        followerPolicy.maxBackoffMillis()),
                 members,
                 time,
                 random);
@@ -115,7 +115,7 @@
                 settings.instance().dataCentre(),
                 settings.peers().roundMillis());
         SuspicionExchange suspicions = new SuspicionExchange(exchange);
-        this.suspects = new SuspectRegistry(time, SUSPECT_MILLIS, QUARANTINE_MILLIS, suspicions);
+        this.suspects = new SuspectRegistry(time, SUSPICION_TTL_MILLIS, QUARANTINE_MILLIS, suspicions);
         suspicions.subscribe(suspects);
     }
 
@@ -127,25 +127,25 @@
     }
 
     /** The instances that may share a target's connections: those seen, and no fewer than the settings name. */
-    int sharersCount() {
+    int maxInstanceCount() {
         return Math.max(
                 settings.forwarding().mostInstancesCount(),
                 members.maxMemberCount().orElse(1));
     }
 
     /** The instances that share a target's connections. */
-    int connectionSharersCount() {
+    int connectionSharerCount() {
         return ConnectionShares.sharingInstancesCount(
                 members.maxMemberCount(), settings.forwarding().mostInstancesCount());
     }
 
     /** This instance's share of a common bound; nothing while it does not know the others. */
-    double shareOf(double whole) {
-        return members.maxMemberCount().isPresent() ? whole / sharersCount() : 0;
+    double ownShareOf(double total) {
+        return members.maxMemberCount().isPresent() ? total / maxInstanceCount() : 0;
     }
 
     /** The instances that count on each other, while this one is sure of it. */
-    Optional<Set<String>> countedOn() {
+    Optional<Set<String>> assignmentMembers() {
         return members.assignmentMembers();
     }
 
@@ -193,25 +193,25 @@
     }
 
     /** Counts what is told by what it is about: on a narrow link that tells what to tell less of. */
-    private static final class TrafficReport implements PeerObserver {
+    private static final class TrafficMetrics implements PeerObserver {
 
         private final ForwardingMetrics metrics;
         private final Map<PeerTopic, LongConsumer> counters = new EnumMap<>(PeerTopic.class);
 
-        TrafficReport(ForwardingMetrics metrics) {
+        TrafficMetrics(ForwardingMetrics metrics) {
             this.metrics = metrics;
         }
 
         @Override
         public void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {
             counters.computeIfAbsent(
-                            topic, each -> metrics.toldPeers(each.name().toLowerCase(Locale.ROOT)))
+                            topic, entryTopic -> metrics.toldPeers(entryTopic.name().toLowerCase(Locale.ROOT)))
                     .accept((long) entryBytes * recipientCount);
         }
 
         @Override
-        public void onTransitTime(long wayMillis) {
-            metrics.showPeerWay(wayMillis);
+        public void onTransitTime(long transitMillis) {
+            metrics.showPeerWay(transitMillis);
         }
 
         @Override
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -54,50 +54,50 @@
 public final class ForwardingDaemon {
 
     private static final Logger log = LoggerFactory.getLogger(ForwardingDaemon.class);
-    private static final long DRAIN_CHECK_MILLIS = 20;
+    private static final long DRAIN_CHECK_INTERVAL_MILLIS = 20;
 
     /** Before the platform ends the process by force, what could not finish is closed in order. */
-    private static final long BEFORE_GRACE_MILLIS = 500;
+    private static final long FORCED_CLOSE_LEAD_MILLIS = 500;
 
     /** Tries for a connection after which a caller is told to come back: a further one is as likely to fail. */
     private static final int MAX_FAILED_CONNECTS = 2;
 
     /** A send with less time than a round trip and a short run is an attempt for nothing. */
-    private static final long LEAST_REMAINING_MILLIS = 30;
+    private static final long MIN_REMAINING_MILLIS = 30;
 
     /** Targets that refused a call before its caller is told to come back: more are as likely to be full. */
     private static final int MAX_REJECTIONS = 2;
 
     /** Assumed until calls were observed: what engines of today's large models read in a millisecond. */
-    private static final double FIRST_TOKENS_PER_MILLI = 30;
+    private static final double INITIAL_TOKENS_PER_MILLI = 30;
 
     private static final long ENGINE_TIMEOUT_MILLIS = 1_000;
 
     /** Long enough to be no poll for the engine, short enough that a silent connection is noticed. */
-    private static final long ENGINE_WAIT_MILLIS = 1_000;
+    private static final long ENGINE_LONG_POLL_MILLIS = 1_000;
 
-    private static final long SETTINGS_CHECK_MILLIS = 1_000;
+    private static final long SETTINGS_CHECK_INTERVAL_MILLIS = 1_000;
 
-    private static final long CLOCK_CHECK_MILLIS = 500;
+    private static final long CLOCK_CHECK_INTERVAL_MILLIS = 500;
 
     /** Well over what clocks drift and timers are late between two checks. */
-    private static final long CLOCK_JUMP_MILLIS = 700;
+    private static final long CLOCK_JUMP_THRESHOLD_MILLIS = 700;
 
-    private static final long CACHE_ROUND_MILLIS = 250;
+    private static final long CACHE_WATCH_INTERVAL_MILLIS = 250;
 
     /** Well over a record's way to the store and back; an order is on its way within as long again. */
-    private static final long ORDER_VALID_MILLIS = 1_000;
+    private static final long ORDER_VALIDITY_MILLIS = 1_000;
 
     /** The time that an order may take to arrive, and as much again for clocks and links. */
-    private static final long ORDER_MARGIN_MILLIS = 2_000;
+    private static final long ORDER_SEPARATION_MARGIN_MILLIS = 2_000;
 
     /** The way of a reading to a platform that is slow, and of a word, on busy instances. */
-    private static final long TOLD_MARGIN_MILLIS = 400;
+    private static final long REPLICA_AGE_MARGIN_MILLIS = 400;
 
     /** A reading's way there and back, so that the next one's word comes before the one after it begins. */
-    private static final long READERS_WAIT_MILLIS = 75;
+    private static final long TAKEOVER_STAGGER_MILLIS = 75;
 
-    private static final int MOST_READERS_WAITS = 3;
+    private static final int MAX_TAKEOVER_STAGGERS = 3;
 
     private static final long FIRST_BACKOFF_MILLIS = 50;
     private static final long MAX_BACKOFF_MILLIS = 500;
@@ -118,8 +118,8 @@
     private final RetryBudget budget;
     private ForwardingSettings settings;
     private Channel readyListener;
-    private boolean leaving;
-    private long leftAtMillis;
+    private boolean stopping;
+    private long stopRequestedAtMillis;
 
     /**
      * Wires a daemon that does not listen yet.
@@ -138,15 +138,15 @@
                 settings.forwarding().idleMarginMillis());
         TargetHealth health = new TargetHealth(time::monotonicMillis);
         LoadTracker loads = new LoadTracker();
-        KvCacheIndex parts = new KvCacheIndex();
-        PrefillRates rates = new PrefillRates(FIRST_TOKENS_PER_MILLI);
+        KvCacheIndex cacheIndex = new KvCacheIndex();
+        PrefillRates rates = new PrefillRates(INITIAL_TOKENS_PER_MILLI);
         ControlCaller caller = new ControlCaller(transport, transport.group().next(), time, connections);
-        EngineClient engines = new EngineClient(caller, ENGINE_TIMEOUT_MILLIS, ENGINE_WAIT_MILLIS);
+        EngineClient engines = new EngineClient(caller, ENGINE_TIMEOUT_MILLIS, ENGINE_LONG_POLL_MILLIS);
         StoreClient store = new StoreClient(
                 caller,
                 Addresses.parse(settings.store().address()),
                 settings.store().timeoutMillis());
-        FollowerPolicy follow = new FollowerPolicy(
+        FollowerPolicy followerPolicy = new FollowerPolicy(
                 settings.store().waitMillis(),
                 settings.store().pauseMillis(),
                 FIRST_BACKOFF_MILLIS,
@@ -158,22 +158,22 @@
                 random,
                 store.keyed(MemberList.TOPIC),
                 store.writer(MemberList.TOPIC),
-                follow,
+                followerPolicy,
                 loads,
                 metrics);
         RateLimitShares limitShares =
-                new RateLimitShares(settings.instance().name(), fleet::countedOn, time::monotonicMillis);
+                new RateLimitShares(settings.instance().name(), fleet::assignmentMembers, time::monotonicMillis);
         TargetRateLimits limits = new TargetRateLimits(time::monotonicMillis, limitShares);
         this.directory = new TargetDirectory(health, limits);
         BrokenTargets brokenTargets =
-                new BrokenTargets(settings.instance().name(), fleet.exchange(), health, this::bornMillis, random);
+                new BrokenTargets(settings.instance().name(), fleet.exchange(), health, this::startedMillis, random);
         brokenTargets.start();
-        LimitSharing limitSharing = new LimitSharing(fleet.exchange(), limits, limitShares, this::bornMillis, time);
+        LimitSharing limitSharing = new LimitSharing(fleet.exchange(), limits, limitShares, this::startedMillis, time);
         limitSharing.start();
         fleet.exchange().beforeEachRound(() -> metrics.showLimited(limits.limitedCount()));
         this.budget = new RetryBudget(
                 settings.retries().ratio(),
-                () -> fleet.shareOf(this.settings.retries().slackCount()),
+                () -> fleet.ownShareOf(this.settings.retries().slackCount()),
                 settings.retries().windowMillis(),
                 time.monotonicMillis());
         this.service = new ForwardingService(
@@ -187,18 +187,18 @@
                         new EngineChooser(
                                 directory,
                                 loads,
-                                parts,
+                                cacheIndex,
                                 rates,
                                 EngineCostModel.DEFAULT,
                                 new LeastLoadedChooser(directory, loads, random),
                                 settings.instance().dataCentre()),
                         loads,
-                        parts,
+                        cacheIndex,
                         rates,
                         new RetryPolicy(
                                 MAX_FAILED_CONNECTS,
                                 MAX_REJECTIONS,
-                                LEAST_REMAINING_MILLIS,
+                                MIN_REMAINING_MILLIS,
                                 settings.retries().retryAfterMillis()),
                         budget,
                         fleet.quarantine(),
@@ -206,27 +206,27 @@
                         limits,
                         limitSharing,
                         brokenTargets,
-                        fleet::connectionSharersCount),
+                        fleet::connectionSharerCount),
                 metrics);
         this.configuration = new StreamFollower(
                 fleet.streams()
-                        .share(StoreClient.OPERATOR_TOPIC, store.keyed(StoreClient.OPERATOR_TOPIC), told(settings)),
-                follow,
+                        .share(StoreClient.OPERATOR_TOPIC, store.keyed(StoreClient.OPERATOR_TOPIC), replicaPolicy(settings)),
+                followerPolicy,
                 new ConfigurationReader(service, metrics),
                 time,
                 random);
-        this.clockWatch = new ClockWatch(time, CLOCK_CHECK_MILLIS, CLOCK_JUMP_MILLIS, this::clocksJumped);
+        this.clockWatch = new ClockWatch(time, CLOCK_CHECK_INTERVAL_MILLIS, CLOCK_JUMP_THRESHOLD_MILLIS, this::onClockJump);
         this.cacheWatch = new CacheWatch(
                 engines,
-                parts,
-                this::modelEngines,
+                cacheIndex,
+                this::activeModelEngines,
                 engineId -> fleet.exchange().isAssignedToSelf(engineId),
-                new KeptSharing(fleet.exchange(), parts, this::bornMillis, time),
+                new KeptSharing(fleet.exchange(), cacheIndex, this::startedMillis, time),
                 time,
-                CACHE_ROUND_MILLIS);
-        this.enginesAway = new EnginesAway(fleet.exchange(), health, this::bornMillis);
+                CACHE_WATCH_INTERVAL_MILLIS);
+        this.enginesAway = new EnginesAway(fleet.exchange(), health, this::startedMillis);
         this.stageOrders = new StageOrders(
-                new StageOrders.Parts(
+                new StageOrders.Dependencies(
                         settings.instance().name(),
                         directory,
                         loads,
@@ -237,8 +237,8 @@
                         () -> fleet.exchange().isFleetTaskAssignedToSelf(StageOrders.TOPIC),
                         store.log(StageOrders.TOPIC),
                         engines,
-                        enginesAway::tell),
-                new OrderLease(ORDER_VALID_MILLIS, settings.promises().holdersApartMillis() + ORDER_MARGIN_MILLIS),
+                        enginesAway::publish),
+                new OrderLease(ORDER_VALIDITY_MILLIS, settings.promises().holdersApartMillis() + ORDER_SEPARATION_MARGIN_MILLIS),
                 time);
         this.targetsReader = new TargetsReader(
                 directory, service, metrics, time, settings.promises().drainMillis() * 4 / 5);
@@ -247,9 +247,9 @@
                         .share(
                                 StoreClient.TARGETS_TOPIC,
                                 store.keyed(StoreClient.TARGETS_TOPIC),
-                                told(settings),
-                                TargetsReader::meaning),
-                follow,
+                                replicaPolicy(settings),
+                                TargetsReader::targetOf),
+                followerPolicy,
                 targetsReader,
                 time,
                 random);
@@ -262,10 +262,10 @@
      */
     public void start() throws IOException {
         readyListener = ForwardingService.listenReady(
-                transport, address(settings.forwarding().readyListen()), this::ready);
-        ForwardingService.listenMetrics(transport, address(settings.forwarding().metricsListen()), metrics);
-        service.listen(transport, address(settings.forwarding().listen()));
-        PeerMember self = fleet.listen(address(settings.peers().listen()));
+                transport, parseAddress(settings.forwarding().readyListen()), this::isReady);
+        ForwardingService.listenMetrics(transport, parseAddress(settings.forwarding().metricsListen()), metrics);
+        service.listen(transport, parseAddress(settings.forwarding().listen()));
+        PeerMember self = fleet.listen(parseAddress(settings.peers().listen()));
         transport.group().next().execute(() -> {
             configuration.start();
             targets.start();
@@ -284,7 +284,7 @@
                 .info(log);
     }
 
-    private void clocksJumped() {
+    private void onClockJump() {
         service.dropKeptConnections();
         fleet.exchange().onSuspension();
     }
@@ -313,7 +313,7 @@
      * @param file the settings file, not null
      */
     public void watch(Path file) {
-        SettingsWatch watch = new SettingsWatch(file, time, SETTINGS_CHECK_MILLIS, this::reload);
+        SettingsWatch watch = new SettingsWatch(file, time, SETTINGS_CHECK_INTERVAL_MILLIS, this::reload);
         transport.group().next().execute(watch::start);
         Signals.on("HUP", () -> transport.group().next().execute(watch::check));
     }
@@ -321,11 +321,11 @@
     /**
      * Puts changed settings in force as far as that needs no start, and says what does. Runs on the event loop.
      *
-     * @param fresh the settings read anew, not null
+     * @param newSettings the settings read anew, not null
      */
-    public void reload(ForwardingSettings fresh) {
+    public void reload(ForwardingSettings newSettings) {
         transport.group().next().execute(() -> {
-            SettingsChange change = SettingsChange.between(settings, fresh);
+            SettingsChange change = SettingsChange.between(settings, newSettings);
             settings = change.inForce();
             budget.setRatio(settings.retries().ratio());
             LogEvent.of("settings_reloaded")
@@ -343,53 +343,53 @@
     public CompletionStage<Integer> stop() {
         CompletableFuture<Integer> stopped = new CompletableFuture<>();
         transport.group().next().execute(() -> {
-            leaving = true;
-            leftAtMillis = time.monotonicMillis();
+            stopping = true;
+            stopRequestedAtMillis = time.monotonicMillis();
             service.leave();
             fleet.leave();
             service.logState("leaving");
-            waitForCalls(stopped);
+            awaitDrain(stopped);
         });
         return stopped;
     }
 
-    private List<Incarnation> modelEngines() {
+    private List<Incarnation> activeModelEngines() {
         return directory.all().stream()
                 .filter(target -> !target.draining() && service.servesModel(target.service()))
                 .toList();
     }
 
-    private long bornMillis(String targetId) {
+    private long startedMillis(String targetId) {
         return directory.find(targetId).map(Incarnation::startedMillis).orElse(0L);
     }
 
-    private boolean ready() {
-        return !leaving && service.configured() && targetsReader.readOnce();
+    private boolean isReady() {
+        return !stopping && service.configured() && targetsReader.hasReadSnapshot();
     }
 
-    private void waitForCalls(CompletableFuture<Integer> stopped) {
-        long sinceMillis = time.monotonicMillis() - leftAtMillis;
-        if (sinceMillis >= settings.stop().notReadyMillis()) {
+    private void awaitDrain(CompletableFuture<Integer> stopped) {
+        long elapsedMillis = time.monotonicMillis() - stopRequestedAtMillis;
+        if (elapsedMillis >= settings.stop().notReadyMillis()) {
             service.stopTaking();
-            boolean late = sinceMillis >= settings.stop().graceMillis() - BEFORE_GRACE_MILLIS;
-            boolean empty = service.openCount() == 0 && service.callersCount() == 0;
-            if (late || empty) {
+            boolean graceElapsed = elapsedMillis >= settings.stop().graceMillis() - FORCED_CLOSE_LEAD_MILLIS;
+            boolean drained = service.openCount() == 0 && service.callersCount() == 0;
+            if (graceElapsed || drained) {
                 service.logState("stopped");
                 stopped.complete(service.openCount());
                 return;
             }
         }
-        time.schedule(DRAIN_CHECK_MILLIS, () -> waitForCalls(stopped));
+        time.schedule(DRAIN_CHECK_INTERVAL_MILLIS, () -> awaitDrain(stopped));
     }
 
     /** With the longest wait of its turn and a reading it stays under nine tenths of what operators were promised. */
-    private static ReplicaPolicy told(ForwardingSettings settings) {
-        long longestReadingMillis =
+    private static ReplicaPolicy replicaPolicy(ForwardingSettings settings) {
+        long maxReadMillis =
                 settings.store().waitMillis() + settings.store().pauseMillis();
-        return new ReplicaPolicy(longestReadingMillis + TOLD_MARGIN_MILLIS, READERS_WAIT_MILLIS, MOST_READERS_WAITS);
+        return new ReplicaPolicy(maxReadMillis + REPLICA_AGE_MARGIN_MILLIS, TAKEOVER_STAGGER_MILLIS, MAX_TAKEOVER_STAGGERS);
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         return Addresses.parse(text);
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
@@ -39,77 +39,77 @@
     private static final Logger log = LoggerFactory.getLogger(KeptSharing.class);
 
     /** Parts that are read within some milliseconds are not worth a word: most calls have such parts of their own. */
-    private static final int LEAST_TOKENS = 512;
+    private static final int MIN_TOKENS = 512;
 
     /**
      * Between two whole lists of one engine. Many engines' lists share the link of the instance that passes them on; an
      * instance that starts among others waits so long at most until it knows where parts are kept.
      */
-    private static final long WHOLE_EVERY_MILLIS = 8_000;
+    private static final long FULL_LIST_INTERVAL_MILLIS = 8_000;
 
-    private static final long KEEP_MILLIS = 16_000;
-    private static final long NEWS_KEEP_MILLIS = 5_000;
+    private static final long TTL_MILLIS = 16_000;
+    private static final long SHARED_TTL_MILLIS = 5_000;
 
     private final RelayExchange exchange;
-    private final KvCacheIndex parts;
-    private final ToLongFunction<String> bornMillis;
+    private final KvCacheIndex cacheIndex;
+    private final ToLongFunction<String> startedMillis;
     private final TimeSource time;
-    private final Map<String, Told> engines = new HashMap<>();
-    private final List<String> learned = new ArrayList<>();
-    private long newsCount;
+    private final Map<String, PublishedState> watchedEngines = new HashMap<>();
+    private final List<String> receivedShared = new ArrayList<>();
+    private long sharedMessageCount;
 
-    KeptSharing(RelayExchange exchange, KvCacheIndex parts, ToLongFunction<String> bornMillis, TimeSource time) {
-        this.bornMillis = Objects.requireNonNull(bornMillis, "bornMillis");
+    KeptSharing(RelayExchange exchange, KvCacheIndex cacheIndex, ToLongFunction<String> startedMillis, TimeSource time) {
+        this.startedMillis = Objects.requireNonNull(startedMillis, "startedMillis");
         this.exchange = Objects.requireNonNull(exchange, "exchange");
-        this.parts = Objects.requireNonNull(parts, "parts");
+        this.cacheIndex = Objects.requireNonNull(cacheIndex, "cacheIndex");
         this.time = Objects.requireNonNull(time, "time");
-        exchange.subscribe(PeerTopic.KEPT_PARTS, this::heard);
-        exchange.subscribe(PeerTopic.SHARED_PARTS, this::heardShared);
-        exchange.beforeEachRound(this::round);
+        exchange.subscribe(PeerTopic.KEPT_PARTS, this::onCachedSegments);
+        exchange.subscribe(PeerTopic.SHARED_PARTS, this::onSharedSegments);
+        exchange.beforeEachRound(this::publishRound);
     }
 
     @Override
-    public void changed(String engineId, String partId, int keptTokens) {
-        Told told = engines.computeIfAbsent(engineId, _id -> new Told());
-        if (keptTokens >= LEAST_TOKENS && worthAWord(partId)) {
-            told.known.add(partId);
-            told.changes.put(partId, keptTokens);
-        } else if (told.known.remove(partId)) {
-            told.changes.put(partId, keptTokens);
+    public void changed(String engineId, String segmentId, int cachedTokens) {
+        PublishedState state = watchedEngines.computeIfAbsent(engineId, _id -> new PublishedState());
+        if (cachedTokens >= MIN_TOKENS && isWorthPublishing(segmentId)) {
+            state.segmentIds.add(segmentId);
+            state.pendingChanges.put(segmentId, cachedTokens);
+        } else if (state.segmentIds.remove(segmentId)) {
+            state.pendingChanges.put(segmentId, cachedTokens);
         }
     }
 
     @Override
     public void listed(String engineId) {
-        engines.computeIfAbsent(engineId, _id -> new Told()).wholeAtMillis = Long.MIN_VALUE;
+        watchedEngines.computeIfAbsent(engineId, _id -> new PublishedState()).nextFullListMillis = Long.MIN_VALUE;
     }
 
     @Override
     public void unwatched(String engineId) {
-        engines.remove(engineId);
+        watchedEngines.remove(engineId);
     }
 
-    private void round() {
-        tellShared();
-        engines.forEach((engineId, told) -> {
-            if (time.monotonicMillis() >= told.wholeAtMillis) {
-                tellWhole(engineId, told);
-            } else if (!told.changes.isEmpty()) {
-                tell(engineId, false, told.changes);
+    private void publishRound() {
+        publishSharedSegments();
+        watchedEngines.forEach((engineId, state) -> {
+            if (time.monotonicMillis() >= state.nextFullListMillis) {
+                publishFullList(engineId, state);
+            } else if (!state.pendingChanges.isEmpty()) {
+                publish(engineId, false, state.pendingChanges);
             }
-            told.changes.clear();
+            state.pendingChanges.clear();
         });
     }
 
-    private void tellWhole(String engineId, Told told) {
-        told.wholeAtMillis = time.monotonicMillis() + WHOLE_EVERY_MILLIS;
-        Map<String, Integer> kept = parts.cachedSegments(engineId, LEAST_TOKENS);
-        kept.keySet().removeIf(partId -> !worthAWord(partId));
-        boolean nothingEver = kept.isEmpty() && told.known.isEmpty();
-        told.known.clear();
-        told.known.addAll(kept.keySet());
-        if (!nothingEver) {
-            tell(engineId, true, kept);
+    private void publishFullList(String engineId, PublishedState state) {
+        state.nextFullListMillis = time.monotonicMillis() + FULL_LIST_INTERVAL_MILLIS;
+        Map<String, Integer> tokensBySegment = cacheIndex.cachedSegments(engineId, MIN_TOKENS);
+        tokensBySegment.keySet().removeIf(segmentId -> !isWorthPublishing(segmentId));
+        boolean alwaysEmpty = tokensBySegment.isEmpty() && state.segmentIds.isEmpty();
+        state.segmentIds.clear();
+        state.segmentIds.addAll(tokensBySegment.keySet());
+        if (!alwaysEmpty) {
+            publish(engineId, true, tokensBySegment);
         }
     }
 
@@ -117,17 +117,17 @@
      * In a small fleet every part is. Instances that have all just started know no part to be shared until their calls name
      * it, and each of these calls would be sent where it is not kept.
      */
-    private boolean worthAWord(String partId) {
-        return !exchange.usesRelays() || parts.sharedSegments().isShared(partId);
+    private boolean isWorthPublishing(String segmentId) {
+        return !exchange.usesRelays() || cacheIndex.sharedSegments().isShared(segmentId);
     }
 
-    private void tell(String engineId, boolean whole, Map<String, Integer> kept) {
-        Bytes word = Packing.pack(kept, (packer, parts) -> {
-            packer.packLong(bornMillis.applyAsLong(engineId));
-            packer.packBoolean(whole);
-            Packing.writeNumbers(packer, parts);
+    private void publish(String engineId, boolean fullList, Map<String, Integer> tokensBySegment) {
+        Bytes payload = Packing.pack(tokensBySegment, (packer, cached) -> {
+            packer.packLong(startedMillis.applyAsLong(engineId));
+            packer.packBoolean(fullList);
+            Packing.writeNumbers(packer, cached);
         });
-        exchange.publish(PeerTopic.KEPT_PARTS, engineId, word, KEEP_MILLIS);
+        exchange.publish(PeerTopic.KEPT_PARTS, engineId, payload, TTL_MILLIS);
     }
 
     /**
@@ -136,88 +136,88 @@
      * <p>Load: many instances find the same parts in the same moment. Each of their words handed on to each of the others was a
      * quarter of what a relay sent.
      */
-    private void tellShared() {
-        List<String> news = new ArrayList<>(learned);
-        learned.clear();
-        news.addAll(parts.sharedSegments().takeNewlyShared());
-        if (news.isEmpty()) {
+    private void publishSharedSegments() {
+        List<String> newIds = new ArrayList<>(receivedShared);
+        receivedShared.clear();
+        newIds.addAll(cacheIndex.sharedSegments().takeNewlyShared());
+        if (newIds.isEmpty()) {
             return;
         }
-        news.forEach(this::tellWhereKept);
-        Bytes word = Packing.pack(news, (packer, ids) -> Packing.writeAll(packer, ids, MessagePacker::packString));
-        exchange.publish(PeerTopic.SHARED_PARTS, Long.toString(newsCount++), word, NEWS_KEEP_MILLIS);
+        newIds.forEach(this::queueIfCached);
+        Bytes payload = Packing.pack(newIds, (packer, ids) -> Packing.writeAll(packer, ids, MessagePacker::packString));
+        exchange.publish(PeerTopic.SHARED_PARTS, Long.toString(sharedMessageCount++), payload, SHARED_TTL_MILLIS);
     }
 
-    private void heardShared(PeerUpdate item) {
+    private void onSharedSegments(PeerUpdate update) {
         try {
             Packing.unpack(
-                            item.payload().toByteArray(),
+                            update.payload().toByteArray(),
                             unpacker -> Packing.readAll(unpacker, MessageUnpacker::unpackString))
                     .stream()
-                    .filter(parts.sharedSegments()::markShared)
-                    .forEach(this::learned);
+                    .filter(cacheIndex.sharedSegments()::markShared)
+                    .forEach(this::receivedShared);
         } catch (IOException e) {
             LogEvent.of("shared_parts_not_understood")
-                    .with("peer", item.origin())
+                    .with("peer", update.origin())
                     .with("error", e.getMessage())
                     .warn(log);
         }
     }
 
-    private void learned(String partId) {
-        tellWhereKept(partId);
+    private void receivedShared(String segmentId) {
+        queueIfCached(segmentId);
         if (exchange.usesRelays() && exchange.isRelay()) {
-            learned.add(partId);
+            receivedShared.add(segmentId);
         }
     }
 
     /** An engine that is watched here may have said that it keeps the part before it was known to be shared. */
-    private void tellWhereKept(String partId) {
-        engines.forEach((engineId, told) -> {
-            int tokens = parts.cachedTokens(engineId, partId);
-            if (tokens >= LEAST_TOKENS && told.known.add(partId)) {
-                told.changes.put(partId, tokens);
+    private void queueIfCached(String segmentId) {
+        watchedEngines.forEach((engineId, state) -> {
+            int tokens = cacheIndex.cachedTokens(engineId, segmentId);
+            if (tokens >= MIN_TOKENS && state.segmentIds.add(segmentId)) {
+                state.pendingChanges.put(segmentId, tokens);
             }
         });
     }
 
-    private void heard(PeerUpdate item) {
-        if (engines.containsKey(item.key())) {
+    private void onCachedSegments(PeerUpdate update) {
+        if (watchedEngines.containsKey(update.key())) {
             // What this instance hears from the engine itself is newer.
             return;
         }
         try {
-            Word word = Packing.unpack(
-                    item.payload().toByteArray(),
+            CacheMessage message = Packing.unpack(
+                    update.payload().toByteArray(),
                     unpacker ->
-                            new Word(unpacker.unpackLong(), unpacker.unpackBoolean(), Packing.readNumbers(unpacker)));
-            if (word.bornMillis() != bornMillis.applyAsLong(item.key())) {
+                            new CacheMessage(unpacker.unpackLong(), unpacker.unpackBoolean(), Packing.readNumbers(unpacker)));
+            if (message.startedMillis() != startedMillis.applyAsLong(update.key())) {
                 // Of a start that is over here, or not known here yet: the whole list comes again in some seconds.
                 return;
             }
-            if (word.whole()) {
-                parts.removeEngine(item.key());
+            if (message.fullList()) {
+                cacheIndex.removeEngine(update.key());
             }
-            word.tokens().forEach((part, tokens) -> {
+            message.tokensBySegment().forEach((segmentId, tokens) -> {
                 if (exchange.usesRelays()) {
-                    parts.sharedSegments().markShared(part);
+                    cacheIndex.sharedSegments().markShared(segmentId);
                 }
-                parts.setCachedTokens(item.key(), part, Math.toIntExact(tokens));
+                cacheIndex.setCachedTokens(update.key(), segmentId, Math.toIntExact(tokens));
             });
         } catch (IOException | ArithmeticException e) {
             LogEvent.of("kept_parts_not_understood")
-                    .with("peer", item.origin())
-                    .with("target", item.key())
+                    .with("peer", update.origin())
+                    .with("target", update.key())
                     .with("error", e.getMessage())
                     .warn(log);
         }
     }
 
-    private static final class Told {
-        private final Set<String> known = new HashSet<>();
-        private final Map<String, Integer> changes = new LinkedHashMap<>();
-        private long wholeAtMillis = Long.MIN_VALUE;
+    private static final class PublishedState {
+        private final Set<String> segmentIds = new HashSet<>();
+        private final Map<String, Integer> pendingChanges = new LinkedHashMap<>();
+        private long nextFullListMillis = Long.MIN_VALUE;
     }
 
-    private record Word(long bornMillis, boolean whole, Map<String, Long> tokens) {}
+    private record CacheMessage(long startedMillis, boolean fullList, Map<String, Long> tokensBySegment) {}
 }
--- a/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
@@ -35,100 +35,100 @@
     private static final Logger log = LoggerFactory.getLogger(LimitSharing.class);
 
     /** Several repetitions may be lost before a limit is forgotten. */
-    private static final long REPEAT_MILLIS = 2_000;
+    private static final long REPEAT_INTERVAL_MILLIS = 2_000;
 
     /** A newcomer hears what was told last until it is repeated. */
-    private static final long KEEP_MILLIS = 5_000;
+    private static final long TTL_MILLIS = 5_000;
 
-    private static final int FIELDS = 3;
+    private static final int FIELD_COUNT = 3;
 
     private final RelayExchange exchange;
     private final TargetRateLimits limits;
     private final RateLimitShares shares;
-    private final ToLongFunction<String> bornMillis;
+    private final ToLongFunction<String> startedMillis;
     private final TimeSource time;
-    private final Map<String, Long> toldAtMillis = new HashMap<>();
+    private final Map<String, Long> publishedAtMillis = new HashMap<>();
 
     LimitSharing(
             RelayExchange exchange,
             TargetRateLimits limits,
             RateLimitShares shares,
-            ToLongFunction<String> bornMillis,
+            ToLongFunction<String> startedMillis,
             TimeSource time) {
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.limits = Objects.requireNonNull(limits, "limits");
         this.shares = Objects.requireNonNull(shares, "shares");
-        this.bornMillis = Objects.requireNonNull(bornMillis, "bornMillis");
+        this.startedMillis = Objects.requireNonNull(startedMillis, "startedMillis");
         this.time = Objects.requireNonNull(time, "time");
     }
 
     /** Tells and hears from now on. */
     void start() {
-        exchange.subscribe(PeerTopic.TARGET_LIMIT, this::heard);
-        exchange.beforeEachRound(this::round);
+        exchange.subscribe(PeerTopic.TARGET_LIMIT, this::onUpdate);
+        exchange.beforeEachRound(this::publishRound);
     }
 
     @Override
-    public void answered(Incarnation target, OptionalDouble perSecond, long sentMillis) {
-        if (target.startedMillis() != bornMillis.applyAsLong(target.id())) {
+    public void answered(Incarnation target, OptionalDouble callsPerSecond, long sentMillis) {
+        if (target.startedMillis() != startedMillis.applyAsLong(target.id())) {
             return;
         }
-        TargetRateLimits.LimitChange news = limits.recordAnswer(target.id(), perSecond, sentMillis);
-        if (news != TargetRateLimits.LimitChange.NONE) {
-            log(target.id(), news, perSecond, "");
-            tell(target.id(), perSecond, time.monotonicMillis());
+        TargetRateLimits.LimitChange change = limits.recordAnswer(target.id(), callsPerSecond, sentMillis);
+        if (change != TargetRateLimits.LimitChange.NONE) {
+            log(target.id(), change, callsPerSecond, "");
+            publish(target.id(), callsPerSecond, time.monotonicMillis());
         }
     }
 
     @Override
     public void forget(String targetId) {
         limits.remove(targetId);
-        toldAtMillis.remove(targetId);
+        publishedAtMillis.remove(targetId);
     }
 
-    private void round() {
+    private void publishRound() {
         shares.refresh();
         limits.expire().forEach(id -> log(id, TargetRateLimits.LimitChange.LAPSED, OptionalDouble.empty(), ""));
-        toldAtMillis.keySet().removeIf(id -> !limits.isRateLimited(id));
+        publishedAtMillis.keySet().removeIf(id -> !limits.isRateLimited(id));
         long nowMillis = time.monotonicMillis();
         limits.heldLimits().forEach((id, stated) -> {
-            if (nowMillis - toldAtMillis.getOrDefault(id, 0L) >= REPEAT_MILLIS) {
-                tell(id, OptionalDouble.of(stated.callsPerSecond()), stated.statedMillis());
+            if (nowMillis - publishedAtMillis.getOrDefault(id, 0L) >= REPEAT_INTERVAL_MILLIS) {
+                publish(id, OptionalDouble.of(stated.callsPerSecond()), stated.statedMillis());
             }
         });
     }
 
-    private void tell(String targetId, OptionalDouble perSecond, long statedMillis) {
+    private void publish(String targetId, OptionalDouble callsPerSecond, long statedMillis) {
         long nowMillis = time.monotonicMillis();
-        toldAtMillis.put(targetId, nowMillis);
-        Word word = new Word(bornMillis.applyAsLong(targetId), perSecond, nowMillis - statedMillis);
-        exchange.publish(PeerTopic.TARGET_LIMIT, targetId, word.encode(), KEEP_MILLIS);
+        publishedAtMillis.put(targetId, nowMillis);
+        LimitMessage message = new LimitMessage(startedMillis.applyAsLong(targetId), callsPerSecond, nowMillis - statedMillis);
+        exchange.publish(PeerTopic.TARGET_LIMIT, targetId, message.encode(), TTL_MILLIS);
     }
 
-    private void heard(PeerUpdate item) {
+    private void onUpdate(PeerUpdate update) {
         try {
-            Word word = Word.decode(item.payload());
-            if (word.bornMillis == bornMillis.applyAsLong(item.key())) {
-                long statedMillis = time.monotonicMillis() - item.ageMillis() - word.statedAgoMillis;
-                TargetRateLimits.LimitChange news = limits.recordPeerReport(item.key(), word.perSecond, statedMillis);
-                if (news != TargetRateLimits.LimitChange.NONE) {
-                    log(item.key(), news, word.perSecond, item.origin());
+            LimitMessage message = LimitMessage.decode(update.payload());
+            if (message.startedMillis == startedMillis.applyAsLong(update.key())) {
+                long statedMillis = time.monotonicMillis() - update.ageMillis() - message.statedAgoMillis;
+                TargetRateLimits.LimitChange change = limits.recordPeerReport(update.key(), message.callsPerSecond, statedMillis);
+                if (change != TargetRateLimits.LimitChange.NONE) {
+                    log(update.key(), change, message.callsPerSecond, update.origin());
                 }
             }
         } catch (IOException e) {
             LogEvent.of("target_limit_not_understood")
-                    .with("peer", item.origin())
+                    .with("peer", update.origin())
                     .with("error", e.getMessage())
                     .warn(log);
         }
     }
 
-    private void log(String targetId, TargetRateLimits.LimitChange news, OptionalDouble perSecond, String peer) {
+    private void log(String targetId, TargetRateLimits.LimitChange change, OptionalDouble callsPerSecond, String peer) {
         LogEvent event = LogEvent.of("target_limit")
                 .with("target", targetId)
-                .with("news", news.name().toLowerCase(Locale.ROOT))
+                .with("news", change.name().toLowerCase(Locale.ROOT))
                 .with("peer", peer);
-        perSecond.ifPresent(
+        callsPerSecond.ifPresent(
                 limit -> event.with("perSecond", limit).with("ownPerSecond", shares.sharePerSecond(targetId, limit)));
         event.info(log);
     }
@@ -136,32 +136,32 @@
     /**
      * What is told.
      *
-     * @param bornMillis the target's birth
-     * @param perSecond the limit, empty where it names none any more
+     * @param startedMillis the target's birth
+     * @param callsPerSecond the limit, empty where it names none any more
      * @param statedAgoMillis how long ago the target stated it
      */
-    private record Word(long bornMillis, OptionalDouble perSecond, long statedAgoMillis) {
+    private record LimitMessage(long startedMillis, OptionalDouble callsPerSecond, long statedAgoMillis) {
 
         Bytes encode() {
-            return Packing.pack(this, (packer, word) -> {
-                packer.packArrayHeader(FIELDS);
-                packer.packLong(word.bornMillis);
-                if (word.perSecond.isPresent()) {
-                    packer.packDouble(word.perSecond.getAsDouble());
+            return Packing.pack(this, (packer, message) -> {
+                packer.packArrayHeader(FIELD_COUNT);
+                packer.packLong(message.startedMillis);
+                if (message.callsPerSecond.isPresent()) {
+                    packer.packDouble(message.callsPerSecond.getAsDouble());
                 } else {
                     packer.packNil();
                 }
-                packer.packLong(word.statedAgoMillis);
+                packer.packLong(message.statedAgoMillis);
             });
         }
 
-        static Word decode(Bytes payload) throws IOException {
+        static LimitMessage decode(Bytes payload) throws IOException {
             return Packing.unpack(payload.toByteArray(), unpacker -> {
-                Packing.expectFields(unpacker, FIELDS);
-                long born = unpacker.unpackLong();
-                boolean none = unpacker.tryUnpackNil();
-                OptionalDouble limit = none ? OptionalDouble.empty() : OptionalDouble.of(unpacker.unpackDouble());
-                return new Word(born, limit, unpacker.unpackLong());
+                Packing.expectFields(unpacker, FIELD_COUNT);
+                long startedMillis = unpacker.unpackLong();
+                boolean noLimit = unpacker.tryUnpackNil();
+                OptionalDouble limit = noLimit ? OptionalDouble.empty() : OptionalDouble.of(unpacker.unpackDouble());
+                return new LimitMessage(startedMillis, limit, unpacker.unpackLong());
             });
         }
     }
--- a/src/main/java/org/dogwoodwinch/daemon/LoadReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadReport.java
@@ -16,17 +16,17 @@
 /**
  * What an instance, or all of a data centre, have under way at targets, as a message carries it.
  *
- * @param number the number of this word of its sender
+ * @param sequenceNumber the number of this word of its sender
  * @param loads by target, not null
- * @param contained of a sum: the numbers of the words that it contains, by sender, not null
+ * @param includedReports of a sum: the numbers of the words that it contains, by sender, not null
  */
-record LoadReport(long number, Map<String, TargetLoad> loads, Map<String, Long> contained) {
+record LoadReport(long sequenceNumber, Map<String, TargetLoad> loads, Map<String, Long> includedReports) {
 
-    private static final int FIELDS = 3;
+    private static final int FIELD_COUNT = 3;
 
     LoadReport {
         loads = Map.copyOf(loads);
-        contained = Map.copyOf(contained);
+        includedReports = Map.copyOf(includedReports);
     }
 
     Bytes encode() {
@@ -37,38 +37,38 @@
         return Packing.unpack(payload.toByteArray(), LoadReport::read);
     }
 
-    private static void write(MessagePacker packer, LoadReport word) throws IOException {
-        packer.packArrayHeader(FIELDS);
-        packer.packLong(word.number);
-        Packing.writeAll(packer, word.loads.entrySet(), (to, load) -> {
+    private static void write(MessagePacker packer, LoadReport report) throws IOException {
+        packer.packArrayHeader(FIELD_COUNT);
+        packer.packLong(report.sequenceNumber);
+        Packing.writeAll(packer, report.loads.entrySet(), (to, load) -> {
             to.packString(load.getKey());
             writeLoad(to, load.getValue());
         });
-        Packing.writeNumbers(packer, word.contained);
+        Packing.writeNumbers(packer, report.includedReports);
     }
 
     private static void writeLoad(MessagePacker packer, TargetLoad load) throws IOException {
-        PrefillQueue unread = load.prefillQueue();
+        PrefillQueue prefillQueue = load.prefillQueue();
         List<Integer> levels = new ArrayList<>();
         for (int level = 0; level < QueueLevel.COUNT; level++) {
-            if (unread.tokensAt(level) != 0 || unread.promptsAt(level) != 0) {
+            if (prefillQueue.tokensAt(level) != 0 || prefillQueue.promptsAt(level) != 0) {
                 levels.add(level);
             }
         }
         packer.packInt(load.callsCount());
         Packing.writeAll(packer, levels, (to, level) -> {
             to.packInt(level);
-            to.packLong(unread.tokensAt(level));
-            to.packInt(unread.promptsAt(level));
+            to.packLong(prefillQueue.tokensAt(level));
+            to.packInt(prefillQueue.promptsAt(level));
         });
     }
 
     private static LoadReport read(MessageUnpacker unpacker) throws IOException {
-        Packing.expectFields(unpacker, FIELDS);
-        long number = unpacker.unpackLong();
+        Packing.expectFields(unpacker, FIELD_COUNT);
+        long sequenceNumber = unpacker.unpackLong();
         Map<String, TargetLoad> loads = new HashMap<>();
         Packing.readAll(unpacker, from -> loads.put(from.unpackString(), readLoad(from)));
-        return new LoadReport(number, loads, Packing.readNumbers(unpacker));
+        return new LoadReport(sequenceNumber, loads, Packing.readNumbers(unpacker));
     }
 
     private static TargetLoad readLoad(MessageUnpacker unpacker) throws IOException {
--- a/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
@@ -29,15 +29,15 @@
 final class LoadSharing {
 
     private static final Logger log = LoggerFactory.getLogger(LoadSharing.class);
-    private static final String KEY = "flight";
-    private static final String CENTRE_PREFIX = "centre ";
-    private static final String FLEET = "fleet";
+    private static final String INSTANCE_KEY = "flight";
+    private static final String DATA_CENTRE_PREFIX = "centre ";
+    private static final String FLEET_SOURCE = "fleet";
 
     /** Rounds without a word after which an instance's loads are no longer counted. */
-    private static final int KEPT_ROUNDS = 10;
+    private static final int RETENTION_ROUNDS = 10;
 
     /** Own words that are remembered: more than are under way to the relay and back. */
-    private static final int REMEMBERED_WORDS = 20;
+    private static final int MAX_OWN_REPORTS = 20;
 
     private final LoadTracker loads;
     private final RelayExchange exchange;
@@ -45,14 +45,14 @@
     private final String ownName;
     private final String dataCentre;
     private final long roundMillis;
-    private final Map<String, Long> heardAtMillis = new HashMap<>();
-    private final Map<String, LoadReport> heardWords = new HashMap<>();
-    private final Map<String, Map<String, TargetLoad>> heardCentres = new HashMap<>();
-    private final Deque<LoadReport> ownWords = new ArrayDeque<>();
+    private final Map<String, Long> receivedAtMillis = new HashMap<>();
+    private final Map<String, LoadReport> instanceReports = new HashMap<>();
+    private final Map<String, Map<String, TargetLoad>> dataCentreLoads = new HashMap<>();
+    private final Deque<LoadReport> ownReports = new ArrayDeque<>();
     private long nextNumber = 1;
-    private boolean toldNothing;
-    private boolean toldEmptyCentre;
-    private boolean toldEmptyFleet;
+    private boolean publishedIdle;
+    private boolean publishedEmptyDataCentre;
+    private boolean publishedEmptyFleet;
 
     LoadSharing(
             LoadTracker loads,
@@ -71,124 +71,124 @@
 
     /** Tells and hears from now on. */
     void start() {
-        exchange.subscribe(PeerTopic.LOAD, this::heard);
-        exchange.subscribe(PeerTopic.CENTRE_LOAD, this::heardCentre);
-        exchange.subscribe(PeerTopic.FLEET_LOAD, this::heardFleet);
-        exchange.beforeEachRound(this::round);
+        exchange.subscribe(PeerTopic.LOAD, this::onInstanceLoad);
+        exchange.subscribe(PeerTopic.CENTRE_LOAD, this::onDataCentreLoad);
+        exchange.subscribe(PeerTopic.FLEET_LOAD, this::onFleetLoad);
+        exchange.beforeEachRound(this::publishRound);
     }
 
-    private void round() {
-        long oldestMillis = time.monotonicMillis() - KEPT_ROUNDS * roundMillis;
-        heardAtMillis.values().removeIf(atMillis -> atMillis < oldestMillis);
-        heardWords.keySet().retainAll(heardAtMillis.keySet());
-        heardCentres.keySet().retainAll(heardAtMillis.keySet());
-        loads.retainPeers(new HashSet<>(heardAtMillis.keySet()));
+    private void publishRound() {
+        long oldestMillis = time.monotonicMillis() - RETENTION_ROUNDS * roundMillis;
+        receivedAtMillis.values().removeIf(atMillis -> atMillis < oldestMillis);
+        instanceReports.keySet().retainAll(receivedAtMillis.keySet());
+        dataCentreLoads.keySet().retainAll(receivedAtMillis.keySet());
+        loads.retainPeers(new HashSet<>(receivedAtMillis.keySet()));
         Map<String, TargetLoad> own = loads.ownLoads();
         if (exchange.usesRelays() && exchange.isRelay()) {
-            tellSum(own);
-        } else if (!own.isEmpty() || !toldNothing) {
+            publishSums(own);
+        } else if (!own.isEmpty() || !publishedIdle) {
             // An idle instance says so once.
-            tellOwn(own);
+            publishOwn(own);
         }
-        toldNothing = own.isEmpty();
+        publishedIdle = own.isEmpty();
     }
 
-    private void tellOwn(Map<String, TargetLoad> own) {
-        LoadReport word = new LoadReport(nextNumber++, own, Map.of());
-        ownWords.addLast(word);
-        if (ownWords.size() > REMEMBERED_WORDS) {
-            ownWords.removeFirst();
+    private void publishOwn(Map<String, TargetLoad> own) {
+        LoadReport report = new LoadReport(nextNumber++, own, Map.of());
+        ownReports.addLast(report);
+        if (ownReports.size() > MAX_OWN_REPORTS) {
+            ownReports.removeFirst();
         }
-        exchange.publish(PeerTopic.LOAD, KEY, word.encode(), KEPT_ROUNDS * roundMillis);
+        exchange.publish(PeerTopic.LOAD, INSTANCE_KEY, report.encode(), RETENTION_ROUNDS * roundMillis);
     }
 
     /**
      * Together with the relay's sign of life: each message is read by all instances of the data centre, and costs each of
      * them the same. That nothing is under way is told once; what is not told again is forgotten.
      */
-    private void tellSum(Map<String, TargetLoad> own) {
+    private void publishSums(Map<String, TargetLoad> own) {
         if (!exchange.isHeartbeatRound()) {
             return;
         }
         Map<String, TargetLoad> sum = new HashMap<>(own);
-        Map<String, Long> contained = new HashMap<>();
-        heardWords.forEach((origin, word) -> {
-            contained.put(origin, word.number());
-            word.loads().forEach((id, load) -> sum.merge(id, load, TargetLoad::plus));
+        Map<String, Long> includedReports = new HashMap<>();
+        instanceReports.forEach((origin, report) -> {
+            includedReports.put(origin, report.sequenceNumber());
+            report.loads().forEach((id, load) -> sum.merge(id, load, TargetLoad::plus));
         });
-        long keepMillis = KEPT_ROUNDS * roundMillis;
-        if (!sum.isEmpty() || !toldEmptyCentre) {
+        long ttlMillis = RETENTION_ROUNDS * roundMillis;
+        if (!sum.isEmpty() || !publishedEmptyDataCentre) {
             exchange.publish(
                     PeerTopic.CENTRE_LOAD,
                     dataCentre,
                     new LoadReport(nextNumber++, sum, Map.of()).encode(),
-                    keepMillis);
+                    ttlMillis);
         }
-        toldEmptyCentre = sum.isEmpty();
-        heardCentres.values().forEach(loads -> loads.forEach((id, load) -> sum.merge(id, load, TargetLoad::plus)));
-        if (!sum.isEmpty() || !toldEmptyFleet) {
+        publishedEmptyDataCentre = sum.isEmpty();
+        dataCentreLoads.values().forEach(loads -> loads.forEach((id, load) -> sum.merge(id, load, TargetLoad::plus)));
+        if (!sum.isEmpty() || !publishedEmptyFleet) {
             exchange.publish(
                     PeerTopic.FLEET_LOAD,
                     dataCentre,
-                    new LoadReport(nextNumber++, sum, contained).encode(),
-                    keepMillis);
+                    new LoadReport(nextNumber++, sum, includedReports).encode(),
+                    ttlMillis);
         }
-        toldEmptyFleet = sum.isEmpty();
+        publishedEmptyFleet = sum.isEmpty();
     }
 
-    private void heard(PeerUpdate item) {
-        decode(item).ifPresent(word -> {
-            heardWords.put(item.origin(), word);
-            heardAtMillis.remove(FLEET);
-            heardFrom(item.origin(), word.loads());
+    private void onInstanceLoad(PeerUpdate update) {
+        decode(update).ifPresent(report -> {
+            instanceReports.put(update.origin(), report);
+            receivedAtMillis.remove(FLEET_SOURCE);
+            replaceLoads(update.origin(), report.loads());
         });
     }
 
     /** Between relays; whoever is none any more hears no more of them, and forgets what it heard. */
-    private void heardCentre(PeerUpdate item) {
-        decode(item).ifPresent(word -> {
-            heardCentres.put(CENTRE_PREFIX + item.key(), word.loads());
-            heardFrom(CENTRE_PREFIX + item.key(), word.loads());
+    private void onDataCentreLoad(PeerUpdate update) {
+        decode(update).ifPresent(report -> {
+            dataCentreLoads.put(DATA_CENTRE_PREFIX + update.key(), report.loads());
+            replaceLoads(DATA_CENTRE_PREFIX + update.key(), report.loads());
         });
     }
 
-    private void heardFleet(PeerUpdate item) {
-        if (exchange.isRelay() || !exchange.isPredecessor(item.origin())) {
+    private void onFleetLoad(PeerUpdate update) {
+        if (exchange.isRelay() || !exchange.isPredecessor(update.origin())) {
             return;
         }
-        decode(item).ifPresent(word -> {
+        decode(update).ifPresent(report -> {
             // The sum has them; each by itself would count twice.
-            heardAtMillis.clear();
-            heardWords.clear();
-            heardCentres.clear();
-            heardFrom(FLEET, withoutOwn(word));
+            receivedAtMillis.clear();
+            instanceReports.clear();
+            dataCentreLoads.clear();
+            replaceLoads(FLEET_SOURCE, subtractOwn(report));
         });
     }
 
-    private Map<String, TargetLoad> withoutOwn(LoadReport sum) {
-        Long number = sum.contained().get(ownName);
-        Optional<LoadReport> own = ownWords.stream()
-                .filter(word -> number != null && word.number() == number)
+    private Map<String, TargetLoad> subtractOwn(LoadReport sum) {
+        Long ownNumber = sum.includedReports().get(ownName);
+        Optional<LoadReport> own = ownReports.stream()
+                .filter(report -> ownNumber != null && report.sequenceNumber() == ownNumber)
                 .findFirst();
         if (own.isEmpty()) {
             return sum.loads();
         }
         Map<String, TargetLoad> others = new HashMap<>(sum.loads());
-        own.get().loads().forEach((id, load) -> others.computeIfPresent(id, (_id, whole) -> whole.minus(load)));
+        own.get().loads().forEach((id, load) -> others.computeIfPresent(id, (_id, total) -> total.minus(load)));
         return others;
     }
 
-    private void heardFrom(String source, Map<String, TargetLoad> told) {
-        loads.replacePeerLoads(source, told);
-        heardAtMillis.put(source, time.monotonicMillis());
+    private void replaceLoads(String source, Map<String, TargetLoad> sourceLoads) {
+        loads.replacePeerLoads(source, sourceLoads);
+        receivedAtMillis.put(source, time.monotonicMillis());
     }
 
-    private static Optional<LoadReport> decode(PeerUpdate item) {
+    private static Optional<LoadReport> decode(PeerUpdate update) {
         try {
-            return Optional.of(LoadReport.decode(item.payload()));
+            return Optional.of(LoadReport.decode(update.payload()));
         } catch (IOException e) {
             LogEvent.of("peer_loads_not_understood")
-                    .with("peer", item.origin())
+                    .with("peer", update.origin())
                     .with("error", e.getMessage())
                     .warn(log);
             return Optional.empty();
--- a/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
@@ -42,26 +42,26 @@
     private static final Logger log = LoggerFactory.getLogger(StageOrders.class);
 
     /** The loads change within some tenths of a second; a plan costs microseconds. */
-    private static final long PLAN_EVERY_MILLIS = 250;
+    private static final long PLAN_INTERVAL_MILLIS = 250;
 
     /** An order without an answer may be carried out many seconds later; its engine gets no other one meanwhile. */
-    private static final long UNKNOWN_ORDER_MILLIS = 20_000;
+    private static final long UNKNOWN_OUTCOME_BLOCK_MILLIS = 20_000;
 
     /** An engine finishes what it runs before it changes its stage; no longer than this is it left alone without a sign. */
-    private static final long LONGEST_CHANGE_MILLIS = 15_000;
+    private static final long MAX_CHANGE_MILLIS = 15_000;
 
     /** Engines report with a lag; each look costs a question. */
-    private static final long LOOK_EVERY_MILLIS = 1_000;
+    private static final long STATE_CHECK_INTERVAL_MILLIS = 1_000;
 
     /** After a refusal the list of targets tells how the engine really stands. */
-    private static final long REFUSED_MILLIS = 5_000;
+    private static final long REFUSAL_BLOCK_MILLIS = 5_000;
 
-    private final Parts parts;
+    private final Dependencies dependencies;
     private final TimeSource time;
     private final OrderLease lease;
     private final Map<String, StagePlanner> planners = new HashMap<>();
-    private final Map<String, Long> notBeforeMillis = new HashMap<>();
-    private boolean ordering;
+    private final Map<String, Long> blockedUntilMillis = new HashMap<>();
+    private boolean orderPending;
 
     /**
      * What it needs.
@@ -69,43 +69,43 @@
      * @param ownName this instance's name, not null
      * @param directory the targets, not null
      * @param loads what is under way at them, not null
-     * @param services the services of model engines, asked each time, not null
+     * @param modelServices the services of model engines, asked each time, not null
      * @param switchMillis how long an engine of a service is away, not null
-     * @param planners makes a planner for a service, not null
-     * @param watcher whether the orders may soon fall to this instance, not null
-     * @param giver whether the orders fall to this instance, not null
-     * @param log decides who may give an order, not null
-     * @param control reaches the engines, not null
-     * @param away tells all instances that an engine is away, not null
+     * @param plannerFactory makes a planner for a service, not null
+     * @param planningAssigned whether the orders may soon fall to this instance, not null
+     * @param orderingAssigned whether the orders fall to this instance, not null
+     * @param orderLog decides who may give an order, not null
+     * @param engineControl reaches the engines, not null
+     * @param stageChangePublisher tells all instances that an engine is away, not null
      */
-    record Parts(
+    record Dependencies(
             String ownName,
             TargetDirectory directory,
             LoadTracker loads,
-            Supplier<Set<String>> services,
+            Supplier<Set<String>> modelServices,
             ToLongFunction<String> switchMillis,
-            Function<String, StagePlanner> planners,
-            BooleanSupplier watcher,
-            BooleanSupplier giver,
-            ConditionalLog log,
-            EngineControl control,
-            AwayRelay away) {}
+            Function<String, StagePlanner> plannerFactory,
+            BooleanSupplier planningAssigned,
+            BooleanSupplier orderingAssigned,
+            ConditionalLog orderLog,
+            EngineControl engineControl,
+            StageChangePublisher stageChangePublisher) {}
 
     /** Tells that an engine is away. */
     @FunctionalInterface
-    interface AwayRelay {
+    interface StageChangePublisher {
 
         /**
          * Tells.
          *
          * @param engineId the engine, not null
-         * @param millis for how long
+         * @param durationMillis for how long
          */
-        void tell(String engineId, long millis);
+        void publish(String engineId, long durationMillis);
     }
 
-    StageOrders(Parts parts, OrderLease lease, TimeSource time) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+    StageOrders(Dependencies dependencies, OrderLease lease, TimeSource time) {
+        this.dependencies = Objects.requireNonNull(dependencies, "dependencies");
         this.lease = Objects.requireNonNull(lease, "lease");
         this.time = Objects.requireNonNull(time, "time");
     }
@@ -113,45 +113,45 @@
     /** Plans from now on. */
     void start() {
         long nowMillis = time.monotonicMillis();
-        notBeforeMillis.values().removeIf(until -> until <= nowMillis);
-        if (parts.watcher().getAsBoolean()) {
-            parts.services().get().forEach(service -> plan(service, nowMillis));
+        blockedUntilMillis.values().removeIf(untilMillis -> untilMillis <= nowMillis);
+        if (dependencies.planningAssigned().getAsBoolean()) {
+            dependencies.modelServices().get().forEach(service -> plan(service, nowMillis));
         } else {
             // What was seen before it had the duty is too old to plan by.
             planners.clear();
         }
-        time.schedule(PLAN_EVERY_MILLIS, this::start);
+        time.schedule(PLAN_INTERVAL_MILLIS, this::start);
     }
 
     private void plan(String service, long nowMillis) {
-        StagePlanner planner = planners.computeIfAbsent(service, parts.planners());
-        List<Incarnation> ready = parts.directory().readyTargets(service);
+        StagePlanner planner = planners.computeIfAbsent(service, dependencies.plannerFactory());
+        List<Incarnation> readyEngines = dependencies.directory().readyTargets(service);
         planner.planChange(
-                        ready,
-                        parts.directory()::isRateLimited,
-                        parts.loads()::totalAt,
-                        id -> !notBeforeMillis.containsKey(id),
+                        readyEngines,
+                        dependencies.directory()::isRateLimited,
+                        dependencies.loads()::totalAt,
+                        id -> !blockedUntilMillis.containsKey(id),
                         nowMillis)
-                .ifPresent(change -> consider(planner, change));
+                .ifPresent(change -> prepareOrder(planner, change));
     }
 
-    private void consider(StagePlanner planner, StagePlanner.StageChange change) {
+    private void prepareOrder(StagePlanner planner, StagePlanner.StageChange change) {
         long nowMillis = time.monotonicMillis();
-        notBeforeMillis.values().removeIf(until -> until <= nowMillis);
-        if (ordering
-                || notBeforeMillis.containsKey(change.engine().id())
-                || !parts.giver().getAsBoolean()) {
+        blockedUntilMillis.values().removeIf(untilMillis -> untilMillis <= nowMillis);
+        if (orderPending
+                || blockedUntilMillis.containsKey(change.engine().id())
+                || !dependencies.orderingAssigned().getAsBoolean()) {
             return;
         }
-        OptionalLong end = lease.claimableOffset(nowMillis);
-        if (end.isEmpty()) {
+        OptionalLong expectedEnd = lease.claimableOffset(nowMillis);
+        if (expectedEnd.isEmpty()) {
             return;
         }
-        ordering = true;
-        parts.control().orderState(change.engine()).thenAccept(state -> {
-            ordering = false;
+        orderPending = true;
+        dependencies.engineControl().orderState(change.engine()).thenAccept(state -> {
+            orderPending = false;
             if (state.isEmpty() || state.get().busy() || state.get().stage() == change.stage()) {
-                notBeforeMillis.put(change.engine().id(), time.monotonicMillis() + REFUSED_MILLIS);
+                blockedUntilMillis.put(change.engine().id(), time.monotonicMillis() + REFUSAL_BLOCK_MILLIS);
                 LogEvent.of("stage_not_ordered")
                         .with("target", change.engine().id())
                         .with("stage", change.stage())
@@ -159,48 +159,48 @@
                         .info(log);
                 return;
             }
-            claim(planner, change, state.get().ordersCount(), end.getAsLong());
+            claimLease(planner, change, state.get().ordersCount(), expectedEnd.getAsLong());
         });
     }
 
-    private void claim(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long end) {
-        ordering = true;
+    private void claimLease(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long expectedEnd) {
+        orderPending = true;
         long sentMillis = time.monotonicMillis();
         long sentWallMillis = time.wallMillis();
-        parts.log().append(Bytes.ofUtf8(parts.ownName()), end).thenAccept(appended -> {
-            ordering = false;
+        dependencies.orderLog().append(Bytes.ofUtf8(dependencies.ownName()), expectedEnd).thenAccept(appended -> {
+            orderPending = false;
             LogEvent.of("order_lease")
                     .with("service", change.engine().service())
                     .with("target", change.engine().id())
-                    .with("expectedEnd", end)
+                    .with("expectedEnd", expectedEnd)
                     .with("outcome", appended)
                     .info(log);
             if (appended instanceof ConditionalLog.Written written) {
                 lease.recordWritten(written.offset());
                 if (lease.isValid(time.monotonicMillis() - sentMillis, time.wallMillis() - sentWallMillis)) {
-                    order(planner, change, ordersCount, written.offset());
+                    sendOrder(planner, change, ordersCount, written.offset());
                 }
-            } else if (appended instanceof ConditionalLog.EndOffsetMismatch elsewhere) {
-                lease.recordForeignEnd(elsewhere.endOffset(), time.monotonicMillis());
+            } else if (appended instanceof ConditionalLog.EndOffsetMismatch mismatch) {
+                lease.recordForeignEnd(mismatch.endOffset(), time.monotonicMillis());
             } else {
                 lease.recordUnknownOutcome(time.monotonicMillis());
             }
         });
     }
 
-    private void order(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long token) {
+    private void sendOrder(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long token) {
         Incarnation engine = change.engine();
-        long awayMillis = parts.switchMillis().applyAsLong(engine.service());
-        ordering = true;
+        long switchMillis = dependencies.switchMillis().applyAsLong(engine.service());
+        orderPending = true;
         long orderedMillis = time.monotonicMillis();
-        planner.recordOrdered(change, awayMillis, orderedMillis);
-        parts.away().tell(engine.id(), LONGEST_CHANGE_MILLIS);
-        StageOrder order = new StageOrder(change.stage(), parts.ownName(), token, ordersCount);
-        parts.control().order(engine, order).thenAccept(outcome -> {
-            ordering = false;
-            took(engine, outcome);
+        planner.recordOrdered(change, switchMillis, orderedMillis);
+        dependencies.stageChangePublisher().publish(engine.id(), MAX_CHANGE_MILLIS);
+        StageOrder order = new StageOrder(change.stage(), dependencies.ownName(), token, ordersCount);
+        dependencies.engineControl().order(engine, order).thenAccept(outcome -> {
+            orderPending = false;
+            recordOutcome(engine, outcome);
             if (outcome == OrderOutcome.TAKEN || outcome == OrderOutcome.UNKNOWN) {
-                time.schedule(LOOK_EVERY_MILLIS, () -> look(planner, change, orderedMillis, true));
+                time.schedule(STATE_CHECK_INTERVAL_MILLIS, () -> checkProgress(planner, change, orderedMillis, true));
             } else {
                 planner.recordRejected(change);
             }
@@ -223,42 +223,42 @@
      * into use before, it rejects all that comes, and as nothing is under way there everything comes. And an order without an
      * answer may not have arrived, or be carried out seconds later.
      */
-    private void look(StagePlanner planner, StagePlanner.StageChange change, long orderedMillis, boolean leftAlone) {
+    private void checkProgress(StagePlanner planner, StagePlanner.StageChange change, long orderedMillis, boolean excluded) {
         String id = change.engine().id();
-        long sinceMillis = time.monotonicMillis() - orderedMillis;
-        Optional<Incarnation> listed = parts.directory().find(id);
-        boolean changed =
+        long elapsedMillis = time.monotonicMillis() - orderedMillis;
+        Optional<Incarnation> listed = dependencies.directory().find(id);
+        boolean changeListed =
                 listed.filter(engine -> engine.stage() != change.stage()).isEmpty();
-        if (changed || sinceMillis >= LONGEST_CHANGE_MILLIS) {
+        if (changeListed || elapsedMillis >= MAX_CHANGE_MILLIS) {
             return;
         }
-        parts.control().orderState(change.engine()).thenAccept(state -> {
+        dependencies.engineControl().orderState(change.engine()).thenAccept(state -> {
             // With its new stage it is left alone until its entry says so: what it is listed for, it takes no more.
-            boolean takesNothing = state.map(seen -> seen.busy() || seen.stage() == change.stage())
-                    .orElse(leftAlone);
-            if (takesNothing != leftAlone) {
-                parts.away().tell(id, takesNothing ? LONGEST_CHANGE_MILLIS : 0);
+            boolean unavailable = state.map(engineState -> engineState.busy() || engineState.stage() == change.stage())
+                    .orElse(excluded);
+            if (unavailable != excluded) {
+                dependencies.stageChangePublisher().publish(id, unavailable ? MAX_CHANGE_MILLIS : 0);
                 LogEvent.of("stage_change_seen")
                         .with("target", id)
                         .with("stage", change.stage())
-                        .with("takesNothing", takesNothing)
-                        .with("sinceMillis", sinceMillis)
+                        .with("takesNothing", unavailable)
+                        .with("sinceMillis", elapsedMillis)
                         .info(log);
-                if (!takesNothing) {
+                if (!unavailable) {
                     planner.recordRejected(change);
                 }
             }
-            time.schedule(LOOK_EVERY_MILLIS, () -> look(planner, change, orderedMillis, takesNothing));
+            time.schedule(STATE_CHECK_INTERVAL_MILLIS, () -> checkProgress(planner, change, orderedMillis, unavailable));
         });
     }
 
-    private void took(Incarnation engine, OrderOutcome outcome) {
+    private void recordOutcome(Incarnation engine, OrderOutcome outcome) {
         long nowMillis = time.monotonicMillis();
         if (outcome == OrderOutcome.UNKNOWN) {
-            notBeforeMillis.put(engine.id(), nowMillis + UNKNOWN_ORDER_MILLIS);
+            blockedUntilMillis.put(engine.id(), nowMillis + UNKNOWN_OUTCOME_BLOCK_MILLIS);
         } else if (outcome != OrderOutcome.TAKEN) {
-            notBeforeMillis.put(engine.id(), nowMillis + REFUSED_MILLIS);
-            parts.away().tell(engine.id(), 0);
+            blockedUntilMillis.put(engine.id(), nowMillis + REFUSAL_BLOCK_MILLIS);
+            dependencies.stageChangePublisher().publish(engine.id(), 0);
         }
         if (outcome == OrderOutcome.FENCED) {
             lease.recordUnknownOutcome(nowMillis);
--- a/src/main/java/org/dogwoodwinch/daemon/StreamSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StreamSharing.java
@@ -30,7 +30,7 @@
     private static final Logger log = LoggerFactory.getLogger(StreamSharing.class);
 
     /** A word is of use to those that hear it, and to a newcomer for a moment. */
-    private static final long KEEP_MILLIS = 1_000;
+    private static final long TTL_MILLIS = 1_000;
 
     private final RelayExchange exchange;
     private final TimeSource time;
@@ -39,37 +39,37 @@
     StreamSharing(RelayExchange exchange, TimeSource time) {
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.time = Objects.requireNonNull(time, "time");
-        exchange.subscribe(PeerTopic.STREAM, this::heard);
-        exchange.addStateTransfer(PeerTopic.STREAM, this::whole, KEEP_MILLIS);
+        exchange.subscribe(PeerTopic.STREAM, this::onStreamUpdate);
+        exchange.addStateTransfer(PeerTopic.STREAM, this::snapshots, TTL_MILLIS);
     }
 
     /**
      * Makes a stream one that is told.
      *
      * @param name its name, not null
-     * @param platform reads it from the store, not null
+     * @param platformStream reads it from the store, not null
      * @param policy the times, not null
      * @return the stream to follow
      */
-    ReplicatedStream share(String name, KeyedStream platform, ReplicaPolicy policy) {
-        return share(name, platform, policy, _record -> new Object());
+    ReplicatedStream share(String name, KeyedStream platformStream, ReplicaPolicy policy) {
+        return share(name, platformStream, policy, _record -> new Object());
     }
 
     /**
      * Makes a stream one that is told, but for the records that say again what the one before said of its key.
      *
      * @param name its name, not null
-     * @param platform reads it from the store, not null
+     * @param platformStream reads it from the store, not null
      * @param policy the times, not null
-     * @param meaning what a record says; two that say the same are equal, not null
+     * @param content what a record says; two that say the same are equal, not null
      * @return the stream to follow
      */
     ReplicatedStream share(
-            String name, KeyedStream platform, ReplicaPolicy policy, Function<KeyedRecord, Object> meaning) {
+            String name, KeyedStream platformStream, ReplicaPolicy policy, Function<KeyedRecord, Object> content) {
         ReplicatedStream.Publisher publisher = new ReplicatedStream.Publisher() {
             @Override
             public void publish(StreamUpdate word, boolean ownReading) {
-                exchange.publishImmediately(PeerTopic.STREAM, word.stream(), encode(word), KEEP_MILLIS, ownReading);
+                exchange.publishImmediately(PeerTopic.STREAM, word.stream(), encode(word), TTL_MILLIS, ownReading);
             }
 
             @Override
@@ -77,96 +77,96 @@
                 exchange.requestState();
             }
         };
-        ReplicatedStream told =
-                new ReplicatedStream(name, platform, policy, time, exchange::ownRank, publisher, meaning);
-        streams.put(name, told);
-        return told;
+        ReplicatedStream replicated =
+                new ReplicatedStream(name, platformStream, policy, time, exchange::ownRank, publisher, content);
+        streams.put(name, replicated);
+        return replicated;
     }
 
     /** All that is known here, for an instance that has just been connected to and may know nothing. */
-    private Map<String, Bytes> whole() {
-        Map<String, Bytes> words = new HashMap<>();
-        streams.forEach((name, stream) -> stream.snapshot().ifPresent(word -> words.put(name, encode(word))));
-        return words;
+    private Map<String, Bytes> snapshots() {
+        Map<String, Bytes> payloads = new HashMap<>();
+        streams.forEach((name, stream) -> stream.snapshot().ifPresent(snapshot -> payloads.put(name, encode(snapshot))));
+        return payloads;
     }
 
-    private void heard(PeerUpdate item) {
-        ReplicatedStream stream = streams.get(item.key());
+    private void onStreamUpdate(PeerUpdate peerUpdate) {
+        ReplicatedStream stream = streams.get(peerUpdate.key());
         if (stream == null) {
             return;
         }
         try {
-            Word word = Packing.unpack(item.payload().toByteArray(), Word::read);
-            StreamUpdate told =
-                    word.told(item.key(), item.ageBounded() ? item.ageMillis() : StreamUpdate.UNKNOWN_AGE_MILLIS);
-            if (exchange.isInOwnDataCentre(item.origin())) {
-                stream.onUpdate(told, exchange.isPredecessor(item.origin()));
+            StreamMessage message = Packing.unpack(peerUpdate.payload().toByteArray(), StreamMessage::read);
+            StreamUpdate update =
+                    message.toUpdate(peerUpdate.key(), peerUpdate.ageBounded() ? peerUpdate.ageMillis() : StreamUpdate.UNKNOWN_AGE_MILLIS);
+            if (exchange.isInOwnDataCentre(peerUpdate.origin())) {
+                stream.onUpdate(update, exchange.isPredecessor(peerUpdate.origin()));
             } else {
-                stream.onUpdateFromOtherDataCentre(told);
+                stream.onUpdateFromOtherDataCentre(update);
             }
         } catch (IOException e) {
             LogEvent.of("stream_word_not_understood")
-                    .with("peer", item.origin())
-                    .with("stream", item.key())
+                    .with("peer", peerUpdate.origin())
+                    .with("stream", peerUpdate.key())
                     .with("error", e.getMessage())
                     .warn(log);
         }
     }
 
-    private static Bytes encode(StreamUpdate word) {
-        return Packing.pack(word, Word::write);
+    private static Bytes encode(StreamUpdate update) {
+        return Packing.pack(update, StreamMessage::write);
     }
 
     /** A word as a message carries it. */
-    private record Word(
-            boolean whole, long firstOffset, long nextOffset, long contactAgeMillis, List<KeyedRecord> rows) {
-
-        static void write(MessagePacker packer, StreamUpdate word) throws IOException {
-            packer.packBoolean(word.isSnapshot());
-            packer.packLong(word.firstOffset());
-            packer.packLong(word.nextOffset());
-            packer.packLong(word.contactAgeMillis());
-            Packing.writeAll(packer, word.records(), Word::writeRow);
+    private record StreamMessage(
+            boolean snapshot, long firstOffset, long nextOffset, long contactAgeMillis, List<KeyedRecord> records) {
+
+        static void write(MessagePacker packer, StreamUpdate update) throws IOException {
+            packer.packBoolean(update.isSnapshot());
+            packer.packLong(update.firstOffset());
+            packer.packLong(update.nextOffset());
+            packer.packLong(update.contactAgeMillis());
+            Packing.writeAll(packer, update.records(), StreamMessage::writeRecord);
         }
 
-        static Word read(MessageUnpacker unpacker) throws IOException {
-            Word word = new Word(
+        static StreamMessage read(MessageUnpacker unpacker) throws IOException {
+            StreamMessage message = new StreamMessage(
                     unpacker.unpackBoolean(),
                     unpacker.unpackLong(),
                     unpacker.unpackLong(),
                     unpacker.unpackLong(),
-                    Packing.readAll(unpacker, Word::readRow));
-            word.check();
-            return word;
+                    Packing.readAll(unpacker, StreamMessage::readRecord));
+            message.validate();
+            return message;
         }
 
-        StreamUpdate told(String stream, long ageMillis) {
+        StreamUpdate toUpdate(String stream, long ageMillis) {
             return new StreamUpdate(
-                    stream, whole, rows, firstOffset, nextOffset, Math.max(0, contactAgeMillis) + ageMillis);
+                    stream, snapshot, records, firstOffset, nextOffset, Math.max(0, contactAgeMillis) + ageMillis);
         }
 
         /** Offsets out of order would take whoever believes them back, or let them pass over records. */
-        private void check() throws IOException {
+        private void validate() throws IOException {
             if (firstOffset < 0 || firstOffset > nextOffset) {
                 throw new IOException("records from " + firstOffset + " to " + nextOffset);
             }
-            long leastOffset = whole ? 0 : firstOffset;
-            for (KeyedRecord row : rows) {
-                if (row.offset() < leastOffset || (!whole && row.offset() >= nextOffset)) {
-                    throw new IOException("a record at " + row.offset());
+            long minOffset = snapshot ? 0 : firstOffset;
+            for (KeyedRecord record : records) {
+                if (record.offset() < minOffset || (!snapshot && record.offset() >= nextOffset)) {
+                    throw new IOException("a record at " + record.offset());
                 }
-                leastOffset = whole ? 0 : row.offset() + 1;
+                minOffset = snapshot ? 0 : record.offset() + 1;
             }
         }
 
-        private static void writeRow(MessagePacker packer, KeyedRecord record) throws IOException {
+        private static void writeRecord(MessagePacker packer, KeyedRecord record) throws IOException {
             packer.packString(record.key());
             packer.packLong(record.offset());
             packer.packBoolean(record.value().isPresent());
             Packing.writeBytes(packer, record.value().orElse(Bytes.EMPTY));
         }
 
-        private static KeyedRecord readRow(MessageUnpacker unpacker) throws IOException {
+        private static KeyedRecord readRecord(MessageUnpacker unpacker) throws IOException {
             String key = unpacker.unpackString();
             long offset = unpacker.unpackLong();
             boolean present = unpacker.unpackBoolean();
--- a/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
@@ -33,97 +33,97 @@
     private final ForwardingService service;
     private final ForwardingMetrics metrics;
     private final TimeSource time;
-    private final long lapseMillis;
-    private final Set<String> lapsed = new HashSet<>();
-    private long regainedAtMillis = Long.MIN_VALUE / 2;
-    private boolean reachable = true;
-    private boolean readOnce;
+    private final long lapseGraceMillis;
+    private final Set<String> pendingLapses = new HashSet<>();
+    private long reconnectedAtMillis = Long.MIN_VALUE / 2;
+    private boolean connected = true;
+    private boolean hasReadSnapshot;
 
     TargetsReader(
             TargetDirectory directory,
             ForwardingService service,
             ForwardingMetrics metrics,
             TimeSource time,
-            long lapseMillis) {
+            long lapseGraceMillis) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.service = Objects.requireNonNull(service, "service");
         this.metrics = Objects.requireNonNull(metrics, "metrics");
         this.time = Objects.requireNonNull(time, "time");
-        this.lapseMillis = lapseMillis;
+        this.lapseGraceMillis = lapseGraceMillis;
     }
 
     /** Whether the list was read whole at least once. */
-    boolean readOnce() {
-        return readOnce;
+    boolean hasReadSnapshot() {
+        return hasReadSnapshot;
     }
 
     @Override
     public void onRecord(KeyedRecord record) {
-        Optional<Incarnation> stated = decode(record);
-        if (stated.isEmpty() && lapsedInOutage(record.key())) {
-            lapsed.add(record.key());
+        Optional<Incarnation> listed = decode(record);
+        if (listed.isEmpty() && isOutageLapse(record.key())) {
+            pendingLapses.add(record.key());
             LogEvent.of("target_lapsed_in_outage")
                     .with("target", record.key())
                     .with("offset", record.offset())
                     .info(log);
-            time.schedule(lapseMillis, () -> endLapse(record));
+            time.schedule(lapseGraceMillis, () -> confirmLapse(record));
             return;
         }
-        lapsed.remove(record.key());
-        apply(record.key(), record.offset(), stated);
+        pendingLapses.remove(record.key());
+        apply(record.key(), record.offset(), listed);
     }
 
     /** A target that said it leaves is not waited for. */
-    private boolean lapsedInOutage(String id) {
-        boolean justRegained = !reachable || time.monotonicMillis() - regainedAtMillis < lapseMillis;
-        return justRegained
+    private boolean isOutageLapse(String id) {
+        boolean recentlyDisconnected = !connected || time.monotonicMillis() - reconnectedAtMillis < lapseGraceMillis;
+        return recentlyDisconnected
                 && directory.find(id).filter(target -> !target.draining()).isPresent();
     }
 
-    private void endLapse(KeyedRecord record) {
-        if (lapsed.remove(record.key())) {
+    private void confirmLapse(KeyedRecord record) {
+        if (pendingLapses.remove(record.key())) {
             apply(record.key(), record.offset(), Optional.empty());
         }
     }
 
-    private void apply(String id, long offset, Optional<Incarnation> stated) {
-        Optional<Incarnation> before = directory.find(id);
-        boolean wasReady = before.filter(target -> !target.draining()).isPresent();
-        if (!directory.apply(id, offset, stated)) {
+    private void apply(String id, long offset, Optional<Incarnation> listed) {
+        Optional<Incarnation> previous = directory.find(id);
+        boolean wasReady = previous.filter(target -> !target.draining()).isPresent();
+        if (!directory.apply(id, offset, listed)) {
             return;
         }
         LogEvent.of("target_listed")
                 .with("target", id)
                 .with("offset", offset)
-                .with("service", stated.map(Incarnation::service).orElse(""))
-                .with("address", stated.map(Incarnation::address).orElse(""))
-                .with("stage", stated.map(Incarnation::stage).orElse(null))
+                .with("service", listed.map(Incarnation::service).orElse(""))
+                .with("address", listed.map(Incarnation::address).orElse(""))
+                .with("stage", listed.map(Incarnation::stage).orElse(null))
                 .with(
                         "state",
-                        stated.map(each -> each.draining() ? "leaving" : "ready")
+                        listed.map(each -> each.draining() ? "leaving" : "ready")
                                 .orElse("gone"))
-                .with("bornMillis", stated.map(Incarnation::startedMillis).orElse(0L))
+                .with("bornMillis", listed.map(Incarnation::startedMillis).orElse(0L))
                 .info(log);
-        if (startedAgain(before, stated)) {
+        if (isRestarted(previous, listed)) {
             service.targetStartedAgain(id);
         }
-        if (before.isPresent() && !before.map(Incarnation::stage).equals(stated.map(Incarnation::stage))) {
+        if (previous.isPresent() && !previous.map(Incarnation::stage).equals(listed.map(Incarnation::stage))) {
             service.targetChangedStage(id);
         }
-        changed(id, stated, wasReady);
+        updateAvailability(id, listed, wasReady);
     }
 
-    private static boolean startedAgain(Optional<Incarnation> before, Optional<Incarnation> stated) {
-        return before.isPresent()
-                && stated.isPresent()
-                && before.get().startedMillis() != stated.get().startedMillis();
+    private static boolean isRestarted(Optional<Incarnation> previous, Optional<Incarnation> listed) {
+        return previous.isPresent()
+                && listed.isPresent()
+                && previous.get().startedMillis() != listed.get().startedMillis();
     }
 
-    private void changed(String id, Optional<Incarnation> stated, boolean wasReady) {
-        if (stated.isEmpty() || stated.get().draining()) {
+    private void updateAvailability(String id, Optional<Incarnation> listed, boolean wasReady) {
+        if (listed.isEmpty() || listed.get().draining()) {
             service.forgetTarget(id);
         }
-        if (stated.isEmpty() && wasReady) {
+        if (listed.isEmpty() && wasReady) {
             service.targetFoundGone(id);
         }
         metrics.showTargets(directory.readyCount());
@@ -135,7 +135,7 @@
      * @param record the entry, not null
      * @return the target, empty where it is gone or the entry names none
      */
-    static Object meaning(KeyedRecord record) {
+    static Object targetOf(KeyedRecord record) {
         return decode(record);
     }
 
@@ -157,31 +157,31 @@
 
     @Override
     public void onSnapshotComplete(Set<String> keys, long endOffset) {
-        readOnce = true;
-        if (time.monotonicMillis() - regainedAtMillis < lapseMillis) {
-            time.schedule(lapseMillis, () -> retain(keys, endOffset));
+        hasReadSnapshot = true;
+        if (time.monotonicMillis() - reconnectedAtMillis < lapseGraceMillis) {
+            time.schedule(lapseGraceMillis, () -> retainListed(keys, endOffset));
         } else {
-            retain(keys, endOffset);
+            retainListed(keys, endOffset);
         }
     }
 
-    private void retain(Set<String> keys, long endOffset) {
+    private void retainListed(Set<String> keys, long endOffset) {
         for (String id : directory.retainListed(keys, endOffset)) {
             LogEvent.of("target_not_listed").with("target", id).info(log);
-            changed(id, Optional.empty(), false);
+            updateAvailability(id, Optional.empty(), false);
         }
     }
 
     @Override
     public void onReconnected() {
-        reachable = true;
-        regainedAtMillis = time.monotonicMillis();
+        connected = true;
+        reconnectedAtMillis = time.monotonicMillis();
         LogEvent.of("store_regained").with("stream", "targets").info(log);
     }
 
     @Override
     public void onDisconnected(String reason) {
-        reachable = false;
+        connected = false;
         LogEvent.of("store_lost")
                 .with("stream", "targets")
                 .with("reason", reason)
--- a/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
@@ -33,11 +33,11 @@
 
     @Test
     void allInstancesLeaveAnEngineAloneUntilItIsBack() {
-        shared.get(0).tell("e1", 15_000);
+        shared.get(0).publish("e1", 15_000);
         fleet.time.advanceMillis(500);
         healths.forEach(health -> assertTrue(health.isChangingStage("e1")));
 
-        shared.get(0).tell("e1", 0);
+        shared.get(0).publish("e1", 0);
         fleet.time.advanceMillis(500);
         healths.forEach(health -> assertFalse(health.isChangingStage("e1")));
     }
@@ -47,7 +47,7 @@
     void aWordAboutAnEarlierStartLeavesNothingOut() {
         bornMillis.put("i1", BORN_MILLIS + 1);
 
-        shared.get(0).tell("e1", 15_000);
+        shared.get(0).publish("e1", 15_000);
         fleet.time.advanceMillis(500);
 
         assertFalse(healths.get(1).isChangingStage("e1"));
--- a/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
@@ -102,7 +102,7 @@
             instances.add(new Instance());
         }
         new StageOrders(
-                        new StageOrders.Parts(
+                        new StageOrders.Dependencies(
                                 "i0",
                                 instances.get(0).directory,
                                 instances.get(0).loads,
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -71,7 +71,7 @@
                 }
             }
             new StageOrders(
-                            new StageOrders.Parts(
+                            new StageOrders.Dependencies(
                                     name,
                                     directory,
                                     loads,
