--- a/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
+++ b/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
@@ -17,23 +17,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lets all instances leave a target alone that breaks off the calls of one.
+ * Ejects a target in all instances when it breaks off the calls of one of them.
  *
- * <p>Load: many instances before many targets. Each sends a given target a call in some seconds, so each would find out for
- * itself by a call that fails, again after each pause, and the fleet would lose as many calls as it has instances.
+ * <p>Load: many instances and many targets. Each instance sends a given target one call in some seconds, so each would
+ * detect the failure by a failed call of its own, again after each ejection, and the fleet would lose as many calls as
+ * it has instances.
  *
- * <p>Only what the target itself did is told: that it ended a connection, not that it was silent, which the links of the
- * instance that tells may be the cause of. Who was told waits longer than who found out, so that the next probe is made by
- * one and its outcome, told again, is there before the others probe. Of several that found out, the first by name probes.
+ * <p>Only actions of the target itself are published: that it closed a connection, not that it was silent, which may be
+ * caused by the links of the publishing instance. Instances that received the ejection wait longer than the instance
+ * that detected the failure, so that one instance sends the next probe and publishes the result before the others
+ * probe. If several instances detected the failure, the first by name probes.
  */
 final class BrokenTargets implements BreakOffs {
 
     private static final Logger log = LoggerFactory.getLogger(BrokenTargets.class);
 
-    /** A word goes by two relays, a round each; a probe and its word take less than the pause once more. */
+    /** An update passes two relays, one round each; a probe and its update take less than one more ejection time. */
     private static final int PEER_EJECTION_FACTOR = 2;
 
-    /** Beside that, up to as long again by chance: hearers whose pauses end at once would all try at once. */
+    /**
+     * Maximum random addition to the factor: instances whose ejections end at the same time would all probe at once.
+     */
     private static final int PEER_EJECTION_JITTER = 2;
 
     private static final long TTL_MILLIS = 5_000;
@@ -60,7 +64,7 @@
         this.random = Objects.requireNonNull(random, "random");
     }
 
-    /** Hears from now on. */
+    /** Starts to receive ejections. */
     void start() {
         exchange.subscribe(PeerTopic.BROKEN_TARGET, this::onUpdate);
     }
@@ -77,7 +81,10 @@
         return ejectionMillis;
     }
 
-    /** After a pause that was a probe, and its outcome is told; within one the answer is to a call from before it. */
+    /**
+     * Publishes the recovery if the ejection has ended, because the call was then a probe. During an ejection, the
+     * answer belongs to a call that was sent before it.
+     */
     @Override
     public void answered(String targetId) {
         health.recordAnswer(targetId);
--- a/src/main/java/org/dogwoodwinch/daemon/ConfigurationReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ConfigurationReader.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts each newer configuration in force; through an outage the last one stays. */
+/** Applies each newer configuration of the store; during an outage the last one stays in force. */
 final class ConfigurationReader implements StreamListener {
 
     private static final Logger log = LoggerFactory.getLogger(ConfigurationReader.class);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** A configuration is never dropped: the last one serves until a newer one comes. */
+    /** A configuration is never removed: the last one stays in force until a newer one is read. */
     @Override
     public void onSnapshotComplete(Set<String> _keys, long endOffset) {
         LogEvent.of("configurations_read_whole").with("endOffset", endOffset).info(log);
--- a/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginesAway.java
@@ -14,14 +14,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lets all instances leave an engine alone while it changes its stage: what has not started there is rejected, and each
- * rejection is an arrival that the retry budget pays for.
+ * Makes all instances send no calls to an engine while it changes its stage: the engine rejects calls that have not
+ * started there, and each rejected call is retried at the expense of the retry budget.
  */
 final class EnginesAway {
 
     private static final Logger log = LoggerFactory.getLogger(EnginesAway.class);
 
-    /** A newcomer hears of an engine that is away about as long as one may be. */
+    /** A newly started instance is informed for about as long as an engine may be unavailable. */
     private static final long TTL_MILLIS = 15_000;
 
     private static final int FIELD_COUNT = 2;
@@ -36,16 +36,16 @@
         this.startedMillis = Objects.requireNonNull(startedMillis, "startedMillis");
     }
 
-    /** Hears from now on. */
+    /** Starts to receive stage changes. */
     void start() {
         exchange.subscribe(PeerTopic.LEAVING, this::onUpdate);
     }
 
     /**
-     * Leaves an engine alone, and tells the others.
+     * Sends an engine no calls, and publishes this to the other instances.
      *
-     * @param engineId the engine, not null
-     * @param durationMillis for how long; zero where it is back
+     * @param engineId the engine's id, not null
+     * @param durationMillis the maximum duration; zero if the engine is available again
      */
     void publish(String engineId, long durationMillis) {
         apply(engineId, durationMillis);
@@ -82,10 +82,10 @@
     }
 
     /**
-     * What is told.
+     * A stage change as encoded in a message.
      *
-     * @param startedMillis the engine's birth
-     * @param durationMillis how long it is left alone; zero where it is back
+     * @param startedMillis the start time of the engine, which identifies its incarnation
+     * @param durationMillis the maximum duration; zero if the engine is available again
      */
     private record StageChangeMessage(long startedMillis, long durationMillis) {
 
--- a/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
@@ -35,25 +35,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What instances tell each other: who they are, by way of the store; what they have under way and which calls crash
- * targets, directly. Used on one event loop alone.
+ * Exchanges state between instances: the membership through the store; the calls in progress and the calls that crash
+ * targets directly. Confined to one event loop.
  */
 final class FleetExchange {
 
     private static final Logger log = LoggerFactory.getLogger(FleetExchange.class);
 
-    /** Instances come and go rarely; a call that waits long is one call less to pay. */
+    /** Instances rarely start or stop; a long poll reduces the number of billed calls. */
     private static final long MEMBERS_LONG_POLL_MILLIS = 8_000;
 
     private static final long MEMBERS_PAUSE_MILLIS = 2_000;
     private static final int MAX_MESSAGE_BYTES = 262_144;
     private static final double BYTES_PER_MEGABIT = 125_000;
 
-    /** A reader's long call, its pause, and a word that may be lost; nothing of the members is bound to a time. */
+    /** Covers a reader's long poll, its pause and one lost update; no time limit depends on the membership. */
     private static final ReplicaPolicy MEMBERS_REPLICA_POLICY =
             new ReplicaPolicy(MEMBERS_LONG_POLL_MILLIS + MEMBERS_PAUSE_MILLIS + 2_000, 500, 3);
 
-    /** A suspicion outlives a caller's retries by far. */
+    /** Much longer than a caller's retries last. */
     private static final long SUSPICION_TTL_MILLIS = 600_000;
 
     private static final long QUARANTINE_MILLIS = 600_000;
@@ -126,35 +126,38 @@
                 : Integer.MAX_VALUE;
     }
 
-    /** The instances that may share a target's connections: those seen, and no fewer than the settings name. */
+    /**
+     * Returns how many instances may share a target's connections: the most members seen, but not fewer than the
+     * settings state.
+     */
     int maxInstanceCount() {
         return Math.max(
                 settings.forwarding().mostInstancesCount(),
                 members.maxMemberCount().orElse(1));
     }
 
-    /** The instances that share a target's connections. */
+    /** Returns the number of instances that share a target's connections. */
     int connectionSharerCount() {
         return ConnectionShares.sharingInstancesCount(
                 members.maxMemberCount(), settings.forwarding().mostInstancesCount());
     }
 
-    /** This instance's share of a common bound; nothing while it does not know the others. */
+    /** Returns this instance's share of a common limit; zero while the membership is unknown. */
     double ownShareOf(double total) {
         return members.maxMemberCount().isPresent() ? total / maxInstanceCount() : 0;
     }
 
-    /** The instances that count on each other, while this one is sure of it. */
+    /** Returns the instances that consider each other members; empty while this instance is not sure of them. */
     Optional<Set<String>> assignmentMembers() {
         return members.assignmentMembers();
     }
 
-    /** What is told between the instances of a data centre. */
+    /** Returns the bus between the instances. */
     RelayExchange exchange() {
         return exchange;
     }
 
-    /** The streams that one instance of a data centre reads for all. */
+    /** Returns the streams that one instance of each data centre reads for the others. */
     StreamSharing streams() {
         return streams;
     }
@@ -164,10 +167,10 @@
     }
 
     /**
-     * Listens for the others.
+     * Listens for connections of the other instances.
      *
-     * @param address where, not null
-     * @return this instance as the others reach it
+     * @param address the address to listen at, not null
+     * @return the entry by which the other instances reach this one
      */
     PeerMember listen(InetSocketAddress address) {
         int port = transport.listen(address, exchange::receive, exchange::onConnected);
@@ -179,7 +182,7 @@
                 settings.instance().linkMbps());
     }
 
-    /** Announces this instance, and begins to tell and to hear. */
+    /** Announces this instance, and starts to send and receive updates. */
     void start(PeerMember self) {
         members.start(self);
         follower.start();
@@ -187,12 +190,12 @@
         loadSharing.start();
     }
 
-    /** Announces this instance no more. */
+    /** Stops announcing this instance. */
     void leave() {
         members.leave();
     }
 
-    /** Counts what is told by what it is about: on a narrow link that tells what to tell less of. */
+    /** Counts the bytes sent by topic, which shows what to reduce on a slow link. */
     private static final class TrafficMetrics implements PeerObserver {
 
         private final ForwardingMetrics metrics;
@@ -205,7 +208,8 @@
         @Override
         public void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {
             counters.computeIfAbsent(
-                            topic, entryTopic -> metrics.toldPeers(entryTopic.name().toLowerCase(Locale.ROOT)))
+                            topic,
+                            entryTopic -> metrics.toldPeers(entryTopic.name().toLowerCase(Locale.ROOT)))
                     .accept((long) entryBytes * recipientCount);
         }
 
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -50,51 +50,58 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One instance that forwards calls by the operator's routes: wires the parts and stops without cutting a request. */
+/**
+ * An instance that forwards calls according to the operator's routes. Constructs and connects its components, and stops
+ * without interrupting requests.
+ */
 public final class ForwardingDaemon {
 
     private static final Logger log = LoggerFactory.getLogger(ForwardingDaemon.class);
     private static final long DRAIN_CHECK_INTERVAL_MILLIS = 20;
 
-    /** Before the platform ends the process by force, what could not finish is closed in order. */
+    /** Calls that have not finished are closed in an orderly way this long before the platform kills the process. */
     private static final long FORCED_CLOSE_LEAD_MILLIS = 500;
 
-    /** Tries for a connection after which a caller is told to come back: a further one is as likely to fail. */
+    /**
+     * Failed connection attempts after which a caller is asked to retry later: another attempt is as likely to fail.
+     */
     private static final int MAX_FAILED_CONNECTS = 2;
 
-    /** A send with less time than a round trip and a short run is an attempt for nothing. */
+    /** An attempt with less time left than a round trip and a short run would be wasted. */
     private static final long MIN_REMAINING_MILLIS = 30;
 
-    /** Targets that refused a call before its caller is told to come back: more are as likely to be full. */
+    /** Rejections by targets after which a caller is asked to retry later: further targets are as likely to be full. */
     private static final int MAX_REJECTIONS = 2;
 
-    /** Assumed until calls were observed: what engines of today's large models read in a millisecond. */
+    /** Prefill rate assumed until calls have been observed: that of engines with today's large models. */
     private static final double INITIAL_TOKENS_PER_MILLI = 30;
 
     private static final long ENGINE_TIMEOUT_MILLIS = 1_000;
 
-    /** Long enough to be no poll for the engine, short enough that a silent connection is noticed. */
+    /** Long enough to avoid frequent polls of the engine, short enough to detect a silent connection. */
     private static final long ENGINE_LONG_POLL_MILLIS = 1_000;
 
     private static final long SETTINGS_CHECK_INTERVAL_MILLIS = 1_000;
 
     private static final long CLOCK_CHECK_INTERVAL_MILLIS = 500;
 
-    /** Well over what clocks drift and timers are late between two checks. */
+    /** Well above the clock drift and the timer delay between two checks. */
     private static final long CLOCK_JUMP_THRESHOLD_MILLIS = 700;
 
     private static final long CACHE_WATCH_INTERVAL_MILLIS = 250;
 
-    /** Well over a record's way to the store and back; an order is on its way within as long again. */
+    /** Well above the round trip of a record to the store; the order is sent within the same period again. */
     private static final long ORDER_VALIDITY_MILLIS = 1_000;
 
-    /** The time that an order may take to arrive, and as much again for clocks and links. */
+    /** The time that an order may take to arrive, and the same again for clock differences and network delay. */
     private static final long ORDER_SEPARATION_MARGIN_MILLIS = 2_000;
 
-    /** The way of a reading to a platform that is slow, and of a word, on busy instances. */
+    /** Covers the delay of a read from a slow platform and that of an update between busy instances. */
     private static final long REPLICA_AGE_MARGIN_MILLIS = 400;
 
-    /** A reading's way there and back, so that the next one's word comes before the one after it begins. */
+    /**
+     * The round trip of a read, so that the update of one successor arrives before the next successor starts to read.
+     */
     private static final long TAKEOVER_STAGGER_MILLIS = 75;
 
     private static final int MAX_TAKEOVER_STAGGERS = 3;
@@ -122,11 +129,11 @@
     private long stopRequestedAtMillis;
 
     /**
-     * Wires a daemon that does not listen yet.
+     * Creates a daemon that does not listen yet.
      *
-     * @param settings its settings, not null
-     * @param transport its sockets, with one event loop, not null
-     * @param random chance, not null
+     * @param settings the settings, not null
+     * @param transport the sockets, with a single event loop, not null
+     * @param random the source of randomness, not null
      */
     public ForwardingDaemon(ForwardingSettings settings, Transport transport, UniformRandomProvider random) {
         this.settings = Objects.requireNonNull(settings, "settings");
@@ -210,12 +217,16 @@
                 metrics);
         this.configuration = new StreamFollower(
                 fleet.streams()
-                        .share(StoreClient.OPERATOR_TOPIC, store.keyed(StoreClient.OPERATOR_TOPIC), replicaPolicy(settings)),
+                        .share(
+                                StoreClient.OPERATOR_TOPIC,
+                                store.keyed(StoreClient.OPERATOR_TOPIC),
+                                replicaPolicy(settings)),
                 followerPolicy,
                 new ConfigurationReader(service, metrics),
                 time,
                 random);
-        this.clockWatch = new ClockWatch(time, CLOCK_CHECK_INTERVAL_MILLIS, CLOCK_JUMP_THRESHOLD_MILLIS, this::onClockJump);
+        this.clockWatch =
+                new ClockWatch(time, CLOCK_CHECK_INTERVAL_MILLIS, CLOCK_JUMP_THRESHOLD_MILLIS, this::onClockJump);
         this.cacheWatch = new CacheWatch(
                 engines,
                 cacheIndex,
@@ -238,7 +249,9 @@
                         store.log(StageOrders.TOPIC),
                         engines,
                         enginesAway::publish),
-                new OrderLease(ORDER_VALIDITY_MILLIS, settings.promises().holdersApartMillis() + ORDER_SEPARATION_MARGIN_MILLIS),
+                new OrderLease(
+                        ORDER_VALIDITY_MILLIS,
+                        settings.promises().holdersApartMillis() + ORDER_SEPARATION_MARGIN_MILLIS),
                 time);
         this.targetsReader = new TargetsReader(
                 directory, service, metrics, time, settings.promises().drainMillis() * 4 / 5);
@@ -256,14 +269,15 @@
     }
 
     /**
-     * Listens, and begins to read the store.
+     * Opens the listeners and starts to read the store.
      *
      * @throws IOException if a listener cannot be bound
      */
     public void start() throws IOException {
         readyListener = ForwardingService.listenReady(
                 transport, parseAddress(settings.forwarding().readyListen()), this::isReady);
-        ForwardingService.listenMetrics(transport, parseAddress(settings.forwarding().metricsListen()), metrics);
+        ForwardingService.listenMetrics(
+                transport, parseAddress(settings.forwarding().metricsListen()), metrics);
         service.listen(transport, parseAddress(settings.forwarding().listen()));
         PeerMember self = fleet.listen(parseAddress(settings.peers().listen()));
         transport.group().next().execute(() -> {
@@ -290,7 +304,7 @@
     }
 
     /**
-     * Returns where callers connect.
+     * Returns the port that callers connect to.
      *
      * @return the port
      */
@@ -299,7 +313,7 @@
     }
 
     /**
-     * Returns where the balancer asks whether the instance is ready.
+     * Returns the port at which the load balancer checks the readiness of the instance.
      *
      * @return the port
      */
@@ -308,7 +322,7 @@
     }
 
     /**
-     * Reloads the settings whenever their file changes, and at the signal to do so.
+     * Reloads the settings whenever their file changes, and on SIGHUP.
      *
      * @param file the settings file, not null
      */
@@ -319,9 +333,9 @@
     }
 
     /**
-     * Puts changed settings in force as far as that needs no start, and says what does. Runs on the event loop.
+     * Applies the changed settings that do not require a restart, and logs those that do. Runs on the event loop.
      *
-     * @param newSettings the settings read anew, not null
+     * @param newSettings the settings as read again, not null
      */
     public void reload(ForwardingSettings newSettings) {
         transport.group().next().execute(() -> {
@@ -336,9 +350,9 @@
     }
 
     /**
-     * Stops gracefully: not ready first, then calls under way finish.
+     * Stops gracefully: reports not ready first, then lets the calls in progress finish.
      *
-     * @return completes with the number of calls that had not finished within the bound
+     * @return completes with the number of calls that did not finish within the grace period
      */
     public CompletionStage<Integer> stop() {
         CompletableFuture<Integer> stopped = new CompletableFuture<>();
@@ -382,11 +396,14 @@
         time.schedule(DRAIN_CHECK_INTERVAL_MILLIS, () -> awaitDrain(stopped));
     }
 
-    /** With the longest wait of its turn and a reading it stays under nine tenths of what operators were promised. */
+    /**
+     * The maximum age plus the longest takeover delay and one read stay below nine tenths of the time limits that
+     * operators are promised.
+     */
     private static ReplicaPolicy replicaPolicy(ForwardingSettings settings) {
-        long maxReadMillis =
-                settings.store().waitMillis() + settings.store().pauseMillis();
-        return new ReplicaPolicy(maxReadMillis + REPLICA_AGE_MARGIN_MILLIS, TAKEOVER_STAGGER_MILLIS, MAX_TAKEOVER_STAGGERS);
+        long maxReadMillis = settings.store().waitMillis() + settings.store().pauseMillis();
+        return new ReplicaPolicy(
+                maxReadMillis + REPLICA_AGE_MARGIN_MILLIS, TAKEOVER_STAGGER_MILLIS, MAX_TAKEOVER_STAGGERS);
     }
 
     private static InetSocketAddress parseAddress(String text) {
--- a/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
@@ -25,25 +25,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the instances of a data centre which parts of prompts an engine keeps, as the one that watches the engine hears.
+ * Publishes which prompt segments an engine has in its KV cache. The instance that watches the engine sends this to the
+ * other instances of its data centre.
  *
- * <p>Load: two of three parts that engines read are the request's own, and each is told to each instance of the data centre
- * by one, whose link is as narrow as the others'. Where relays do so, only parts that other requests may name again are told. An engine does
- * not say which these are; instances know it from the prompts of their calls, and tell each other each such part once.
+ * <p>Load: two of three segments that engines prefill belong to a single request, and one instance, whose link is as
+ * narrow as the others', would send each of them to every instance of the data centre. In a fleet that uses relays,
+ * only segments that other requests may contain again are therefore published. Engines do not report which ones these
+ * are; instances know it from the prompts of their calls, and publish each shared segment to each other once.
  *
- * <p>Changes are told once a round. Words may be lost, and a new watcher may have missed changes: the whole list is told
- * now and then, so that a wrong belief costs some reading and lasts no longer than that.
+ * <p>Changes are published once per round. Updates may be lost, and a new watcher may have missed changes, so the full
+ * list is published periodically: a wrong entry costs some prefill time and lasts no longer than until the next list.
  */
 final class KeptSharing implements CacheListener {
 
     private static final Logger log = LoggerFactory.getLogger(KeptSharing.class);
 
-    /** Parts that are read within some milliseconds are not worth a word: most calls have such parts of their own. */
+    /**
+     * Shorter segments are prefilled within some milliseconds and not worth an update: most calls have some of their
+     * own.
+     */
     private static final int MIN_TOKENS = 512;
 
     /**
-     * Between two whole lists of one engine. Many engines' lists share the link of the instance that passes them on; an
-     * instance that starts among others waits so long at most until it knows where parts are kept.
+     * The time between two full lists of an engine. The lists of many engines share the link of the instance that
+     * forwards them; a newly started instance waits at most this long until it knows where segments are cached.
      */
     private static final long FULL_LIST_INTERVAL_MILLIS = 8_000;
 
@@ -58,7 +63,8 @@
     private final List<String> receivedShared = new ArrayList<>();
     private long sharedMessageCount;
 
-    KeptSharing(RelayExchange exchange, KvCacheIndex cacheIndex, ToLongFunction<String> startedMillis, TimeSource time) {
+    KeptSharing(
+            RelayExchange exchange, KvCacheIndex cacheIndex, ToLongFunction<String> startedMillis, TimeSource time) {
         this.startedMillis = Objects.requireNonNull(startedMillis, "startedMillis");
         this.exchange = Objects.requireNonNull(exchange, "exchange");
         this.cacheIndex = Objects.requireNonNull(cacheIndex, "cacheIndex");
@@ -114,8 +120,9 @@
     }
 
     /**
-     * In a small fleet every part is. Instances that have all just started know no part to be shared until their calls name
-     * it, and each of these calls would be sent where it is not kept.
+     * Returns whether a segment is published: in a small fleet every one, otherwise a shared one. Failure: instances
+     * that have all just started know of no shared segment until their calls contain it, and would send each of these
+     * calls to an engine that has not cached it.
      */
     private boolean isWorthPublishing(String segmentId) {
         return !exchange.usesRelays() || cacheIndex.sharedSegments().isShared(segmentId);
@@ -131,10 +138,11 @@
     }
 
     /**
-     * What was found here, and at a relay what it learnt from others since the last round, in one word.
+     * Publishes in one message the shared segments that this instance found and, at a relay, those that it received
+     * since the last round.
      *
-     * <p>Load: many instances find the same parts in the same moment. Each of their words handed on to each of the others was a
-     * quarter of what a relay sent.
+     * <p>Load: many instances find the same segments at the same time. Forwarding each of their messages to each other
+     * instance made up a quarter of what a relay sent.
      */
     private void publishSharedSegments() {
         List<String> newIds = new ArrayList<>(receivedShared);
@@ -171,7 +179,7 @@
         }
     }
 
-    /** An engine that is watched here may have said that it keeps the part before it was known to be shared. */
+    /** A watched engine may have reported the segment as cached before the segment was known to be shared. */
     private void queueIfCached(String segmentId) {
         watchedEngines.forEach((engineId, state) -> {
             int tokens = cacheIndex.cachedTokens(engineId, segmentId);
@@ -183,16 +191,16 @@
 
     private void onCachedSegments(PeerUpdate update) {
         if (watchedEngines.containsKey(update.key())) {
-            // What this instance hears from the engine itself is newer.
+            // The reports that this instance receives from the engine itself are newer.
             return;
         }
         try {
             CacheMessage message = Packing.unpack(
                     update.payload().toByteArray(),
-                    unpacker ->
-                            new CacheMessage(unpacker.unpackLong(), unpacker.unpackBoolean(), Packing.readNumbers(unpacker)));
+                    unpacker -> new CacheMessage(
+                            unpacker.unpackLong(), unpacker.unpackBoolean(), Packing.readNumbers(unpacker)));
             if (message.startedMillis() != startedMillis.applyAsLong(update.key())) {
-                // Of a start that is over here, or not known here yet: the whole list comes again in some seconds.
+                // From an earlier incarnation, or one not yet listed here: the full list is sent again within seconds.
                 return;
             }
             if (message.fullList()) {
--- a/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
@@ -22,22 +22,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lets all instances know of the limit that a target named to one.
+ * Publishes to all instances the rate limit that a target stated to one of them.
  *
- * <p>Load: many instances, of which each sends a given target a call in some seconds. Each would send its first calls without
- * knowing, and the target would get them all; whoever does not send there would never know that the limit has ended.
+ * <p>Load: many instances, each of which sends a given target one call in some seconds. Without this exchange, each
+ * would send its first calls without knowing the limit, and the target would receive all of them; an instance that
+ * sends no calls there would never learn that the limit has ended.
  *
- * <p>News goes out at once. The few that have a share of the limit repeat it: who has missed the end of a limit forgets it
- * when nobody repeats it any more.
+ * <p>Changes are published at once. The few instances that hold a share of the limit repeat it, and an instance that
+ * has missed the end of a limit discards it when it is no longer repeated.
  */
 final class LimitSharing implements StatedLimits {
 
     private static final Logger log = LoggerFactory.getLogger(LimitSharing.class);
 
-    /** Several repetitions may be lost before a limit is forgotten. */
+    /** Several repetitions may be lost before a limit expires. */
     private static final long REPEAT_INTERVAL_MILLIS = 2_000;
 
-    /** A newcomer hears what was told last until it is repeated. */
+    /** A newly started instance receives the last update until the next repetition. */
     private static final long TTL_MILLIS = 5_000;
 
     private static final int FIELD_COUNT = 3;
@@ -62,7 +63,7 @@
         this.time = Objects.requireNonNull(time, "time");
     }
 
-    /** Tells and hears from now on. */
+    /** Starts to send and receive limits. */
     void start() {
         exchange.subscribe(PeerTopic.TARGET_LIMIT, this::onUpdate);
         exchange.beforeEachRound(this::publishRound);
@@ -101,7 +102,8 @@
     private void publish(String targetId, OptionalDouble callsPerSecond, long statedMillis) {
         long nowMillis = time.monotonicMillis();
         publishedAtMillis.put(targetId, nowMillis);
-        LimitMessage message = new LimitMessage(startedMillis.applyAsLong(targetId), callsPerSecond, nowMillis - statedMillis);
+        LimitMessage message =
+                new LimitMessage(startedMillis.applyAsLong(targetId), callsPerSecond, nowMillis - statedMillis);
         exchange.publish(PeerTopic.TARGET_LIMIT, targetId, message.encode(), TTL_MILLIS);
     }
 
@@ -110,7 +112,8 @@
             LimitMessage message = LimitMessage.decode(update.payload());
             if (message.startedMillis == startedMillis.applyAsLong(update.key())) {
                 long statedMillis = time.monotonicMillis() - update.ageMillis() - message.statedAgoMillis;
-                TargetRateLimits.LimitChange change = limits.recordPeerReport(update.key(), message.callsPerSecond, statedMillis);
+                TargetRateLimits.LimitChange change =
+                        limits.recordPeerReport(update.key(), message.callsPerSecond, statedMillis);
                 if (change != TargetRateLimits.LimitChange.NONE) {
                     log(update.key(), change, message.callsPerSecond, update.origin());
                 }
@@ -134,11 +137,11 @@
     }
 
     /**
-     * What is told.
+     * A limit as encoded in a message.
      *
-     * @param startedMillis the target's birth
-     * @param callsPerSecond the limit, empty where it names none any more
-     * @param statedAgoMillis how long ago the target stated it
+     * @param startedMillis the start time of the target, which identifies its incarnation
+     * @param callsPerSecond the limit; empty if the target no longer states one
+     * @param statedAgoMillis the time since the target stated it
      */
     private record LimitMessage(long startedMillis, OptionalDouble callsPerSecond, long statedAgoMillis) {
 
--- a/src/main/java/org/dogwoodwinch/daemon/LoadReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadReport.java
@@ -14,11 +14,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * What an instance, or all of a data centre, have under way at targets, as a message carries it.
+ * The load of calls in progress at targets, of one instance or as a sum over several, as encoded in a message.
  *
- * @param sequenceNumber the number of this word of its sender
- * @param loads by target, not null
- * @param includedReports of a sum: the numbers of the words that it contains, by sender, not null
+ * @param sequenceNumber the sequence number of this report at its sender
+ * @param loads the loads by target id, not null
+ * @param includedReports in a sum, the sequence numbers of the included reports by sender; otherwise empty, not null
  */
 record LoadReport(long sequenceNumber, Map<String, TargetLoad> loads, Map<String, Long> includedReports) {
 
@@ -80,7 +80,7 @@
     private static PrefillQueue readLevel(MessageUnpacker unpacker) throws IOException {
         int level = unpacker.unpackInt();
         if (level < 0 || level >= QueueLevel.COUNT) {
-            throw new IOException("no level: " + level);
+            throw new IOException("unknown prefill queue level: " + level);
         }
         return PrefillQueue.EMPTY.plusPrompts(level, unpacker.unpackLong(), unpacker.unpackInt());
     }
--- a/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LoadSharing.java
@@ -19,12 +19,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the other instances what this one has under way at targets, and takes their word.
+ * Exchanges with the other instances the load of calls in progress at targets.
  *
- * <p>Without it each of several instances sees an idle engine where the others have just sent, and sends there too. In a
- * large fleet an instance tells its relay alone, and hears from it the sum over each data centre, from which it takes
- * its own part by the number of its word that the sum contains: counted twice, its own calls would drive it away from
- * the engines that it just chose.
+ * <p>Failure: without it, each of several instances considers an engine idle to which the others have just sent calls,
+ * and sends its calls there too.
+ *
+ * <p>In a large fleet an instance sends its load to its relay only, and receives from it the sum over all instances. It
+ * subtracts its own report, which it finds by the sequence number included in the sum: if its calls were counted twice,
+ * it would avoid the engines that it has just chosen.
  */
 final class LoadSharing {
 
@@ -33,10 +35,10 @@
     private static final String DATA_CENTRE_PREFIX = "centre ";
     private static final String FLEET_SOURCE = "fleet";
 
-    /** Rounds without a word after which an instance's loads are no longer counted. */
+    /** Rounds without a report after which an instance's loads are no longer counted. */
     private static final int RETENTION_ROUNDS = 10;
 
-    /** Own words that are remembered: more than are under way to the relay and back. */
+    /** Own reports that are stored: more than can be in transit to the relay and back. */
     private static final int MAX_OWN_REPORTS = 20;
 
     private final LoadTracker loads;
@@ -69,7 +71,7 @@
         this.roundMillis = roundMillis;
     }
 
-    /** Tells and hears from now on. */
+    /** Starts to send and receive loads. */
     void start() {
         exchange.subscribe(PeerTopic.LOAD, this::onInstanceLoad);
         exchange.subscribe(PeerTopic.CENTRE_LOAD, this::onDataCentreLoad);
@@ -87,7 +89,7 @@
         if (exchange.usesRelays() && exchange.isRelay()) {
             publishSums(own);
         } else if (!own.isEmpty() || !publishedIdle) {
-            // An idle instance says so once.
+            // An idle instance publishes its empty load once.
             publishOwn(own);
         }
         publishedIdle = own.isEmpty();
@@ -103,8 +105,8 @@
     }
 
     /**
-     * Together with the relay's sign of life: each message is read by all instances of the data centre, and costs each of
-     * them the same. That nothing is under way is told once; what is not told again is forgotten.
+     * Publishes the sums with the relay's heartbeat, because every message costs each receiving instance of the data
+     * centre the same. An empty sum is published once; receivers discard a sum that is not repeated.
      */
     private void publishSums(Map<String, TargetLoad> own) {
         if (!exchange.isHeartbeatRound()) {
@@ -119,10 +121,7 @@
         long ttlMillis = RETENTION_ROUNDS * roundMillis;
         if (!sum.isEmpty() || !publishedEmptyDataCentre) {
             exchange.publish(
-                    PeerTopic.CENTRE_LOAD,
-                    dataCentre,
-                    new LoadReport(nextNumber++, sum, Map.of()).encode(),
-                    ttlMillis);
+                    PeerTopic.CENTRE_LOAD, dataCentre, new LoadReport(nextNumber++, sum, Map.of()).encode(), ttlMillis);
         }
         publishedEmptyDataCentre = sum.isEmpty();
         dataCentreLoads.values().forEach(loads -> loads.forEach((id, load) -> sum.merge(id, load, TargetLoad::plus)));
@@ -144,7 +143,7 @@
         });
     }
 
-    /** Between relays; whoever is none any more hears no more of them, and forgets what it heard. */
+    /** Only relays receive these; the loads expire at an instance that is no longer a relay. */
     private void onDataCentreLoad(PeerUpdate update) {
         decode(update).ifPresent(report -> {
             dataCentreLoads.put(DATA_CENTRE_PREFIX + update.key(), report.loads());
@@ -157,7 +156,7 @@
             return;
         }
         decode(update).ifPresent(report -> {
-            // The sum has them; each by itself would count twice.
+            // The sum includes the individual loads, which would otherwise be counted twice.
             receivedAtMillis.clear();
             instanceReports.clear();
             dataCentreLoads.clear();
--- a/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StageOrders.java
@@ -27,33 +27,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Orders engines to change their stage where the planner finds it worth it. Used on one event loop alone.
+ * Orders engines to change their stage when the planner finds it worthwhile. Confined to one event loop.
  *
- * <p>The relays of the data centres plan, so that whichever becomes the giver of orders knows the loads; one of them
- * orders. Should two take themselves for the giver, the log decides: a record for each order, written only where the log
- * ends as expected. All others plan nothing: a look at all engines four times a second, in each of a hundred instances,
- * was time that their callers did not get.
+ * <p>The relays of all data centres plan, so that each of them knows the loads when the ordering is assigned to it; one
+ * of them sends orders. If two consider themselves assigned, the log decides: each order needs a record, which is
+ * appended only if the log has the expected end.
+ *
+ * <p>Load: the other instances do not plan. Reading the loads of all engines four times a second in each of a hundred
+ * instances took time from the callers' requests.
  */
 final class StageOrders {
 
-    /** The log that decides who may give an order; its offsets are the fencing tokens. */
+    /** The log that decides which instance may send an order; its offsets are the fencing tokens. */
     static final String TOPIC = "orders";
 
     private static final Logger log = LoggerFactory.getLogger(StageOrders.class);
 
-    /** The loads change within some tenths of a second; a plan costs microseconds. */
+    /** The loads change within some tenths of a second; a plan takes microseconds. */
     private static final long PLAN_INTERVAL_MILLIS = 250;
 
-    /** An order without an answer may be carried out many seconds later; its engine gets no other one meanwhile. */
+    /** An unanswered order may be executed many seconds later; the engine gets no other order until then. */
     private static final long UNKNOWN_OUTCOME_BLOCK_MILLIS = 20_000;
 
-    /** An engine finishes what it runs before it changes its stage; no longer than this is it left alone without a sign. */
+    /**
+     * An engine completes its running requests before it changes its stage. Without an observed change it is excluded
+     * no longer than this.
+     */
     private static final long MAX_CHANGE_MILLIS = 15_000;
 
-    /** Engines report with a lag; each look costs a question. */
+    /** Engines report with a delay, and each check costs a request. */
     private static final long STATE_CHECK_INTERVAL_MILLIS = 1_000;
 
-    /** After a refusal the list of targets tells how the engine really stands. */
+    /** After a refusal, the list of targets shows the engine's actual state within this time. */
     private static final long REFUSAL_BLOCK_MILLIS = 5_000;
 
     private final Dependencies dependencies;
@@ -64,19 +69,19 @@
     private boolean orderPending;
 
     /**
-     * What it needs.
+     * The collaborators.
      *
      * @param ownName this instance's name, not null
-     * @param directory the targets, not null
-     * @param loads what is under way at them, not null
-     * @param modelServices the services of model engines, asked each time, not null
-     * @param switchMillis how long an engine of a service is away, not null
-     * @param plannerFactory makes a planner for a service, not null
-     * @param planningAssigned whether the orders may soon fall to this instance, not null
-     * @param orderingAssigned whether the orders fall to this instance, not null
-     * @param orderLog decides who may give an order, not null
-     * @param engineControl reaches the engines, not null
-     * @param stageChangePublisher tells all instances that an engine is away, not null
+     * @param directory the listed targets, not null
+     * @param loads the calls in progress at the targets, not null
+     * @param modelServices the services of model engines, read for each plan, not null
+     * @param switchMillis how long an engine of a service is unavailable during a change, not null
+     * @param plannerFactory creates the planner of a service, not null
+     * @param planningAssigned whether the ordering may soon be assigned to this instance, not null
+     * @param orderingAssigned whether the ordering is assigned to this instance, not null
+     * @param orderLog decides which instance may send an order, not null
+     * @param engineControl sends requests to the engines, not null
+     * @param stageChangePublisher notifies all instances that an engine is unavailable, not null
      */
     record Dependencies(
             String ownName,
@@ -91,15 +96,15 @@
             EngineControl engineControl,
             StageChangePublisher stageChangePublisher) {}
 
-    /** Tells that an engine is away. */
+    /** Notifies all instances that an engine is unavailable while it changes its stage. */
     @FunctionalInterface
     interface StageChangePublisher {
 
         /**
-         * Tells.
+         * Publishes the start or the end of a stage change.
          *
-         * @param engineId the engine, not null
-         * @param durationMillis for how long
+         * @param engineId the engine's id, not null
+         * @param durationMillis the time for which no calls are sent to it; zero if it is available again
          */
         void publish(String engineId, long durationMillis);
     }
@@ -110,14 +115,14 @@
         this.time = Objects.requireNonNull(time, "time");
     }
 
-    /** Plans from now on. */
+    /** Starts to plan. */
     void start() {
         long nowMillis = time.monotonicMillis();
         blockedUntilMillis.values().removeIf(untilMillis -> untilMillis <= nowMillis);
         if (dependencies.planningAssigned().getAsBoolean()) {
             dependencies.modelServices().get().forEach(service -> plan(service, nowMillis));
         } else {
-            // What was seen before it had the duty is too old to plan by.
+            // Samples from an earlier assignment would be too old for a plan.
             planners.clear();
         }
         time.schedule(PLAN_INTERVAL_MILLIS, this::start);
@@ -167,25 +172,28 @@
         orderPending = true;
         long sentMillis = time.monotonicMillis();
         long sentWallMillis = time.wallMillis();
-        dependencies.orderLog().append(Bytes.ofUtf8(dependencies.ownName()), expectedEnd).thenAccept(appended -> {
-            orderPending = false;
-            LogEvent.of("order_lease")
-                    .with("service", change.engine().service())
-                    .with("target", change.engine().id())
-                    .with("expectedEnd", expectedEnd)
-                    .with("outcome", appended)
-                    .info(log);
-            if (appended instanceof ConditionalLog.Written written) {
-                lease.recordWritten(written.offset());
-                if (lease.isValid(time.monotonicMillis() - sentMillis, time.wallMillis() - sentWallMillis)) {
-                    sendOrder(planner, change, ordersCount, written.offset());
-                }
-            } else if (appended instanceof ConditionalLog.EndOffsetMismatch mismatch) {
-                lease.recordForeignEnd(mismatch.endOffset(), time.monotonicMillis());
-            } else {
-                lease.recordUnknownOutcome(time.monotonicMillis());
-            }
-        });
+        dependencies
+                .orderLog()
+                .append(Bytes.ofUtf8(dependencies.ownName()), expectedEnd)
+                .thenAccept(appended -> {
+                    orderPending = false;
+                    LogEvent.of("order_lease")
+                            .with("service", change.engine().service())
+                            .with("target", change.engine().id())
+                            .with("expectedEnd", expectedEnd)
+                            .with("outcome", appended)
+                            .info(log);
+                    if (appended instanceof ConditionalLog.Written written) {
+                        lease.recordWritten(written.offset());
+                        if (lease.isValid(time.monotonicMillis() - sentMillis, time.wallMillis() - sentWallMillis)) {
+                            sendOrder(planner, change, ordersCount, written.offset());
+                        }
+                    } else if (appended instanceof ConditionalLog.EndOffsetMismatch mismatch) {
+                        lease.recordForeignEnd(mismatch.endOffset(), time.monotonicMillis());
+                    } else {
+                        lease.recordUnknownOutcome(time.monotonicMillis());
+                    }
+                });
     }
 
     private void sendOrder(StagePlanner planner, StagePlanner.StageChange change, long ordersCount, long token) {
@@ -217,13 +225,14 @@
     }
 
     /**
-     * Looks how an engine stands that was ordered, until its list entry tells.
+     * Checks the state of an engine that was sent an order until its list entry shows the new stage.
      *
-     * <p>Failure: an engine finishes what it runs and is away after that, longer than the change itself takes. Taken back
-     * into use before, it rejects all that comes, and as nothing is under way there everything comes. And an order without an
-     * answer may not have arrived, or be carried out seconds later.
+     * <p>Failure: an engine completes its running requests and then changes, so it is unavailable for longer than the
+     * change itself takes. If it is used again before that, it rejects every call, and it attracts all calls because it
+     * has no load. An unanswered order may not have arrived, or may be executed seconds later.
      */
-    private void checkProgress(StagePlanner planner, StagePlanner.StageChange change, long orderedMillis, boolean excluded) {
+    private void checkProgress(
+            StagePlanner planner, StagePlanner.StageChange change, long orderedMillis, boolean excluded) {
         String id = change.engine().id();
         long elapsedMillis = time.monotonicMillis() - orderedMillis;
         Optional<Incarnation> listed = dependencies.directory().find(id);
@@ -233,7 +242,8 @@
             return;
         }
         dependencies.engineControl().orderState(change.engine()).thenAccept(state -> {
-            // With its new stage it is left alone until its entry says so: what it is listed for, it takes no more.
+            // An engine with the new stage stays excluded until its entry shows that stage: it rejects calls for the
+            // old one.
             boolean unavailable = state.map(engineState -> engineState.busy() || engineState.stage() == change.stage())
                     .orElse(excluded);
             if (unavailable != excluded) {
@@ -248,7 +258,8 @@
                     planner.recordRejected(change);
                 }
             }
-            time.schedule(STATE_CHECK_INTERVAL_MILLIS, () -> checkProgress(planner, change, orderedMillis, unavailable));
+            time.schedule(
+                    STATE_CHECK_INTERVAL_MILLIS, () -> checkProgress(planner, change, orderedMillis, unavailable));
         });
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/StreamSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StreamSharing.java
@@ -24,12 +24,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Lets one instance of a data centre read the streams of the platform's store and tell the others. */
+/** Shares the streams of the platform's store: one instance of a data centre reads them and publishes the updates. */
 final class StreamSharing {
 
     private static final Logger log = LoggerFactory.getLogger(StreamSharing.class);
 
-    /** A word is of use to those that hear it, and to a newcomer for a moment. */
+    /** An update is of use to its receivers, and to an instance that connects shortly afterwards. */
     private static final long TTL_MILLIS = 1_000;
 
     private final RelayExchange exchange;
@@ -44,11 +44,11 @@
     }
 
     /**
-     * Makes a stream one that is told.
+     * Shares a stream with the other instances.
      *
-     * @param name its name, not null
-     * @param platformStream reads it from the store, not null
-     * @param policy the times, not null
+     * @param name the stream's name, not null
+     * @param platformStream reads the stream from the store, not null
+     * @param policy the time limits, not null
      * @return the stream to follow
      */
     ReplicatedStream share(String name, KeyedStream platformStream, ReplicaPolicy policy) {
@@ -56,20 +56,21 @@
     }
 
     /**
-     * Makes a stream one that is told, but for the records that say again what the one before said of its key.
+     * Shares a stream with the other instances, except for records that repeat the content of the previous record of
+     * the same key.
      *
-     * @param name its name, not null
-     * @param platformStream reads it from the store, not null
-     * @param policy the times, not null
-     * @param content what a record says; two that say the same are equal, not null
+     * @param name the stream's name, not null
+     * @param platformStream reads the stream from the store, not null
+     * @param policy the time limits, not null
+     * @param content extracts the content of a record; equal contents are not published again, not null
      * @return the stream to follow
      */
     ReplicatedStream share(
             String name, KeyedStream platformStream, ReplicaPolicy policy, Function<KeyedRecord, Object> content) {
         ReplicatedStream.Publisher publisher = new ReplicatedStream.Publisher() {
             @Override
-            public void publish(StreamUpdate word, boolean ownReading) {
-                exchange.publishImmediately(PeerTopic.STREAM, word.stream(), encode(word), TTL_MILLIS, ownReading);
+            public void publish(StreamUpdate update, boolean ownRead) {
+                exchange.publishImmediately(PeerTopic.STREAM, update.stream(), encode(update), TTL_MILLIS, ownRead);
             }
 
             @Override
@@ -83,10 +84,13 @@
         return replicated;
     }
 
-    /** All that is known here, for an instance that has just been connected to and may know nothing. */
+    /**
+     * Returns the current snapshots, for an instance that a connection was just opened to and that may have no state.
+     */
     private Map<String, Bytes> snapshots() {
         Map<String, Bytes> payloads = new HashMap<>();
-        streams.forEach((name, stream) -> stream.snapshot().ifPresent(snapshot -> payloads.put(name, encode(snapshot))));
+        streams.forEach(
+                (name, stream) -> stream.snapshot().ifPresent(snapshot -> payloads.put(name, encode(snapshot))));
         return payloads;
     }
 
@@ -97,8 +101,9 @@
         }
         try {
             StreamMessage message = Packing.unpack(peerUpdate.payload().toByteArray(), StreamMessage::read);
-            StreamUpdate update =
-                    message.toUpdate(peerUpdate.key(), peerUpdate.ageBounded() ? peerUpdate.ageMillis() : StreamUpdate.UNKNOWN_AGE_MILLIS);
+            StreamUpdate update = message.toUpdate(
+                    peerUpdate.key(),
+                    peerUpdate.ageBounded() ? peerUpdate.ageMillis() : StreamUpdate.UNKNOWN_AGE_MILLIS);
             if (exchange.isInOwnDataCentre(peerUpdate.origin())) {
                 stream.onUpdate(update, exchange.isPredecessor(peerUpdate.origin()));
             } else {
@@ -117,7 +122,7 @@
         return Packing.pack(update, StreamMessage::write);
     }
 
-    /** A word as a message carries it. */
+    /** A stream update as encoded in a message. */
     private record StreamMessage(
             boolean snapshot, long firstOffset, long nextOffset, long contactAgeMillis, List<KeyedRecord> records) {
 
@@ -145,15 +150,15 @@
                     stream, snapshot, records, firstOffset, nextOffset, Math.max(0, contactAgeMillis) + ageMillis);
         }
 
-        /** Offsets out of order would take whoever believes them back, or let them pass over records. */
+        /** Offsets out of order would set the receiver back, or make it skip records. */
         private void validate() throws IOException {
             if (firstOffset < 0 || firstOffset > nextOffset) {
-                throw new IOException("records from " + firstOffset + " to " + nextOffset);
+                throw new IOException("invalid offset range: first " + firstOffset + ", next " + nextOffset);
             }
             long minOffset = snapshot ? 0 : firstOffset;
             for (KeyedRecord record : records) {
                 if (record.offset() < minOffset || (!snapshot && record.offset() >= nextOffset)) {
-                    throw new IOException("a record at " + record.offset());
+                    throw new IOException("record offset out of order or range: " + record.offset());
                 }
                 minOffset = snapshot ? 0 : record.offset() + 1;
             }
--- a/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
@@ -18,12 +18,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the directory of targets as the platform's list tells it. Used on one event loop alone.
+ * Updates the target directory from the platform's list of targets. Confined to one event loop.
  *
- * <p>Failure: while the store is away, entries of sound targets lapse, as their words do not arrive; on its return all
- * look gone for a moment and every call would be refused. Such entries come back within about two seconds, so a lapse
- * that is read just after an outage counts only when it has stood for a while, within the time in which a target that is
- * really gone has to be left alone.
+ * <p>Failure: during an outage of the store, entries of healthy targets expire because their renewals do not arrive.
+ * When the store returns, all targets seem to be gone for a moment, and every call would be refused. The entries return
+ * within about two seconds, so an expiry that is read just after an outage takes effect only after a grace period. The
+ * grace period stays below the time within which a target that is really gone must get no more calls.
  */
 final class TargetsReader implements StreamListener {
 
@@ -33,8 +33,8 @@
     private final ForwardingService service;
     private final ForwardingMetrics metrics;
     private final TimeSource time;
-    private final long lapseGraceMillis;
-    private final Set<String> pendingLapses = new HashSet<>();
+    private final long expiryGraceMillis;
+    private final Set<String> pendingExpiries = new HashSet<>();
     private long reconnectedAtMillis = Long.MIN_VALUE / 2;
     private boolean connected = true;
     private boolean hasReadSnapshot;
@@ -44,15 +44,15 @@
             ForwardingService service,
             ForwardingMetrics metrics,
             TimeSource time,
-            long lapseGraceMillis) {
+            long expiryGraceMillis) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.service = Objects.requireNonNull(service, "service");
         this.metrics = Objects.requireNonNull(metrics, "metrics");
         this.time = Objects.requireNonNull(time, "time");
-        this.lapseGraceMillis = lapseGraceMillis;
+        this.expiryGraceMillis = expiryGraceMillis;
     }
 
-    /** Whether the list was read whole at least once. */
+    /** Returns whether the complete list was read at least once. */
     boolean hasReadSnapshot() {
         return hasReadSnapshot;
     }
@@ -60,28 +60,28 @@
     @Override
     public void onRecord(KeyedRecord record) {
         Optional<Incarnation> listed = decode(record);
-        if (listed.isEmpty() && isOutageLapse(record.key())) {
-            pendingLapses.add(record.key());
+        if (listed.isEmpty() && isExpiredInOutage(record.key())) {
+            pendingExpiries.add(record.key());
             LogEvent.of("target_lapsed_in_outage")
                     .with("target", record.key())
                     .with("offset", record.offset())
                     .info(log);
-            time.schedule(lapseGraceMillis, () -> confirmLapse(record));
+            time.schedule(expiryGraceMillis, () -> applyExpiry(record));
             return;
         }
-        pendingLapses.remove(record.key());
+        pendingExpiries.remove(record.key());
         apply(record.key(), record.offset(), listed);
     }
 
-    /** A target that said it leaves is not waited for. */
-    private boolean isOutageLapse(String id) {
-        boolean recentlyDisconnected = !connected || time.monotonicMillis() - reconnectedAtMillis < lapseGraceMillis;
+    /** Returns whether an expiry may be caused by an outage. A target that announced its stop gets no grace period. */
+    private boolean isExpiredInOutage(String id) {
+        boolean recentlyDisconnected = !connected || time.monotonicMillis() - reconnectedAtMillis < expiryGraceMillis;
         return recentlyDisconnected
                 && directory.find(id).filter(target -> !target.draining()).isPresent();
     }
 
-    private void confirmLapse(KeyedRecord record) {
-        if (pendingLapses.remove(record.key())) {
+    private void applyExpiry(KeyedRecord record) {
+        if (pendingExpiries.remove(record.key())) {
             apply(record.key(), record.offset(), Optional.empty());
         }
     }
@@ -130,10 +130,10 @@
     }
 
     /**
-     * Returns what an entry says of its target, to tell news from an entry that was only renewed.
+     * Returns the target that an entry describes, by which a changed entry differs from one that was only renewed.
      *
      * @param record the entry, not null
-     * @return the target, empty where it is gone or the entry names none
+     * @return the target; empty if it is gone or the entry cannot be decoded
      */
     static Object targetOf(KeyedRecord record) {
         return decode(record);
@@ -158,8 +158,8 @@
     @Override
     public void onSnapshotComplete(Set<String> keys, long endOffset) {
         hasReadSnapshot = true;
-        if (time.monotonicMillis() - reconnectedAtMillis < lapseGraceMillis) {
-            time.schedule(lapseGraceMillis, () -> retainListed(keys, endOffset));
+        if (time.monotonicMillis() - reconnectedAtMillis < expiryGraceMillis) {
+            time.schedule(expiryGraceMillis, () -> retainListed(keys, endOffset));
         } else {
             retainListed(keys, endOffset);
         }
