--- a/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
@@ -75,13 +75,13 @@
     }
 
     @Override
-    public void changed(String engineId, String segmentId, int cachedTokens) {
+    public void changed(String engineId, String partId, int keptTokens) {
         PublishedState state = watchedEngines.computeIfAbsent(engineId, _id -> new PublishedState());
-        if (cachedTokens >= MIN_TOKENS && isWorthPublishing(segmentId)) {
-            state.segmentIds.add(segmentId);
-            state.pendingChanges.put(segmentId, cachedTokens);
-        } else if (state.segmentIds.remove(segmentId)) {
-            state.pendingChanges.put(segmentId, cachedTokens);
+        if (keptTokens >= MIN_TOKENS && isWorthPublishing(partId)) {
+            state.segmentIds.add(partId);
+            state.pendingChanges.put(partId, keptTokens);
+        } else if (state.segmentIds.remove(partId)) {
+            state.pendingChanges.put(partId, keptTokens);
         }
     }
 
