--- a/src/main/java/org/dogwoodwinch/daemon/ClockWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ClockWatch.java
@@ -18,16 +18,16 @@
     private static final Logger log = LoggerFactory.getLogger(ClockWatch.class);
 
     private final TimeSource time;
-    private final long checkMillis;
-    private final long jumpMillis;
+    private final long checkIntervalMillis;
+    private final long jumpThresholdMillis;
     private final Runnable onJump;
     private long lastMonotonicMillis;
     private long lastWallMillis;
 
-    ClockWatch(TimeSource time, long checkMillis, long jumpMillis, Runnable onJump) {
+    ClockWatch(TimeSource time, long checkIntervalMillis, long jumpThresholdMillis, Runnable onJump) {
         this.time = Objects.requireNonNull(time, "time");
-        this.checkMillis = checkMillis;
-        this.jumpMillis = jumpMillis;
+        this.checkIntervalMillis = checkIntervalMillis;
+        this.jumpThresholdMillis = jumpThresholdMillis;
         this.onJump = Objects.requireNonNull(onJump, "onJump");
     }
 
@@ -35,19 +35,19 @@
     void start() {
         lastMonotonicMillis = time.monotonicMillis();
         lastWallMillis = time.wallMillis();
-        time.schedule(checkMillis, this::check);
+        time.schedule(checkIntervalMillis, this::check);
     }
 
     private void check() {
         long monotonicMillis = time.monotonicMillis();
         long wallMillis = time.wallMillis();
-        long apartMillis = (wallMillis - lastWallMillis) - (monotonicMillis - lastMonotonicMillis);
+        long differenceMillis = (wallMillis - lastWallMillis) - (monotonicMillis - lastMonotonicMillis);
         lastMonotonicMillis = monotonicMillis;
         lastWallMillis = wallMillis;
-        if (Math.abs(apartMillis) > jumpMillis) {
-            LogEvent.of("clocks_jumped").with("apartMillis", apartMillis).warn(log);
+        if (Math.abs(differenceMillis) > jumpThresholdMillis) {
+            LogEvent.of("clocks_jumped").with("apartMillis", differenceMillis).warn(log);
             onJump.run();
         }
-        time.schedule(checkMillis, this::check);
+        time.schedule(checkIntervalMillis, this::check);
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/Daemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/Daemon.java
@@ -33,17 +33,17 @@
 public final class Daemon {
 
     private static final Logger log = LoggerFactory.getLogger(Daemon.class);
-    private static final long DRAIN_CHECK_MILLIS = 20;
+    private static final long DRAIN_POLL_INTERVAL_MILLIS = 20;
     private static final int MAX_PATH_BYTES = 8_192;
 
     private final Settings settings;
     private final DaemonContext context;
     private final Metrics metrics = new Metrics(new PrometheusRegistry());
     private final InFlightRequests inFlight = new InFlightRequests();
-    private final DaemonParts parts;
-    private volatile ServingState serving = ServingState.SERVING;
-    private HttpListener callers;
-    private HttpListener operators;
+    private final DaemonComponents components;
+    private volatile ServingState servingState = ServingState.SERVING;
+    private HttpListener callerListener;
+    private HttpListener operatorListener;
 
     /**
      * Wires a daemon that does not listen yet.
@@ -55,7 +55,7 @@
     public Daemon(Settings settings, DaemonContext context) throws IOException {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.context = Objects.requireNonNull(context, "context");
-        this.parts = new DaemonParts(settings, context, metrics);
+        this.components = new DaemonComponents(settings, context, metrics);
     }
 
     /**
@@ -64,15 +64,15 @@
      * @throws IOException if a listener cannot be bound, or a TLS file cannot be read
      */
     public void start() throws IOException {
-        parts.start();
-        callers = bindCallers(settings.callers());
-        operators = bindOperators(settings.operators());
+        components.start();
+        callerListener = bindCallerListener(settings.callers());
+        operatorListener = bindOperatorListener(settings.operators());
         LogEvent.of("started")
                 .with("instance", settings.instance().name())
                 .with("dataCentre", settings.instance().dataCentre())
-                .with("callersPort", callers.port())
-                .with("operatorsPort", operators.port())
-                .with("peersPort", parts.peersPort())
+                .with("callersPort", callerListener.port())
+                .with("operatorsPort", operatorListener.port())
+                .with("peersPort", components.peersPort())
                 .info(log);
     }
 
@@ -82,7 +82,7 @@
      * @return the port
      */
     public int callersPort() {
-        return callers.port();
+        return callerListener.port();
     }
 
     /**
@@ -91,7 +91,7 @@
      * @return the port
      */
     public int operatorsPort() {
-        return operators.port();
+        return operatorListener.port();
     }
 
     /**
@@ -100,80 +100,80 @@
      * @return completes with the number of requests that had not finished within the bound, zero where all had
      */
     public CompletionStage<Integer> stop() {
-        CompletableFuture<Integer> stopped = new CompletableFuture<>();
-        serving = ServingState.LEAVING;
-        parts.release();
+        CompletableFuture<Integer> unfinishedRequests = new CompletableFuture<>();
+        servingState = ServingState.LEAVING;
+        components.releaseLeases();
         LogEvent.of("leaving").with("inFlight", inFlight.count()).info(log);
-        context.time().schedule(settings.stop().notReadyMillis(), () -> drain(stopped));
-        return stopped;
+        context.time().schedule(settings.stop().notReadyMillis(), () -> drain(unfinishedRequests));
+        return unfinishedRequests;
     }
 
     /** Closes listeners and connections at once; requests in flight are cut. */
     public void close() {
-        callers.close();
-        operators.close();
-        parts.stop();
+        callerListener.close();
+        operatorListener.close();
+        components.stop();
         LogEvent.of("closed").info(log);
     }
 
-    private void drain(CompletableFuture<Integer> stopped) {
-        serving = ServingState.STOPPING;
-        long untilMillis = context.time().monotonicMillis() + settings.stop().drainMillis();
+    private void drain(CompletableFuture<Integer> unfinishedRequests) {
+        servingState = ServingState.STOPPING;
+        long deadlineMillis = context.time().monotonicMillis() + settings.stop().drainMillis();
         LogEvent.of("stopping").with("inFlight", inFlight.count()).info(log);
-        waitForRequests(stopped, untilMillis);
+        awaitDrain(unfinishedRequests, deadlineMillis);
     }
 
-    private void waitForRequests(CompletableFuture<Integer> stopped, long untilMillis) {
-        int left = inFlight.count();
-        if (left == 0 || context.time().monotonicMillis() >= untilMillis) {
-            LogEvent.of("drained").with("left", left).info(log);
-            stopped.complete(left);
+    private void awaitDrain(CompletableFuture<Integer> unfinishedRequests, long deadlineMillis) {
+        int unfinishedCount = inFlight.count();
+        if (unfinishedCount == 0 || context.time().monotonicMillis() >= deadlineMillis) {
+            LogEvent.of("drained").with("left", unfinishedCount).info(log);
+            unfinishedRequests.complete(unfinishedCount);
             return;
         }
-        context.time().schedule(DRAIN_CHECK_MILLIS, () -> waitForRequests(stopped, untilMillis));
+        context.time().schedule(DRAIN_POLL_INTERVAL_MILLIS, () -> awaitDrain(unfinishedRequests, deadlineMillis));
     }
 
-    private HttpListener bindCallers(CallerSettings own) throws IOException {
+    private HttpListener bindCallerListener(CallerSettings callerSettings) throws IOException {
         HttpLimits limits = new HttpLimits(
-                own.maxBodyBytes(),
-                own.maxHeaderBytes(),
-                Math.min(MAX_PATH_BYTES, own.maxHeaderBytes()),
-                own.maxConnectionsCount(),
-                own.readTimeoutMillis(),
-                own.idleTimeoutMillis(),
-                own.writeTimeoutMillis());
+                callerSettings.maxBodyBytes(),
+                callerSettings.maxHeaderBytes(),
+                Math.min(MAX_PATH_BYTES, callerSettings.maxHeaderBytes()),
+                callerSettings.maxConnectionsCount(),
+                callerSettings.readTimeoutMillis(),
+                callerSettings.idleTimeoutMillis(),
+                callerSettings.writeTimeoutMillis());
         CallerEdge edge = new CallerEdge(
-                new CallerRequestReader(parts.control().catalogue(), () -> serving, context.time()),
-                parts.handler(),
+                new CallerRequestReader(components.control().catalogue(), () -> servingState, context.time()),
+                components.requestHandler(),
                 new RequestIds(settings.instance().name(), context.time(), context.newRandom()),
-                () -> serving,
+                () -> servingState,
                 new EdgeReport(metrics),
                 inFlight,
                 limits,
                 context.time());
-        return CallerListener.bind(context.group(), address(own.host(), own.port()), tls(own.tls()), edge);
+        return CallerListener.bind(context.eventLoopGroup(), address(callerSettings.host(), callerSettings.port()), serverTls(callerSettings.tls()), edge);
     }
 
-    private HttpListener bindOperators(OperatorSettings own) throws IOException {
-        OperatorPages pages = new OperatorPages(settings.instance(), metrics, parts, inFlight, () -> serving);
+    private HttpListener bindOperatorListener(OperatorSettings operatorSettings) throws IOException {
+        OperatorPages pages = new OperatorPages(settings.instance(), metrics, components, inFlight, () -> servingState);
         return OperatorListener.bind(
-                context.group(), address(own.host(), own.port()), HttpLimits.STANDARD, tls(own.tls()), pages.byPath());
+                context.eventLoopGroup(), address(operatorSettings.host(), operatorSettings.port()), HttpLimits.STANDARD, serverTls(operatorSettings.tls()), pages.byPath());
     }
 
     private static InetSocketAddress address(String host, int port) {
         return new InetSocketAddress(InetAddresses.forString(host), port);
     }
 
-    private static Optional<SslContext> tls(Optional<TlsSettings> own) throws IOException {
-        if (own.isEmpty()) {
+    private static Optional<SslContext> serverTls(Optional<TlsSettings> tlsSettings) throws IOException {
+        if (tlsSettings.isEmpty()) {
             return Optional.empty();
         }
-        String trusted = own.get().clientCaFile();
+        String clientCaFile = tlsSettings.get().clientCaFile();
         try {
             return Optional.of(TlsContexts.forServer(
-                    Path.of(own.get().certificateFile()),
-                    Path.of(own.get().keyFile()),
-                    trusted.isEmpty() ? Optional.empty() : Optional.of(Path.of(trusted))));
+                    Path.of(tlsSettings.get().certificateFile()),
+                    Path.of(tlsSettings.get().keyFile()),
+                    clientCaFile.isEmpty() ? Optional.empty() : Optional.of(Path.of(clientCaFile))));
         } catch (IllegalArgumentException e) {
             throw new IOException("cannot read the TLS files: " + e.getMessage(), e);
         }
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonComponents.java
@@ -42,25 +42,25 @@
 import org.dogwoodwinch.target.http.HttpTargetClients;
 
 /** Builds the parts of a daemon behind its listeners and connects them. */
-final class DaemonParts {
+final class DaemonComponents {
 
-    private static final int MAX_PLATFORM_ANSWER_BYTES = 16 << 20;
-    private static final int MOST_KEYS = 200_000;
-    private static final long LOAD_EXCHANGE_MILLIS = 500;
+    private static final int MAX_PLATFORM_RESPONSE_BYTES = 16 << 20;
+    private static final int MAX_CLAIM_KEYS = 200_000;
+    private static final long LOAD_PUBLISH_INTERVAL_MILLIS = 500;
     private static final int CATALOGUE_PUBLISHERS = 3;
 
-    private final HttpClients clients;
+    private final HttpClients httpClients;
     private final TargetDirectory directory;
     private final ControlNode control;
-    private final FleetView fleet;
-    private final PeerLoadExchange loads;
-    private final LimitShareExchange shares;
-    private final EnginePoller poller;
-    private final LogClaimStore claims;
-    private final PeerParts peers;
-    private final FleetActivity activity;
-    private final DrainExchange drains;
-    private final RequestHandler handler;
+    private final FleetView fleetView;
+    private final PeerLoadExchange loadExchange;
+    private final LimitShareExchange limitShareExchange;
+    private final EnginePoller enginePoller;
+    private final LogClaimStore claimStore;
+    private final PeerComponents peers;
+    private final ReportedTargetActivity reportedActivity;
+    private final DrainExchange drainExchange;
+    private final RequestHandler requestHandler;
 
     /**
      * Builds the parts; nothing runs yet.
@@ -70,89 +70,89 @@
      * @param metrics counts, not null
      * @throws IOException if the peers' secret or a TLS file cannot be read
      */
-    DaemonParts(Settings settings, DaemonContext context, Metrics metrics) throws IOException {
+    DaemonComponents(Settings settings, DaemonContext context, Metrics metrics) throws IOException {
         Objects.requireNonNull(settings, "settings");
         PlatformSettings platform = settings.platform();
-        this.clients = new HttpClients(context.group(), (int) settings.targets().connectTimeoutMillis());
-        HttpCaller caller = clients.pooledCaller(MAX_PLATFORM_ANSWER_BYTES);
+        this.httpClients = new HttpClients(context.eventLoopGroup(), (int) settings.targets().connectTimeoutMillis());
+        HttpCaller caller = httpClients.pooledCaller(MAX_PLATFORM_RESPONSE_BYTES);
         this.directory = new TargetDirectory(
                 new HttpInstanceList(caller, platform.instanceListUrl()),
                 context.time(),
                 platform.instanceListPollMillis());
-        TargetClients targets = new HttpTargetClients(clients, context.time(), PartSettings.timeouts(settings));
-        this.peers = new PeerParts(settings, context, directory, metrics);
-        PeerBus board = peers.board();
-        String name = settings.instance().name();
-        LogService log = new HttpLogService(caller, platform.logUrl());
+        TargetClients targetClients = new HttpTargetClients(httpClients, context.time(), ComponentSettings.targetTimeouts(settings));
+        this.peers = new PeerComponents(settings, context, directory, metrics);
+        PeerBus peerBus = peers.bus();
+        String ownName = settings.instance().name();
+        LogService logService = new HttpLogService(caller, platform.logUrl());
         this.control = new ControlNode(
-                ControlSettings.of(name, platform.logRetentionMillis()),
+                ControlSettings.of(ownName, platform.logRetentionMillis()),
                 new ControlServices(
-                        log,
+                        logService,
                         new HttpWeightStore(caller, platform.weightStoreUrl()),
-                        board,
-                        () -> directory.isAmongFirstEntries(name, CATALOGUE_PUBLISHERS),
-                        targets,
-                        new ListedFleet(
+                        peerBus,
+                        () -> directory.isAmongFirstInstances(ownName, CATALOGUE_PUBLISHERS),
+                        targetClients,
+                        new InstanceListInventory(
                                 directory,
                                 new ClaimPriority.Candidate(
-                                        name, settings.instance().dataCentre())),
-                        this::inFlightOn),
-                PartSettings.control(settings.leases()),
+                                        ownName, settings.instance().dataCentre())),
+                        this::mostRequestsInFlight),
+                ComponentSettings.controlPolicies(settings.leases()),
                 context.time(),
                 context.newRandom());
         CatalogueView catalogue = control.catalogue();
         catalogue.addListener(changed -> metrics.showCatalogueRevision(changed.revision()));
         long incarnation = context.time().wallMillis();
-        this.fleet = new FleetView(context.time());
-        directory.onRead(fleet::onInstanceList);
+        this.fleetView = new FleetView(context.time());
+        directory.addListener(fleetView::onInstanceList);
         LoadAwareRouter router = new LoadAwareRouter(
-                fleet,
+                fleetView,
                 RoutingPolicy.STANDARD,
                 context.time(),
                 context.newRandom(),
                 settings.instance().dataCentre());
-        this.loads = new PeerLoadExchange(fleet, board, context.time(), incarnation, LOAD_EXCHANGE_MILLIS);
-        this.shares =
-                new LimitShareExchange(PartSettings.shares(settings.admission()), board, context.time(), incarnation);
-        this.poller = new EnginePoller(
-                directory::latest,
-                this::heldBack,
-                targets,
-                fleet,
+        this.loadExchange = new PeerLoadExchange(fleetView, peerBus, context.time(), incarnation, LOAD_PUBLISH_INTERVAL_MILLIS);
+        this.limitShareExchange =
+                new LimitShareExchange(ComponentSettings.limitShareSettings(settings.admission()), peerBus, context.time(), incarnation);
+        this.enginePoller = new EnginePoller(
+                directory::latestInstances,
+                this::unavailableTargets,
+                targetClients,
+                fleetView,
                 router,
                 context.time(),
                 settings.targets().loadPollMillis());
-        this.activity = new FleetActivity(fleet, poller, directory, peers.watch(), name);
-        SentWork sent =
-                new SentWork(new LeavingTellingRouter(router, peers.leaving()::onRefused), control::outOfService);
-        this.drains = new DrainExchange(
-                board, sent::inFlight, control::outOfService, () -> directory.otherEntries(name), context.time());
-        this.claims = new LogClaimStore(
-                log,
+        this.reportedActivity = new ReportedTargetActivity(fleetView, enginePoller, directory, peers.lastSeenTracker(), ownName);
+        SentWork drainAwareRouter =
+                new SentWork(new LeavingTargetReportingRouter(router, peers.leavingTargets()::onRefused), control::outOfService);
+        this.drainExchange = new DrainExchange(
+                peerBus, drainAwareRouter::inFlight, control::outOfService, () -> directory.otherInstanceNames(ownName), context.time());
+        this.claimStore = new LogClaimStore(
+                logService,
                 context.time(),
-                peers.exchange().incarnationId(),
+                peers.gossipExchange().incarnationId(),
                 settings.requests().claimTimeoutMillis(),
                 settings.requests().claimBatchMillis(),
-                new ClaimIndex(settings.requests().keyMemoryMillis(), MOST_KEYS),
-                peers.exchange()::isAlive);
-        this.handler = new RequestCoordinator(
+                new ClaimIndex(settings.requests().keyMemoryMillis(), MAX_CLAIM_KEYS),
+                peers.gossipExchange()::isAlive);
+        this.requestHandler = new RequestCoordinator(
                 new QueueingAdmissionController(
-                        PartSettings.admission(settings.admission()),
+                        ComponentSettings.admissionPolicy(settings.admission()),
                         catalogue,
-                        shares,
-                        new FleetCapacityEstimator(fleet, RoutingPolicy.STANDARD, context.time()),
-                        directory::liveEntries,
+                        limitShareExchange,
+                        new FleetCapacityEstimator(fleetView, RoutingPolicy.STANDARD, context.time()),
+                        directory::activeInstanceCount,
                         context.time()),
-                sent,
-                targets,
+                drainAwareRouter,
+                targetClients,
                 directory::find,
-                entry -> modelOf(catalogue, entry),
+                entry -> modelName(catalogue, entry),
                 context.time(),
                 context.newRandom(),
-                claims,
-                peers.suspects(),
+                claimStore,
+                peers.suspectRegistry(),
                 new RequestReport(metrics),
-                PartSettings.requests(settings),
+                ComponentSettings.requestSettings(settings),
                 RequestPolicies.STANDARD);
     }
 
@@ -160,28 +160,28 @@
     void start() {
         directory.start();
         control.start();
-        drains.start();
+        drainExchange.start();
         peers.start();
-        claims.start();
-        loads.start();
-        shares.start();
-        poller.start();
+        claimStore.start();
+        loadExchange.start();
+        limitShareExchange.start();
+        enginePoller.start();
     }
 
     /** Gives the leases back; everything else goes on. */
-    void release() {
+    void releaseLeases() {
         control.release();
     }
 
     /** Stops everything; what is in flight is cut. */
     void stop() {
-        poller.stop();
+        enginePoller.stop();
         directory.stop();
-        claims.stop();
+        claimStore.stop();
         peers.stop();
-        drains.stop();
+        drainExchange.stop();
         control.stop();
-        clients.close();
+        httpClients.close();
     }
 
     /**
@@ -216,7 +216,7 @@
      *
      * @return the parts
      */
-    PeerParts peers() {
+    PeerComponents peers() {
         return peers;
     }
 
@@ -225,8 +225,8 @@
      *
      * @return the poller
      */
-    EnginePoller poller() {
-        return poller;
+    EnginePoller enginePoller() {
+        return enginePoller;
     }
 
     /**
@@ -234,8 +234,8 @@
      *
      * @return the view
      */
-    FleetView fleet() {
-        return fleet;
+    FleetView fleetView() {
+        return fleetView;
     }
 
     /**
@@ -243,28 +243,28 @@
      *
      * @return the handler
      */
-    RequestHandler handler() {
-        return handler;
+    RequestHandler requestHandler() {
+        return requestHandler;
     }
 
     /**
      * Load news tell what is in flight; drain reports tell besides that each instance has read that the target is out of
      * service. An instance that peers hear but that is cut off from the log would otherwise go on sending.
      */
-    private TargetActivity.RequestsInFlight inFlightOn(String target) {
-        TargetActivity.RequestsInFlight load = activity.requestsInFlight(target);
-        TargetActivity.RequestsInFlight told = drains.requestsInFlight(target);
+    private TargetActivity.RequestsInFlight mostRequestsInFlight(String target) {
+        TargetActivity.RequestsInFlight fromLoadReports = reportedActivity.requestsInFlight(target);
+        TargetActivity.RequestsInFlight fromDrainReports = drainExchange.requestsInFlight(target);
         return new TargetActivity.RequestsInFlight(
-                load.complete() && told.complete(),
-                Math.max(load.urgentCount(), told.urgentCount()),
-                Math.max(load.totalCount(), told.totalCount()));
+                fromLoadReports.complete() && fromDrainReports.complete(),
+                Math.max(fromLoadReports.urgentCount(), fromDrainReports.urgentCount()),
+                Math.max(fromLoadReports.totalCount(), fromDrainReports.totalCount()));
     }
 
-    private Set<String> heldBack() {
-        return Sets.union(control.outOfService(), peers.leaving().names());
+    private Set<String> unavailableTargets() {
+        return Sets.union(control.outOfService(), peers.leavingTargets().names());
     }
 
-    private static String modelOf(CatalogueView catalogue, CatalogueEntry entry) {
+    private static String modelName(CatalogueView catalogue, CatalogueEntry entry) {
         Optional<TargetGroup> group = catalogue.current().flatMap(current -> current.group(entry.group()));
         return group.map(TargetGroup::model).orElse("");
     }
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonContext.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonContext.java
@@ -10,16 +10,16 @@
  * What a daemon gets from the process that it runs in.
  *
  * @param time gives the time and runs the timers, not null
- * @param group runs the I/O, not null; the process shuts it down after the daemon
- * @param randoms makes sources of chance, one for each part that needs one, not null
+ * @param eventLoopGroup runs the I/O, not null; the process shuts it down after the daemon
+ * @param randomFactory makes sources of chance, one for each part that needs one, not null
  */
-public record DaemonContext(TimeSource time, EventLoopGroup group, Supplier<UniformRandomProvider> randoms) {
+public record DaemonContext(TimeSource time, EventLoopGroup eventLoopGroup, Supplier<UniformRandomProvider> randomFactory) {
 
     /** Checks the parts. */
     public DaemonContext {
         Objects.requireNonNull(time, "time");
-        Objects.requireNonNull(group, "group");
-        Objects.requireNonNull(randoms, "randoms");
+        Objects.requireNonNull(eventLoopGroup, "eventLoopGroup");
+        Objects.requireNonNull(randomFactory, "randomFactory");
     }
 
     /**
@@ -28,6 +28,6 @@
      * @return the source; not thread-safe, so each part has its own
      */
     public UniformRandomProvider newRandom() {
-        return randoms.get();
+        return randomFactory.get();
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
@@ -46,9 +46,9 @@
 public final class DaemonMain implements Callable<Integer> {
 
     private static final Logger log = LoggerFactory.getLogger(DaemonMain.class);
-    private static final int EXIT_SETTINGS = 1;
-    private static final int EXIT_BIND = 3;
-    private static final int EXIT_CUT = 4;
+    private static final int EXIT_INVALID_SETTINGS = 1;
+    private static final int EXIT_START_FAILED = 3;
+    private static final int EXIT_REQUESTS_UNFINISHED = 4;
     private static final int TIMER_THREADS = 2;
     private static final String SETTINGS_OPTION = "--settings";
 
@@ -80,7 +80,7 @@
         }
         PrintWriter errors = new PrintWriter(System.err, true, StandardCharsets.UTF_8);
         try {
-            return serve(Path.of(args[1]), errors);
+            return loadAndRun(Path.of(args[1]), errors);
         } catch (RuntimeException e) {
             e.printStackTrace(errors);
             return CommandLine.ExitCode.SOFTWARE;
@@ -89,65 +89,65 @@
 
     @Override
     public Integer call() {
-        return serve(settingsFile, spec.commandLine().getErr());
+        return loadAndRun(settingsFile, spec.commandLine().getErr());
     }
 
-    private static int serve(Path file, PrintWriter errors) {
+    private static int loadAndRun(Path file, PrintWriter errors) {
         SettingsResult result = SettingsLoader.load(file);
         if (result instanceof SettingsResult.Rejected rejected) {
             rejected.problems().forEach(errors::println);
-            return EXIT_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
         DaemonSettings settings = ((SettingsResult.Loaded) result).settings();
-        return settings instanceof ForwardingSettings forwarding ? forward(forwarding, file) : run((Settings) settings);
+        return settings instanceof ForwardingSettings forwarding ? runForwardingDaemon(forwarding, file) : runDaemon((Settings) settings);
     }
 
     /** A cancelled deadline timer that stayed queued would hold its whole request on the heap until it is due. */
     // The executors that factories make have no switch for the removal of cancelled timers.
     @SuppressWarnings("DangerousThreadPoolExecutorUsage")
-    private static ScheduledExecutorService newTimers() {
-        ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(TIMER_THREADS);
-        timers.setRemoveOnCancelPolicy(true);
-        return timers;
+    private static ScheduledExecutorService newTimerExecutor() {
+        ScheduledThreadPoolExecutor timerExecutor = new ScheduledThreadPoolExecutor(TIMER_THREADS);
+        timerExecutor.setRemoveOnCancelPolicy(true);
+        return timerExecutor;
     }
 
-    private static int forward(ForwardingSettings settings, Path file) {
+    private static int runForwardingDaemon(ForwardingSettings settings, Path file) {
         ForwardingDaemon daemon =
                 new ForwardingDaemon(settings, Transport.start(1), RandomSource.XO_RO_SHI_RO_128_PP.create());
         try {
             daemon.start();
         } catch (IOException e) {
             LogEvent.of("start_failed").with("error", e.getMessage()).warn(log);
-            return EXIT_BIND;
+            return EXIT_START_FAILED;
         }
         daemon.watch(file);
-        return untilStopped(daemon::stop) == 0 ? 0 : EXIT_CUT;
+        return awaitStop(daemon::stop) == 0 ? 0 : EXIT_REQUESTS_UNFINISHED;
     }
 
-    private static int untilStopped(Supplier<CompletionStage<Integer>> stop) {
-        CompletableFuture<Integer> left = new CompletableFuture<>();
+    private static int awaitStop(Supplier<CompletionStage<Integer>> stop) {
+        CompletableFuture<Integer> unfinishedRequests = new CompletableFuture<>();
         new StopSignals(
-                        () -> stop.get().thenAccept(left::complete),
-                        () -> Runtime.getRuntime().halt(EXIT_CUT))
+                        () -> stop.get().thenAccept(unfinishedRequests::complete),
+                        () -> Runtime.getRuntime().halt(EXIT_REQUESTS_UNFINISHED))
                 .install();
-        return left.join();
+        return unfinishedRequests.join();
     }
 
-    private static int run(Settings settings) {
-        ScheduledExecutorService timers = newTimers();
-        EventLoopGroup group = new NioEventLoopGroup();
+    private static int runDaemon(Settings settings) {
+        ScheduledExecutorService timerExecutor = newTimerExecutor();
+        EventLoopGroup eventLoopGroup = new NioEventLoopGroup();
         DaemonContext context =
-                new DaemonContext(new SystemTimeSource(timers), group, RandomSource.XO_RO_SHI_RO_128_PP::create);
+                new DaemonContext(new SystemTimeSource(timerExecutor), eventLoopGroup, RandomSource.XO_RO_SHI_RO_128_PP::create);
         Daemon daemon;
         try {
             daemon = new Daemon(settings, context);
             daemon.start();
         } catch (IOException e) {
             LogEvent.of("start_failed").with("error", e.getMessage()).warn(log);
-            return EXIT_BIND;
+            return EXIT_START_FAILED;
         }
-        int unfinished = untilStopped(daemon::stop);
+        int unfinishedCount = awaitStop(daemon::stop);
         daemon.close();
-        return unfinished == 0 ? 0 : EXIT_CUT;
+        return unfinishedCount == 0 ? 0 : EXIT_REQUESTS_UNFINISHED;
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
@@ -26,50 +26,50 @@
  */
 final class EnginePoller {
 
-    private static final long STATE_EVERY = 4;
-    private static final long LEAVING_MARKS_KEPT = 4;
+    private static final long STATE_POLL_ROUNDS = 4;
+    private static final long DRAIN_MARK_ROUNDS = 4;
 
-    private final Supplier<List<ListedInstance>> listed;
-    private final Supplier<? extends Iterable<String>> outOfService;
-    private final TargetClients clients;
-    private final FleetView fleet;
+    private final Supplier<List<ListedInstance>> instanceList;
+    private final Supplier<? extends Iterable<String>> unavailableTargets;
+    private final TargetClients targetClients;
+    private final FleetView fleetView;
     private final LoadAwareRouter router;
     private final TimeSource time;
-    private final long pollMillis;
-    private final Map<String, Long> lastCacheEvents = new ConcurrentHashMap<>();
-    private final Map<String, Long> starts = new ConcurrentHashMap<>();
-    private final Map<String, TimedReport> reports = new ConcurrentHashMap<>();
-    private final Map<String, Boolean> asked = new ConcurrentHashMap<>();
-    private long rounds;
+    private final long pollIntervalMillis;
+    private final Map<String, Long> lastEventSequences = new ConcurrentHashMap<>();
+    private final Map<String, Long> startedCounts = new ConcurrentHashMap<>();
+    private final Map<String, TimedReport> lastReports = new ConcurrentHashMap<>();
+    private final Map<String, Boolean> pendingLoadReports = new ConcurrentHashMap<>();
+    private long roundsCount;
     private volatile boolean stopped;
     private volatile Cancellable timer = () -> {};
 
     /**
      * Creates a poller.
      *
-     * @param listed the instance list's last answer, not null
-     * @param outOfService names of targets that planned changes hold back, not null
-     * @param clients reaches the engines, not null
-     * @param fleet takes loads and states, not null
+     * @param instanceList the instance list's last answer, not null
+     * @param unavailableTargets names of targets that planned changes hold back, not null
+     * @param targetClients reaches the engines, not null
+     * @param fleetView takes loads and states, not null
      * @param router takes cache events, not null
      * @param time runs the rounds, not null
-     * @param pollMillis time between rounds, in milliseconds
+     * @param pollIntervalMillis time between rounds, in milliseconds
      */
     EnginePoller(
-            Supplier<List<ListedInstance>> listed,
-            Supplier<? extends Iterable<String>> outOfService,
-            TargetClients clients,
-            FleetView fleet,
+            Supplier<List<ListedInstance>> instanceList,
+            Supplier<? extends Iterable<String>> unavailableTargets,
+            TargetClients targetClients,
+            FleetView fleetView,
             LoadAwareRouter router,
             TimeSource time,
-            long pollMillis) {
-        this.listed = Objects.requireNonNull(listed, "listed");
-        this.outOfService = Objects.requireNonNull(outOfService, "outOfService");
-        this.clients = Objects.requireNonNull(clients, "clients");
-        this.fleet = Objects.requireNonNull(fleet, "fleet");
+            long pollIntervalMillis) {
+        this.instanceList = Objects.requireNonNull(instanceList, "instanceList");
+        this.unavailableTargets = Objects.requireNonNull(unavailableTargets, "unavailableTargets");
+        this.targetClients = Objects.requireNonNull(targetClients, "targetClients");
+        this.fleetView = Objects.requireNonNull(fleetView, "fleetView");
         this.router = Objects.requireNonNull(router, "router");
         this.time = Objects.requireNonNull(time, "time");
-        this.pollMillis = pollMillis;
+        this.pollIntervalMillis = pollIntervalMillis;
     }
 
     /** Polls now and from now on. */
@@ -77,16 +77,16 @@
         if (stopped) {
             return;
         }
-        for (String target : outOfService.get()) {
-            fleet.markDraining(target, pollMillis * LEAVING_MARKS_KEPT);
+        for (String target : unavailableTargets.get()) {
+            fleetView.markDraining(target, pollIntervalMillis * DRAIN_MARK_ROUNDS);
         }
-        boolean withState = rounds++ % STATE_EVERY == 0;
-        for (ListedInstance line : listed.get()) {
-            if (line.kind() == ListedInstance.Kind.ENGINE) {
-                poll(line, withState);
+        boolean includeState = roundsCount++ % STATE_POLL_ROUNDS == 0;
+        for (ListedInstance listed : instanceList.get()) {
+            if (listed.kind() == ListedInstance.Kind.ENGINE) {
+                poll(listed, includeState);
             }
         }
-        timer = time.schedule(pollMillis, this::start);
+        timer = time.schedule(pollIntervalMillis, this::start);
     }
 
     /** Ends polling. */
@@ -99,12 +99,12 @@
      * Returns an engine's last report.
      *
      * @param name the engine, not null
-     * @param mostMillis how long ago it may have come, in milliseconds
+     * @param maxAgeMillis how long ago it may have come, in milliseconds
      * @return the report, or empty where there is none that new
      */
-    Optional<LoadReport> freshReport(String name, long mostMillis) {
-        return Optional.ofNullable(reports.get(name))
-                .filter(report -> time.monotonicMillis() - report.atMillis() <= mostMillis)
+    Optional<LoadReport> recentReport(String name, long maxAgeMillis) {
+        return Optional.ofNullable(lastReports.get(name))
+                .filter(report -> time.monotonicMillis() - report.receivedAtMillis() <= maxAgeMillis)
                 .map(TimedReport::report);
     }
 
@@ -115,48 +115,48 @@
      * @return milliseconds, -1 where there is no report
      */
     long reportAgeMillis(String name) {
-        TimedReport report = reports.get(name);
-        return report == null ? -1 : time.monotonicMillis() - report.atMillis();
+        TimedReport report = lastReports.get(name);
+        return report == null ? -1 : time.monotonicMillis() - report.receivedAtMillis();
     }
 
-    private void poll(ListedInstance line, boolean withState) {
-        String name = line.name();
-        if (asked.putIfAbsent(name, Boolean.TRUE) != null) {
+    private void poll(ListedInstance listed, boolean includeState) {
+        String name = listed.name();
+        if (pendingLoadReports.putIfAbsent(name, Boolean.TRUE) != null) {
             return;
         }
-        EngineClient engine = clients.engine(TargetDirectory.toTarget(line));
+        EngineClient engine = targetClients.engine(TargetDirectory.toTarget(listed));
         engine.loadReport().whenComplete((load, _error) -> {
-            asked.remove(name);
+            pendingLoadReports.remove(name);
             if (load instanceof TargetReply.Answer<LoadReport> answer) {
-                fleet.onLoadReport(name, answer.value());
-                reports.put(name, new TimedReport(answer.value(), time.monotonicMillis()));
+                fleetView.onLoadReport(name, answer.value());
+                lastReports.put(name, new TimedReport(answer.value(), time.monotonicMillis()));
             }
         });
-        if (withState) {
-            engine.state().thenAccept(state -> takeState(name, state));
-            engine.cacheEvents(lastCacheEvents.getOrDefault(name, -1L)).thenAccept(events -> takeEvents(name, events));
+        if (includeState) {
+            engine.state().thenAccept(state -> onState(name, state));
+            engine.cacheEvents(lastEventSequences.getOrDefault(name, -1L)).thenAccept(events -> onCacheEvents(name, events));
         }
     }
 
-    private void takeState(String name, TargetReply<EngineState> reply) {
+    private void onState(String name, TargetReply<EngineState> reply) {
         if (reply instanceof TargetReply.Answer<EngineState> answer) {
-            fleet.onEngineState(name, answer.value());
-            Long before = starts.put(name, answer.value().startedCount());
-            if (before != null && before != answer.value().startedCount()) {
-                lastCacheEvents.remove(name);
+            fleetView.onEngineState(name, answer.value());
+            Long previousCount = startedCounts.put(name, answer.value().startedCount());
+            if (previousCount != null && previousCount != answer.value().startedCount()) {
+                lastEventSequences.remove(name);
                 router.onCacheLost(name);
             }
         }
     }
 
-    private void takeEvents(String name, TargetReply<List<CacheEvent>> reply) {
+    private void onCacheEvents(String name, TargetReply<List<CacheEvent>> reply) {
         if (reply instanceof TargetReply.Answer<List<CacheEvent>> answer
                 && !answer.value().isEmpty()) {
             List<CacheEvent> events = answer.value();
-            lastCacheEvents.put(name, events.get(events.size() - 1).sequence());
+            lastEventSequences.put(name, events.get(events.size() - 1).sequence());
             router.onCacheEvents(name, events);
         }
     }
 
-    private record TimedReport(LoadReport report, long atMillis) {}
+    private record TimedReport(LoadReport report, long receivedAtMillis) {}
 }
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -315,7 +315,7 @@
     public void watch(Path file) {
         SettingsWatch watch = new SettingsWatch(file, time, SETTINGS_CHECK_MILLIS, this::reload);
         transport.group().next().execute(watch::start);
-        Signals.on("HUP", () -> transport.group().next().execute(watch::check));
+        Signals.setHandler("HUP", () -> transport.group().next().execute(watch::reloadIfChanged));
     }
 
     /**
--- /dev/null
+++ b/src/main/java/org/dogwoodwinch/daemon/InstanceListInventory.java
@@ -0,0 +1,51 @@
+package org.dogwoodwinch.daemon;
+
+import java.util.List;
+import java.util.Objects;
+import org.dogwoodwinch.authority.ClaimPriority;
+import org.dogwoodwinch.authority.FleetInventory;
+import org.dogwoodwinch.external.ListedInstance;
+import org.dogwoodwinch.target.Target;
+
+/** The fleet as the platform's instance list shows it, for leases and orders. Thread-safe. */
+final class InstanceListInventory implements FleetInventory {
+
+    private final TargetDirectory directory;
+    private final ClaimPriority.Candidate ownCandidate;
+    private List<ListedInstance> lastInstances = List.of();
+    private List<Target> lastEngines = List.of();
+
+    /**
+     * Creates a view.
+     *
+     * @param directory reads the list, not null
+     * @param ownCandidate this instance, not null
+     */
+    InstanceListInventory(TargetDirectory directory, ClaimPriority.Candidate ownCandidate) {
+        this.directory = Objects.requireNonNull(directory, "directory");
+        this.ownCandidate = Objects.requireNonNull(ownCandidate, "ownCandidate");
+    }
+
+    /** Asked for many times a second; at the target size the list has some five thousand lines and changes seldom. */
+    @Override
+    public synchronized List<Target> engines() {
+        List<ListedInstance> instances = directory.latestInstances();
+        if (!instances.equals(lastInstances)) {
+            lastInstances = instances;
+            lastEngines = instances.stream()
+                    .filter(listed -> listed.kind() == ListedInstance.Kind.ENGINE)
+                    .map(TargetDirectory::toTarget)
+                    .toList();
+        }
+        return lastEngines;
+    }
+
+    @Override
+    public int claimRank(String group) {
+        List<ClaimPriority.Candidate> candidates = directory.latestInstances().stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY && !listed.leaving())
+                .map(listed -> new ClaimPriority.Candidate(listed.name(), listed.dataCentre()))
+                .toList();
+        return ClaimPriority.rank(group, ownCandidate, candidates);
+    }
+}
--- a/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
+++ b/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
@@ -35,32 +35,32 @@
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
 
-    private final InstanceSettings instance;
+    private final InstanceSettings ownInstance;
     private final Metrics metrics;
-    private final DaemonParts parts;
+    private final DaemonComponents components;
     private final InFlightRequests inFlight;
-    private final Supplier<ServingState> serving;
+    private final Supplier<ServingState> servingState;
 
     /**
      * Creates the pages.
      *
-     * @param instance who this instance is, not null
+     * @param ownInstance who this instance is, not null
      * @param metrics the counters, not null
-     * @param parts what the pages show, not null
+     * @param components what the pages show, not null
      * @param inFlight counts requests, not null
-     * @param serving whether requests are taken, not null
+     * @param servingState whether requests are taken, not null
      */
     OperatorPages(
-            InstanceSettings instance,
+            InstanceSettings ownInstance,
             Metrics metrics,
-            DaemonParts parts,
+            DaemonComponents components,
             InFlightRequests inFlight,
-            Supplier<ServingState> serving) {
-        this.instance = Objects.requireNonNull(instance, "instance");
+            Supplier<ServingState> servingState) {
+        this.ownInstance = Objects.requireNonNull(ownInstance, "ownInstance");
         this.metrics = Objects.requireNonNull(metrics, "metrics");
-        this.parts = Objects.requireNonNull(parts, "parts");
+        this.components = Objects.requireNonNull(components, "components");
         this.inFlight = Objects.requireNonNull(inFlight, "inFlight");
-        this.serving = Objects.requireNonNull(serving, "serving");
+        this.servingState = Objects.requireNonNull(servingState, "servingState");
     }
 
     /**
@@ -69,19 +69,19 @@
      * @return the map
      */
     Map<String, OperatorPage> byPath() {
-        ControlEndpoint endpoint = new ControlEndpoint(parts.control());
-        QuarantineEndpoint quarantine = new QuarantineEndpoint(parts.peers().suspects());
-        OperatorPage quarantinePage = call -> now(toAnswer(
+        ControlEndpoint endpoint = new ControlEndpoint(components.control());
+        QuarantineEndpoint quarantine = new QuarantineEndpoint(components.peers().suspectRegistry());
+        OperatorPage quarantinePage = call -> completedAnswer(toAnswer(
                 quarantine.handle(call.method(), call.path(), call.body().toUtf8())));
         return Map.of(
                 "/metrics",
-                _call -> now(metricsPage()),
+                _call -> completedAnswer(metricsPage()),
                 "/healthz",
-                _call -> now(OperatorAnswer.text(OK, "ok")),
+                _call -> completedAnswer(OperatorAnswer.text(OK, "ok")),
                 "/readyz",
-                _call -> now(readyPage()),
+                _call -> completedAnswer(readyPage()),
                 "/status",
-                _call -> now(OperatorAnswer.json(status())),
+                _call -> completedAnswer(OperatorAnswer.json(status())),
                 QuarantineEndpoint.LIST_PATH,
                 quarantinePage,
                 QuarantineEndpoint.LIFT_PATH,
@@ -95,7 +95,7 @@
         return new OperatorAnswer(answer.status(), "application/json", Bytes.ofUtf8(answer.body()));
     }
 
-    private static CompletionStage<OperatorAnswer> now(OperatorAnswer answer) {
+    private static CompletionStage<OperatorAnswer> completedAnswer(OperatorAnswer answer) {
         return CompletableFuture.completedFuture(answer);
     }
 
@@ -114,42 +114,42 @@
     }
 
     private OperatorAnswer readyPage() {
-        String missing = notReadyReason();
-        return missing.isEmpty() ? OperatorAnswer.text(OK, "ready") : OperatorAnswer.text(UNAVAILABLE, missing);
+        String reason = notReadyReason();
+        return reason.isEmpty() ? OperatorAnswer.text(OK, "ready") : OperatorAnswer.text(UNAVAILABLE, reason);
     }
 
     private String notReadyReason() {
-        if (serving.get() != ServingState.SERVING) {
+        if (servingState.get() != ServingState.SERVING) {
             return "stopping";
         }
-        if (parts.control().catalogue().current().isEmpty()) {
+        if (components.control().catalogue().current().isEmpty()) {
             return "no catalogue yet";
         }
-        return parts.directory().hasAnswered() ? "" : "no instance list yet";
+        return components.directory().hasInstanceList() ? "" : "no instance list yet";
     }
 
     private InstanceStatus status() {
-        ControlStatus stream = parts.control().status();
+        ControlStatus controlStatus = components.control().status();
         List<TargetStatus> targets =
-                parts.fleet().targetSummaries().stream().map(this::targetStatus).toList();
-        List<PeerStatus> peers = parts.directory().latest().stream()
-                .filter(line -> line.kind() == ListedInstance.Kind.ENTRY)
-                .filter(line -> !line.name().equals(instance.name()))
-                .map(line -> new PeerStatus(
-                        line.name(), line.dataCentre(), parts.peers().watch().heardMillis(line.name())))
+                components.fleetView().targetSummaries().stream().map(this::targetStatus).toList();
+        List<PeerStatus> peers = components.directory().latestInstances().stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY)
+                .filter(listed -> !listed.name().equals(ownInstance.name()))
+                .map(listed -> new PeerStatus(
+                        listed.name(), listed.dataCentre(), components.peers().lastSeenTracker().millisSinceLastSeen(listed.name())))
                 .toList();
         return new InstanceStatus(
-                instance.name(),
-                instance.dataCentre(),
+                ownInstance.name(),
+                ownInstance.dataCentre(),
                 notReadyReason().isEmpty(),
-                serving.get() != ServingState.SERVING,
-                stream.catalogueRevision(),
-                stream.coveredOffset() + 1,
-                !stream.logOut(),
+                servingState.get() != ServingState.SERVING,
+                controlStatus.catalogueRevision(),
+                controlStatus.coveredOffset() + 1,
+                !controlStatus.logOut(),
                 inFlight.count(),
                 targets,
                 peers,
-                parts.control().liveGroups());
+                components.control().liveGroups());
     }
 
     private TargetStatus targetStatus(TargetSummary summary) {
@@ -165,6 +165,6 @@
                 summary.prefillBacklogTokens(),
                 summary.decodeBacklogTokens(),
                 summary.outstandingRequests(),
-                parts.poller().reportAgeMillis(target.name()));
+                components.enginePoller().reportAgeMillis(target.name()));
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/PeerParts.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerComponents.java
@@ -25,17 +25,17 @@
 import org.dogwoodwinch.settings.TlsSettings;
 
 /** The daemon's exchange with the other instances and what lives by it alone. */
-final class PeerParts {
+final class PeerComponents {
 
-    private static final long SUSPECT_MILLIS = 600_000;
-    private static final long LEAVING_KEPT_MILLIS = 10_000;
+    private static final long SUSPICION_MILLIS = 600_000;
+    private static final long LEAVING_TTL_MILLIS = 10_000;
 
     private final PeerSettings settings;
     private final NettyPeerTransport transport;
-    private final GossipExchange exchange;
-    private final LeavingTargets leaving;
-    private final PeerWatch watch;
-    private final SuspectRegistry suspects;
+    private final GossipExchange gossipExchange;
+    private final LeavingTargets leavingTargets;
+    private final PeerLastSeenTracker lastSeenTracker;
+    private final SuspectRegistry suspectRegistry;
     private int port;
 
     /**
@@ -47,38 +47,38 @@
      * @param metrics counts refused messages, not null
      * @throws IOException if the secret or a TLS file cannot be read
      */
-    PeerParts(Settings settings, DaemonContext context, TargetDirectory directory, Metrics metrics) throws IOException {
+    PeerComponents(Settings settings, DaemonContext context, TargetDirectory directory, Metrics metrics) throws IOException {
         this.settings = settings.peers();
-        String name = settings.instance().name();
+        String ownName = settings.instance().name();
         this.transport = new NettyPeerTransport(
-                Transport.ofNio(context.group()),
+                Transport.ofNio(context.eventLoopGroup()),
                 this.settings.maxFrameBytes(),
                 serverTls(this.settings.tls()),
                 clientTls(this.settings.tls()));
-        this.exchange = new GossipExchange(
-                exchangeSettings(settings),
+        this.gossipExchange = new GossipExchange(
+                gossipSettings(settings),
                 context.time(),
                 context.newRandom(),
                 transport,
-                () -> members(directory, name),
+                () -> members(directory, ownName),
                 new RefusalCounter(metrics));
-        this.leaving = new LeavingTargets(exchange, context.time(), LEAVING_KEPT_MILLIS);
-        this.watch = new PeerWatch(exchange, context.time());
-        SuspicionExchange suspicions = new SuspicionExchange(exchange);
-        this.suspects = new SuspectRegistry(
-                context.time(), SUSPECT_MILLIS, settings.requests().quarantineMillis(), suspicions);
-        suspicions.subscribe(suspects);
+        this.leavingTargets = new LeavingTargets(gossipExchange, context.time(), LEAVING_TTL_MILLIS);
+        this.lastSeenTracker = new PeerLastSeenTracker(gossipExchange, context.time());
+        SuspicionExchange suspicionExchange = new SuspicionExchange(gossipExchange);
+        this.suspectRegistry = new SuspectRegistry(
+                context.time(), SUSPICION_MILLIS, settings.requests().quarantineMillis(), suspicionExchange);
+        suspicionExchange.subscribe(suspectRegistry);
     }
 
     /** Listens and begins the rounds. */
     void start() {
-        port = transport.listen(settings.host(), settings.port(), exchange::receive);
-        exchange.start();
+        port = transport.listen(settings.host(), settings.port(), gossipExchange::receive);
+        gossipExchange.start();
     }
 
     /** Ends the rounds and closes the connections. */
     void stop() {
-        exchange.stop();
+        gossipExchange.stop();
         transport.close();
     }
 
@@ -88,73 +88,73 @@
     }
 
     /** Returns the notice board. */
-    PeerBus board() {
-        return exchange;
+    PeerBus bus() {
+        return gossipExchange;
     }
 
     /** Returns the exchange, which knows which starts of instances are alive. */
-    GossipExchange exchange() {
-        return exchange;
+    GossipExchange gossipExchange() {
+        return gossipExchange;
     }
 
     /** Returns the targets that refused because they are leaving. */
-    LeavingTargets leaving() {
-        return leaving;
+    LeavingTargets leavingTargets() {
+        return leavingTargets;
     }
 
     /** Returns what tells when each instance was last heard of. */
-    PeerWatch watch() {
-        return watch;
+    PeerLastSeenTracker lastSeenTracker() {
+        return lastSeenTracker;
     }
 
     /** Returns the suspects. */
-    SuspectRegistry suspects() {
-        return suspects;
+    SuspectRegistry suspectRegistry() {
+        return suspectRegistry;
     }
 
-    private static org.dogwoodwinch.peer.PeerSettings exchangeSettings(Settings settings) throws IOException {
-        PeerSettings own = settings.peers();
+    private static org.dogwoodwinch.peer.PeerSettings gossipSettings(Settings settings) throws IOException {
+        PeerSettings peerSettings = settings.peers();
         return new org.dogwoodwinch.peer.PeerSettings(
                 settings.instance().name(),
                 settings.instance().dataCentre(),
-                Files.readString(Path.of(own.secretFile())).strip(),
-                own.roundMillis(),
-                own.neighboursCount(),
+                Files.readString(Path.of(peerSettings.secretFile())).strip(),
+                peerSettings.roundMillis(),
+                peerSettings.neighboursCount(),
                 // Half of the budget is for what the others send here.
-                (int) Math.min(Integer.MAX_VALUE, own.bytesPerSecond() / 2),
-                own.maxFrameBytes());
+                (int) Math.min(Integer.MAX_VALUE, peerSettings.bytesPerSecond() / 2),
+                peerSettings.maxFrameBytes());
     }
 
     private static List<PeerMember> members(TargetDirectory directory, String ownName) {
-        return directory.latest().stream()
-                .filter(line -> line.kind() == ListedInstance.Kind.ENTRY && line.peerPort() != 0)
-                .filter(line -> !line.name().equals(ownName))
-                .map(line -> new PeerMember(line.name(), line.host(), line.peerPort(), line.dataCentre()))
+        return directory.latestInstances().stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY && listed.peerPort() != 0)
+                .filter(listed -> !listed.name().equals(ownName))
+                .map(listed -> new PeerMember(listed.name(), listed.host(), listed.peerPort(), listed.dataCentre()))
                 .toList();
     }
 
     /** Both sides show a certificate: who may connect may also tell the instance what it believes. */
-    private static Optional<SslContext> serverTls(Optional<TlsSettings> own) throws IOException {
-        if (own.isEmpty()) {
+    private static Optional<SslContext> serverTls(Optional<TlsSettings> tlsSettings) throws IOException {
+        if (tlsSettings.isEmpty()) {
             return Optional.empty();
         }
-        TlsSettings files = withClientCa(own.get());
+        TlsSettings files = requireClientCa(tlsSettings.get());
         return Optional.of(TlsContexts.forServer(
                 Path.of(files.certificateFile()),
                 Path.of(files.keyFile()),
                 Optional.of(Path.of(files.clientCaFile()))));
     }
 
-    private static Optional<SslContext> clientTls(Optional<TlsSettings> own) throws IOException {
-        if (own.isEmpty()) {
+    private static Optional<SslContext> clientTls(Optional<TlsSettings> tlsSettings) throws IOException {
+        if (tlsSettings.isEmpty()) {
             return Optional.empty();
         }
-        TlsSettings files = withClientCa(own.get());
+        TlsSettings files = requireClientCa(tlsSettings.get());
         return Optional.of(TlsContexts.forClient(
                 Path.of(files.certificateFile()), Path.of(files.keyFile()), Path.of(files.clientCaFile())));
     }
 
-    private static TlsSettings withClientCa(TlsSettings files) throws IOException {
+    private static TlsSettings requireClientCa(TlsSettings files) throws IOException {
         if (files.clientCaFile().isEmpty()) {
             throw new IOException("peers.tls.clientCaFile is missing: instances show each other certificates");
         }
--- a/src/main/java/org/dogwoodwinch/daemon/PeerWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerLastSeenTracker.java
@@ -9,23 +9,23 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /** Notes when something of each other instance was last heard, by whatever way it came. Thread-safe. */
-final class PeerWatch {
+final class PeerLastSeenTracker {
 
     private static final long NEVER = -1;
 
     private final TimeSource time;
-    private final Map<String, Long> heardAtMillis = new ConcurrentHashMap<>();
+    private final Map<String, Long> lastSeenAtMillis = new ConcurrentHashMap<>();
 
     /**
      * Creates a watch and listens to the board.
      *
-     * @param board the notice board, not null
+     * @param bus the notice board, not null
      * @param time gives the time, not null
      */
-    PeerWatch(PeerBus board, TimeSource time) {
+    PeerLastSeenTracker(PeerBus bus, TimeSource time) {
         this.time = Objects.requireNonNull(time, "time");
-        board.subscribe(PeerTopic.MEMBER, this::heard);
-        board.subscribe(PeerTopic.LOAD, this::heard);
+        bus.subscribe(PeerTopic.MEMBER, this::onUpdate);
+        bus.subscribe(PeerTopic.LOAD, this::onUpdate);
     }
 
     /**
@@ -34,12 +34,12 @@
      * @param name its name, not null
      * @return milliseconds, -1 where it never was
      */
-    long heardMillis(String name) {
-        Long atMillis = heardAtMillis.get(name);
-        return atMillis == null ? NEVER : Math.max(0, time.monotonicMillis() - atMillis);
+    long millisSinceLastSeen(String name) {
+        Long seenAtMillis = lastSeenAtMillis.get(name);
+        return seenAtMillis == null ? NEVER : Math.max(0, time.monotonicMillis() - seenAtMillis);
     }
 
-    private void heard(PeerUpdate item) {
-        heardAtMillis.merge(item.origin(), time.monotonicMillis() - item.ageMillis(), Math::max);
+    private void onUpdate(PeerUpdate update) {
+        lastSeenAtMillis.merge(update.origin(), time.monotonicMillis() - update.ageMillis(), Math::max);
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
@@ -24,42 +24,42 @@
 
     private final Path file;
     private final TimeSource time;
-    private final long checkMillis;
-    private final Consumer<ForwardingSettings> onChange;
-    private String lastText = "";
+    private final long checkIntervalMillis;
+    private final Consumer<ForwardingSettings> listener;
+    private String lastContent = "";
 
-    SettingsWatch(Path file, TimeSource time, long checkMillis, Consumer<ForwardingSettings> onChange) {
+    SettingsWatch(Path file, TimeSource time, long checkIntervalMillis, Consumer<ForwardingSettings> listener) {
         this.file = Objects.requireNonNull(file, "file");
         this.time = Objects.requireNonNull(time, "time");
-        this.checkMillis = checkMillis;
-        this.onChange = Objects.requireNonNull(onChange, "onChange");
+        this.checkIntervalMillis = checkIntervalMillis;
+        this.listener = Objects.requireNonNull(listener, "listener");
     }
 
     /** Watches from now on; what the file says now is in force already. */
     void start() {
-        lastText = read();
-        time.schedule(checkMillis, this::checkAndRepeat);
+        lastContent = readFile();
+        time.schedule(checkIntervalMillis, this::checkPeriodically);
     }
 
-    private void checkAndRepeat() {
-        check();
-        time.schedule(checkMillis, this::checkAndRepeat);
+    private void checkPeriodically() {
+        reloadIfChanged();
+        time.schedule(checkIntervalMillis, this::checkPeriodically);
     }
 
     /** Looks at the file now, as after a signal. */
-    void check() {
-        String text = read();
-        if (text.isEmpty() || text.equals(lastText)) {
+    void reloadIfChanged() {
+        String content = readFile();
+        if (content.isEmpty() || content.equals(lastContent)) {
             return;
         }
-        lastText = text;
-        SettingsResult result = SettingsLoader.parse(file.toString(), text);
+        lastContent = content;
+        SettingsResult result = SettingsLoader.parse(file.toString(), content);
         if (result instanceof SettingsResult.Rejected rejected) {
             for (SettingsProblem problem : rejected.problems()) {
                 LogEvent.of("settings_rejected").with("problem", problem).warn(log);
             }
-        } else if (((SettingsResult.Loaded) result).settings() instanceof ForwardingSettings fresh) {
-            onChange.accept(fresh);
+        } else if (((SettingsResult.Loaded) result).settings() instanceof ForwardingSettings changedSettings) {
+            listener.accept(changedSettings);
         } else {
             LogEvent.of("settings_rejected")
                     .with("problem", "the file is of another kind of daemon")
@@ -68,7 +68,7 @@
     }
 
     /** The content decides, not the file's time: a file that is replaced may keep the time of another machine. */
-    private String read() {
+    private String readFile() {
         try {
             return Files.readString(file);
         } catch (IOException e) {
--- a/src/main/java/org/dogwoodwinch/daemon/Signals.java
+++ b/src/main/java/org/dogwoodwinch/daemon/Signals.java
@@ -18,30 +18,30 @@
      * Runs a reaction at each arrival of a signal.
      *
      * @param name the signal's name without its prefix, as TERM, not null
-     * @param reaction runs on a thread of the virtual machine, not null
+     * @param action runs on a thread of the virtual machine, not null
      * @throws IllegalStateException if this virtual machine hands out no signals
      */
     // The proxy's type is only known at run time for the reason above, and no native image is built.
     @SuppressWarnings("ProxyNonConstantType")
-    static void on(String name, Runnable reaction) {
-        Objects.requireNonNull(reaction, "reaction");
+    static void setHandler(String name, Runnable action) {
+        Objects.requireNonNull(action, "action");
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Method handle = signal.getMethod("handle", signal, handler);
+            Method handleMethod = signal.getMethod("handle", signal, handler);
             Object proxy = Proxy.newProxyInstance(
                     Signals.class.getClassLoader(),
                     new Class<?>[] {handler},
-                    (_proxy, method, _arguments) -> react(method, reaction));
-            handle.invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
+                    (_proxy, method, _arguments) -> runAction(method, action));
+            handleMethod.invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this virtual machine hands out no signals", e);
         }
     }
 
-    private static Object react(Method method, Runnable reaction) {
+    private static Object runAction(Method method, Runnable action) {
         if (method.getName().equals("handle")) {
-            reaction.run();
+            action.run();
         }
         return null;
     }
--- a/src/main/java/org/dogwoodwinch/daemon/StopSignals.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StopSignals.java
@@ -15,9 +15,9 @@
 final class StopSignals {
 
     private static final Logger log = LoggerFactory.getLogger(StopSignals.class);
-    private static final String[] NAMES = {"TERM", "INT"};
+    private static final String[] SIGNAL_NAMES = {"TERM", "INT"};
 
-    private final AtomicInteger count = new AtomicInteger();
+    private final AtomicInteger receivedCount = new AtomicInteger();
     private final Runnable onFirst;
     private final Runnable onSecond;
 
@@ -38,8 +38,8 @@
      * @throws IllegalStateException if this virtual machine hands out no signals
      */
     void install() {
-        for (String name : NAMES) {
-            Signals.on(name, () -> received("SIG" + name));
+        for (String name : SIGNAL_NAMES) {
+            Signals.setHandler(name, () -> onSignal("SIG" + name));
         }
     }
 
@@ -48,8 +48,8 @@
      *
      * @param name the signal's name, not null
      */
-    void received(String name) {
-        int number = count.incrementAndGet();
+    void onSignal(String name) {
+        int number = receivedCount.incrementAndGet();
         LogEvent.of("signal").with("name", name).with("number", number).info(log);
         if (number == 1) {
             onFirst.run();
--- a/src/main/java/org/dogwoodwinch/daemon/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetDirectory.java
@@ -26,26 +26,26 @@
 
     private static final Logger log = LoggerFactory.getLogger(TargetDirectory.class);
 
-    private final InstanceList source;
+    private final InstanceList instanceList;
     private final TimeSource time;
-    private final long pollMillis;
+    private final long pollIntervalMillis;
     private final List<Consumer<List<ListedInstance>>> listeners = new CopyOnWriteArrayList<>();
-    private volatile List<ListedInstance> latest = List.of();
-    private volatile boolean answered;
+    private volatile List<ListedInstance> latestInstances = List.of();
+    private volatile boolean listReceived;
     private volatile boolean stopped;
     private volatile Cancellable timer = () -> {};
 
     /**
      * Creates a directory.
      *
-     * @param source the platform's list, not null
+     * @param instanceList the platform's list, not null
      * @param time runs the readings, not null
-     * @param pollMillis time between readings, in milliseconds
+     * @param pollIntervalMillis time between readings, in milliseconds
      */
-    TargetDirectory(InstanceList source, TimeSource time, long pollMillis) {
-        this.source = Objects.requireNonNull(source, "source");
+    TargetDirectory(InstanceList instanceList, TimeSource time, long pollIntervalMillis) {
+        this.instanceList = Objects.requireNonNull(instanceList, "instanceList");
         this.time = Objects.requireNonNull(time, "time");
-        this.pollMillis = pollMillis;
+        this.pollIntervalMillis = pollIntervalMillis;
     }
 
     /**
@@ -53,20 +53,20 @@
      *
      * @param listener takes the list, not null
      */
-    void onRead(Consumer<List<ListedInstance>> listener) {
+    void addListener(Consumer<List<ListedInstance>> listener) {
         listeners.add(listener);
     }
 
     /** Begins to read. */
     void start() {
-        source.read().whenComplete((list, _error) -> {
+        instanceList.read().whenComplete((list, _error) -> {
             if (stopped) {
                 return;
             }
             if (list != null) {
-                list.ifPresent(this::take);
+                list.ifPresent(this::onInstanceList);
             }
-            timer = time.schedule(pollMillis, this::start);
+            timer = time.schedule(pollIntervalMillis, this::start);
         });
     }
 
@@ -81,8 +81,8 @@
      *
      * @return true from the first answer on
      */
-    boolean hasAnswered() {
-        return answered;
+    boolean hasInstanceList() {
+        return listReceived;
     }
 
     /**
@@ -90,8 +90,8 @@
      *
      * @return the lines; empty before the first answer
      */
-    List<ListedInstance> latest() {
-        return latest;
+    List<ListedInstance> latestInstances() {
+        return latestInstances;
     }
 
     /**
@@ -101,8 +101,8 @@
      * @return the target, or empty where the list has none of that name
      */
     Optional<Target> find(String name) {
-        return latest.stream()
-                .filter(line -> line.name().equals(name) && line.kind() != ListedInstance.Kind.ENTRY)
+        return latestInstances.stream()
+                .filter(listed -> listed.name().equals(name) && listed.kind() != ListedInstance.Kind.ENTRY)
                 .map(TargetDirectory::toTarget)
                 .findFirst();
     }
@@ -112,11 +112,11 @@
      *
      * @return the count, one or more: this instance counts itself before the list shows it
      */
-    int liveEntries() {
+    int activeInstanceCount() {
         return (int) Math.max(
                 1,
-                latest.stream()
-                        .filter(line -> line.kind() == ListedInstance.Kind.ENTRY && !line.leaving())
+                latestInstances.stream()
+                        .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY && !listed.leaving())
                         .count());
     }
 
@@ -127,9 +127,9 @@
      * @param count how many count as the first
      * @return true where it is
      */
-    boolean isAmongFirstEntries(String name, int count) {
-        return latest.stream()
-                .filter(line -> line.kind() == ListedInstance.Kind.ENTRY && !line.leaving())
+    boolean isAmongFirstInstances(String name, int count) {
+        return latestInstances.stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY && !listed.leaving())
                 .map(ListedInstance::name)
                 .sorted()
                 .limit(count)
@@ -142,9 +142,9 @@
      * @param ownName this instance's name, not null
      * @return the names
      */
-    Set<String> otherEntries(String ownName) {
-        return latest.stream()
-                .filter(line -> line.kind() == ListedInstance.Kind.ENTRY)
+    Set<String> otherInstanceNames(String ownName) {
+        return latestInstances.stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY)
                 .map(ListedInstance::name)
                 .filter(name -> !name.equals(ownName))
                 .collect(Collectors.toSet());
@@ -153,19 +153,19 @@
     /**
      * Makes the target of a line.
      *
-     * @param line the line, not null
+     * @param listed the line, not null
      * @return the target
      */
-    static Target toTarget(ListedInstance line) {
-        return new Target(line.name(), line.host(), line.port(), line.dataCentre(), line.group());
+    static Target toTarget(ListedInstance listed) {
+        return new Target(listed.name(), listed.host(), listed.port(), listed.dataCentre(), listed.group());
     }
 
-    private void take(List<ListedInstance> list) {
-        if (!list.equals(latest)) {
+    private void onInstanceList(List<ListedInstance> list) {
+        if (!list.equals(latestInstances)) {
             LogEvent.of("instance_list_changed").with("lines", list.size()).info(log);
         }
-        latest = List.copyOf(list);
-        answered = true;
-        listeners.forEach(listener -> listener.accept(latest));
+        latestInstances = List.copyOf(list);
+        listReceived = true;
+        listeners.forEach(listener -> listener.accept(latestInstances));
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/SettingsWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SettingsWatchTest.java
@@ -51,7 +51,7 @@
         assertEquals(List.of(), heard);
 
         Files.writeString(file, TEXT.replace("52", "60"));
-        watch.check();
+        watch.reloadIfChanged();
         time.advanceMillis(5_000);
         assertEquals(List.of(60.0), heard);
 
--- a/src/test/java/org/dogwoodwinch/daemon/SignalsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SignalsTest.java
@@ -17,7 +17,7 @@
     @Test
     void aSignalThatIsHandledDoesNotEndTheProcess() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
-        Signals.on("HUP", heard::countDown);
+        Signals.setHandler("HUP", heard::countDown);
 
         Class<?> signal = Class.forName("sun.misc.Signal");
         signal.getMethod("raise", signal)
--- a/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
@@ -13,8 +13,8 @@
     void theFirstSignalDrainsAndTheSecondEnds() {
         List<String> heard = new ArrayList<>();
         StopSignals signals = new StopSignals(() -> heard.add("drain"), () -> heard.add("end"));
-        signals.received("SIGTERM");
-        signals.received("SIGINT");
+        signals.onSignal("SIGTERM");
+        signals.onSignal("SIGINT");
         assertEquals(List.of("drain", "end"), heard);
     }
 }
