--- a/src/main/java/org/dogwoodwinch/daemon/ClockWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ClockWatch.java
@@ -7,11 +7,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices that the machine was suspended: the monotonic clock does not count that time, the time of day does.
+ * Detects that the machine was suspended, by comparing the monotonic clock, which stops during a suspension, with the
+ * wall clock, which does not.
  *
- * <p>Failure: after a suspension kept connections look fresh, though their peers closed them long ago, and calls sent on
- * them may or may not have run. A jump of the time of day alone looks the same; connections dropped for nothing cost a
- * handshake each.
+ * <p>Failure: after a suspension, pooled connections seem recently used although the remote ends closed them long ago,
+ * and it is unknown whether a call sent on one of them has run. A step of the wall clock alone cannot be distinguished
+ * from a suspension; the connections that are then closed needlessly cost one handshake each.
  */
 final class ClockWatch {
 
@@ -31,7 +32,7 @@
         this.onJump = Objects.requireNonNull(onJump, "onJump");
     }
 
-    /** Compares the clocks from now on. */
+    /** Starts comparing the clocks periodically. */
     void start() {
         lastMonotonicMillis = time.monotonicMillis();
         lastWallMillis = time.wallMillis();
--- a/src/main/java/org/dogwoodwinch/daemon/ComponentSettings.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ComponentSettings.java
@@ -11,7 +11,7 @@
 import org.dogwoodwinch.settings.Settings;
 import org.dogwoodwinch.target.http.TargetTimeouts;
 
-/** Turns the daemon's settings into those of its parts. */
+/** Converts the daemon's settings to the settings of its components. */
 final class ComponentSettings {
 
     private static final int RETRY_BURST = 10;
@@ -22,10 +22,10 @@
     private ComponentSettings() {}
 
     /**
-     * Returns the settings of a request's life.
+     * Returns the settings for the handling of callers' requests.
      *
      * @param settings the daemon's settings, not null
-     * @return the settings
+     * @return the request settings
      */
     static RequestSettings requestSettings(Settings settings) {
         org.dogwoodwinch.settings.RequestSettings requestSettings = settings.requests();
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Returns the times of calls to targets.
+     * Returns the time-outs of calls to targets.
      *
      * @param settings the daemon's settings, not null
-     * @return the times
+     * @return the time-outs
      */
     static TargetTimeouts targetTimeouts(Settings settings) {
         TargetTimeouts defaults = TargetTimeouts.STANDARD;
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Returns the rules of leases and orders.
+     * Returns the policies for checkpoints, leases and orders.
      *
      * @param leaseSettings the lease settings, not null
-     * @return the rules
+     * @return the policies
      */
     static ControlPolicies controlPolicies(LeaseSettings leaseSettings) {
         OrderPolicy defaults = OrderPolicy.DEFAULT;
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Returns the constants of admission.
+     * Returns the admission policy.
      *
      * @param admissionSettings the admission settings, not null
-     * @return the constants
+     * @return the policy
      */
     static AdmissionPolicy admissionPolicy(AdmissionSettings admissionSettings) {
         AdmissionPolicy defaults = AdmissionPolicy.STANDARD;
@@ -112,10 +112,10 @@
     }
 
     /**
-     * Returns how owners' limits are shared.
+     * Returns the settings for sharing the owners' limits among the instances.
      *
      * @param admissionSettings the admission settings, not null
-     * @return the settings
+     * @return the sharing settings
      */
     static LimitShareSettings limitShareSettings(AdmissionSettings admissionSettings) {
         LimitShareSettings defaults = LimitShareSettings.SINGLE_INSTANCE;
--- a/src/main/java/org/dogwoodwinch/daemon/Daemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/Daemon.java
@@ -29,7 +29,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One instance of the system: wires the parts, listens, and stops without cutting a request. */
+/** One instance of the system: connects the components, serves its listeners, and drains requests before it stops. */
 public final class Daemon {
 
     private static final Logger log = LoggerFactory.getLogger(Daemon.class);
@@ -46,11 +46,11 @@
     private HttpListener operatorListener;
 
     /**
-     * Wires a daemon that does not listen yet.
+     * Creates a daemon. It does not listen until {@link #start()} is called.
      *
-     * @param settings its settings, not null
-     * @param context what the process gives it, not null
-     * @throws IOException if the peers' secret or a TLS file cannot be read
+     * @param settings the daemon's settings, not null
+     * @param context the clock, event loops and random generators of the process, not null
+     * @throws IOException if the file with the peer secret or a TLS file cannot be read
      */
     public Daemon(Settings settings, DaemonContext context) throws IOException {
         this.settings = Objects.requireNonNull(settings, "settings");
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Listens, and begins to read the platform's services.
+     * Starts the components and binds the listeners for callers and operators.
      *
      * @throws IOException if a listener cannot be bound, or a TLS file cannot be read
      */
@@ -77,27 +77,28 @@
     }
 
     /**
-     * Returns where callers connect.
+     * Returns the port on which callers connect.
      *
-     * @return the port
+     * @return the bound port
      */
     public int callersPort() {
         return callerListener.port();
     }
 
     /**
-     * Returns where operators connect.
+     * Returns the port on which operators connect.
      *
-     * @return the port
+     * @return the bound port
      */
     public int operatorsPort() {
         return operatorListener.port();
     }
 
     /**
-     * Stops gracefully: not ready first, then nothing new is taken, then what is in flight finishes.
+     * Stops gracefully. The daemon first reports itself as not ready while it still accepts requests, then refuses new
+     * requests, and then waits for the requests in flight up to the drain time limit.
      *
-     * @return completes with the number of requests that had not finished within the bound, zero where all had
+     * @return completes with the number of requests still unfinished at the drain time limit, zero if all finished
      */
     public CompletionStage<Integer> stop() {
         CompletableFuture<Integer> unfinishedRequests = new CompletableFuture<>();
@@ -108,7 +109,7 @@
         return unfinishedRequests;
     }
 
-    /** Closes listeners and connections at once; requests in flight are cut. */
+    /** Closes all listeners and connections immediately, which aborts requests in flight. */
     public void close() {
         callerListener.close();
         operatorListener.close();
@@ -151,13 +152,21 @@
                 inFlight,
                 limits,
                 context.time());
-        return CallerListener.bind(context.eventLoopGroup(), address(callerSettings.host(), callerSettings.port()), serverTls(callerSettings.tls()), edge);
+        return CallerListener.bind(
+                context.eventLoopGroup(),
+                address(callerSettings.host(), callerSettings.port()),
+                serverTls(callerSettings.tls()),
+                edge);
     }
 
     private HttpListener bindOperatorListener(OperatorSettings operatorSettings) throws IOException {
         OperatorPages pages = new OperatorPages(settings.instance(), metrics, components, inFlight, () -> servingState);
         return OperatorListener.bind(
-                context.eventLoopGroup(), address(operatorSettings.host(), operatorSettings.port()), HttpLimits.STANDARD, serverTls(operatorSettings.tls()), pages.byPath());
+                context.eventLoopGroup(),
+                address(operatorSettings.host(), operatorSettings.port()),
+                HttpLimits.STANDARD,
+                serverTls(operatorSettings.tls()),
+                pages.byPath());
     }
 
     private static InetSocketAddress address(String host, int port) {
@@ -175,7 +184,8 @@
                     Path.of(tlsSettings.get().keyFile()),
                     clientCaFile.isEmpty() ? Optional.empty() : Optional.of(Path.of(clientCaFile))));
         } catch (IllegalArgumentException e) {
-            throw new IOException("cannot read the TLS files: " + e.getMessage(), e);
+            throw new IOException(
+                    "cannot load the TLS certificate, key or CA file of a listener: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonComponents.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonComponents.java
@@ -41,7 +41,7 @@
 import org.dogwoodwinch.target.http.HttpClients;
 import org.dogwoodwinch.target.http.HttpTargetClients;
 
-/** Builds the parts of a daemon behind its listeners and connects them. */
+/** Creates, connects, starts and stops the components of a daemon, except the listeners for callers and operators. */
 final class DaemonComponents {
 
     private static final int MAX_PLATFORM_RESPONSE_BYTES = 16 << 20;
@@ -63,23 +63,25 @@
     private final RequestHandler requestHandler;
 
     /**
-     * Builds the parts; nothing runs yet.
+     * Creates the components. None of them runs until {@link #start()} is called.
      *
      * @param settings the daemon's settings, not null
-     * @param context what the process gives, not null
-     * @param metrics counts, not null
-     * @throws IOException if the peers' secret or a TLS file cannot be read
+     * @param context the clock, event loops and random generators of the process, not null
+     * @param metrics the daemon's metrics, not null
+     * @throws IOException if the file with the peer secret or a TLS file cannot be read
      */
     DaemonComponents(Settings settings, DaemonContext context, Metrics metrics) throws IOException {
         Objects.requireNonNull(settings, "settings");
         PlatformSettings platform = settings.platform();
-        this.httpClients = new HttpClients(context.eventLoopGroup(), (int) settings.targets().connectTimeoutMillis());
+        this.httpClients = new HttpClients(
+                context.eventLoopGroup(), (int) settings.targets().connectTimeoutMillis());
         HttpCaller caller = httpClients.pooledCaller(MAX_PLATFORM_RESPONSE_BYTES);
         this.directory = new TargetDirectory(
                 new HttpInstanceList(caller, platform.instanceListUrl()),
                 context.time(),
                 platform.instanceListPollMillis());
-        TargetClients targetClients = new HttpTargetClients(httpClients, context.time(), ComponentSettings.targetTimeouts(settings));
+        TargetClients targetClients =
+                new HttpTargetClients(httpClients, context.time(), ComponentSettings.targetTimeouts(settings));
         this.peers = new PeerComponents(settings, context, directory, metrics);
         PeerBus peerBus = peers.bus();
         String ownName = settings.instance().name();
@@ -111,9 +113,10 @@
                 context.time(),
                 context.newRandom(),
                 settings.instance().dataCentre());
-        this.loadExchange = new PeerLoadExchange(fleetView, peerBus, context.time(), incarnation, LOAD_PUBLISH_INTERVAL_MILLIS);
-        this.limitShareExchange =
-                new LimitShareExchange(ComponentSettings.limitShareSettings(settings.admission()), peerBus, context.time(), incarnation);
+        this.loadExchange =
+                new PeerLoadExchange(fleetView, peerBus, context.time(), incarnation, LOAD_PUBLISH_INTERVAL_MILLIS);
+        this.limitShareExchange = new LimitShareExchange(
+                ComponentSettings.limitShareSettings(settings.admission()), peerBus, context.time(), incarnation);
         this.enginePoller = new EnginePoller(
                 directory::latestInstances,
                 this::unavailableTargets,
@@ -122,11 +125,16 @@
                 router,
                 context.time(),
                 settings.targets().loadPollMillis());
-        this.reportedActivity = new ReportedTargetActivity(fleetView, enginePoller, directory, peers.lastSeenTracker(), ownName);
-        SentWork drainAwareRouter =
-                new SentWork(new LeavingTargetReportingRouter(router, peers.leavingTargets()::onRefused), control::outOfService);
+        this.reportedActivity =
+                new ReportedTargetActivity(fleetView, enginePoller, directory, peers.lastSeenTracker(), ownName);
+        SentWork drainAwareRouter = new SentWork(
+                new LeavingTargetReportingRouter(router, peers.leavingTargets()::onRefused), control::outOfService);
         this.drainExchange = new DrainExchange(
-                peerBus, drainAwareRouter::inFlight, control::outOfService, () -> directory.otherInstanceNames(ownName), context.time());
+                peerBus,
+                drainAwareRouter::inFlight,
+                control::outOfService,
+                () -> directory.otherInstanceNames(ownName),
+                context.time());
         this.claimStore = new LogClaimStore(
                 logService,
                 context.time(),
@@ -156,7 +164,7 @@
                 RequestPolicies.STANDARD);
     }
 
-    /** Begins to read the platform's services. */
+    /** Starts all components; they begin to read the platform's services and to exchange messages with peers. */
     void start() {
         directory.start();
         control.start();
@@ -168,12 +176,12 @@
         enginePoller.start();
     }
 
-    /** Gives the leases back; everything else goes on. */
+    /** Releases the leases that this instance holds. All components keep running. */
     void releaseLeases() {
         control.release();
     }
 
-    /** Stops everything; what is in flight is cut. */
+    /** Stops all components and closes the connections to targets, which aborts requests in flight. */
     void stop() {
         enginePoller.stop();
         directory.stop();
@@ -185,43 +193,43 @@
     }
 
     /**
-     * Returns where the other instances connect.
+     * Returns the port on which the other instances connect.
      *
-     * @return the port, zero before the start
+     * @return the port, zero before {@link #start()}
      */
     int peersPort() {
         return peers.port();
     }
 
     /**
-     * Returns the control stream.
+     * Returns the interface to the control stream.
      *
-     * @return this instance's part in it
+     * @return the catalogue, plans and leases as known to this instance
      */
     ControlApi control() {
         return control;
     }
 
     /**
-     * Returns what knows the targets.
+     * Returns the directory of instances and targets.
      *
-     * @return the directory
+     * @return the directory, which polls the platform's instance list
      */
     TargetDirectory directory() {
         return directory;
     }
 
     /**
-     * Returns what knows the other instances.
+     * Returns the components that exchange messages with the other instances.
      *
-     * @return the parts
+     * @return the peer components
      */
     PeerComponents peers() {
         return peers;
     }
 
     /**
-     * Returns what reads the engines' reports.
+     * Returns the poller of the engines' load reports and states.
      *
      * @return the poller
      */
@@ -230,7 +238,7 @@
     }
 
     /**
-     * Returns what is believed of the targets.
+     * Returns the router's view of the load and state of all targets.
      *
      * @return the view
      */
@@ -239,17 +247,18 @@
     }
 
     /**
-     * Returns what sees requests through.
+     * Returns the handler of callers' requests.
      *
-     * @return the handler
+     * @return the handler, which admits, sends, retries and completes requests
      */
     RequestHandler requestHandler() {
         return requestHandler;
     }
 
     /**
-     * Load news tell what is in flight; drain reports tell besides that each instance has read that the target is out of
-     * service. An instance that peers hear but that is cut off from the log would otherwise go on sending.
+     * Combines load reports with drain reports. Both give the requests in flight; only a drain report confirms that its
+     * sender has read from the log that the target is out of service. Failure: an instance that is cut off from the log
+     * but still connected to its peers would otherwise keep sending to the target after the drain seemed complete.
      */
     private TargetActivity.RequestsInFlight mostRequestsInFlight(String target) {
         TargetActivity.RequestsInFlight fromLoadReports = reportedActivity.requestsInFlight(target);
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonContext.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonContext.java
@@ -7,15 +7,16 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * What a daemon gets from the process that it runs in.
+ * The resources that the process provides to a daemon.
  *
- * @param time gives the time and runs the timers, not null
- * @param eventLoopGroup runs the I/O, not null; the process shuts it down after the daemon
- * @param randomFactory makes sources of chance, one for each part that needs one, not null
+ * @param time the clock and timers, not null
+ * @param eventLoopGroup the event loops for network I/O, not null; the process shuts it down after the daemon
+ * @param randomFactory creates random generators, one for each component that needs one, not null
  */
-public record DaemonContext(TimeSource time, EventLoopGroup eventLoopGroup, Supplier<UniformRandomProvider> randomFactory) {
+public record DaemonContext(
+        TimeSource time, EventLoopGroup eventLoopGroup, Supplier<UniformRandomProvider> randomFactory) {
 
-    /** Checks the parts. */
+    /** Validates that no component is null. */
     public DaemonContext {
         Objects.requireNonNull(time, "time");
         Objects.requireNonNull(eventLoopGroup, "eventLoopGroup");
@@ -23,9 +24,9 @@
     }
 
     /**
-     * Makes a source of chance.
+     * Creates a random generator.
      *
-     * @return the source; not thread-safe, so each part has its own
+     * @return the generator; it is not thread-safe, so each component has its own
      */
     public UniformRandomProvider newRandom() {
         return randomFactory.get();
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
@@ -29,19 +29,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The program {@code dogwoodwinchd}. */
+/** The main class of the daemon program {@code dogwoodwinchd}. */
 @Command(
         name = "dogwoodwinchd",
         mixinStandardHelpOptions = true,
         version = "dogwoodwinchd 0.1.0",
-        description = "Serves language-model work for a fixed fleet. SIGTERM stops it without cutting a request.",
+        description = "Routes language-model requests to a fixed fleet. SIGTERM drains requests before the exit.",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
-            "0:stopped, every request finished",
-            "1:the settings are wrong",
-            "2:bad command line",
-            "3:a listener could not be bound, or the secret or a TLS file not read",
-            "4:stopped, but requests were cut because the bound was reached or a second signal came"
+            "0:stopped after all requests had finished",
+            "1:invalid settings",
+            "2:invalid command line",
+            "3:a listener could not be bound, or the secret or a TLS file could not be read",
+            "4:stopped with unfinished requests: the drain time limit was reached or a second signal was received"
         })
 public final class DaemonMain implements Callable<Integer> {
 
@@ -55,24 +55,25 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = SETTINGS_OPTION, required = true, paramLabel = "FILE", description = "The settings file.")
+    @Option(names = SETTINGS_OPTION, required = true, paramLabel = "FILE", description = "Path of the settings file.")
     private Path settingsFile;
 
     /**
-     * Runs the daemon until it is stopped.
+     * Runs the daemon until it is stopped, and exits the process.
      *
-     * @param args the command line
+     * @param args the command line, not null
      */
     public static void main(String[] args) {
         System.exit(exitCode(args));
     }
 
     /**
-     * Runs the daemon until it is stopped. The one form that a platform starts daemons by is read here: the parser costs a
-     * sixth of a start.
+     * Runs the daemon until it is stopped. The form {@code --settings FILE}, which the platform uses, is parsed here without
+     * picocli, because picocli takes a sixth of the start-up time.
      *
      * @param args the command line, not null
-     * @return the exit code, whatever went wrong: a process that threw instead would live on with nothing but its sockets
+     * @return the exit code. Any failure is returned as an exit code: if this method threw an exception, other threads would
+     *     keep the process and its sockets alive without a working daemon.
      */
     public static int exitCode(String[] args) {
         if (args.length != 2 || !args[0].equals(SETTINGS_OPTION)) {
@@ -99,11 +100,16 @@
             return EXIT_INVALID_SETTINGS;
         }
         DaemonSettings settings = ((SettingsResult.Loaded) result).settings();
-        return settings instanceof ForwardingSettings forwarding ? runForwardingDaemon(forwarding, file) : runDaemon((Settings) settings);
+        return settings instanceof ForwardingSettings forwarding
+                ? runForwardingDaemon(forwarding, file)
+                : runDaemon((Settings) settings);
     }
 
-    /** A cancelled deadline timer that stayed queued would hold its whole request on the heap until it is due. */
-    // The executors that factories make have no switch for the removal of cancelled timers.
+    /**
+     * Creates the executor for timers. It removes cancelled timers immediately. Load: a cancelled deadline timer that
+     * stayed in the queue would keep its request on the heap until the deadline.
+     */
+    // The executors that the factory methods create cannot be configured to remove cancelled timers.
     @SuppressWarnings("DangerousThreadPoolExecutorUsage")
     private static ScheduledExecutorService newTimerExecutor() {
         ScheduledThreadPoolExecutor timerExecutor = new ScheduledThreadPoolExecutor(TIMER_THREADS);
@@ -136,8 +142,8 @@
     private static int runDaemon(Settings settings) {
         ScheduledExecutorService timerExecutor = newTimerExecutor();
         EventLoopGroup eventLoopGroup = new NioEventLoopGroup();
-        DaemonContext context =
-                new DaemonContext(new SystemTimeSource(timerExecutor), eventLoopGroup, RandomSource.XO_RO_SHI_RO_128_PP::create);
+        DaemonContext context = new DaemonContext(
+                new SystemTimeSource(timerExecutor), eventLoopGroup, RandomSource.XO_RO_SHI_RO_128_PP::create);
         Daemon daemon;
         try {
             daemon = new Daemon(settings, context);
--- a/src/main/java/org/dogwoodwinch/daemon/EdgeReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EdgeReport.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts and logs what becomes of callers' requests at the edge. Thread-safe. */
+/** Records metrics and log lines for callers' requests: their acceptance, tokens and outcome. Thread-safe. */
 final class EdgeReport implements EdgeObserver {
 
     private static final Logger log = LoggerFactory.getLogger(EdgeReport.class);
@@ -17,9 +17,9 @@
     private final Metrics metrics;
 
     /**
-     * Creates a report.
+     * Creates an observer.
      *
-     * @param metrics counts, not null
+     * @param metrics the daemon's metrics, not null
      */
     EdgeReport(Metrics metrics) {
         this.metrics = Objects.requireNonNull(metrics, "metrics");
--- a/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
+++ b/src/main/java/org/dogwoodwinch/daemon/EnginePoller.java
@@ -19,10 +19,11 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Reads engines' loads, states and cache events again and again and tells the routing. Thread-safe.
+ * Polls the engines for load reports, states and cache events, and passes them to the router. Thread-safe.
  *
- * <p>An engine that has not answered the last question is not asked again: a stopped engine would otherwise gather
- * connections until they run out.
+ * <p>Failure: an engine that is stopped without closing its connections would accumulate unanswered requests, each on a
+ * connection of its own, until no connection is left. An engine is therefore not polled again before its last load
+ * request has completed.
  */
 final class EnginePoller {
 
@@ -45,15 +46,15 @@
     private volatile Cancellable timer = () -> {};
 
     /**
-     * Creates a poller.
+     * Creates a poller. It sends nothing until {@link #start()} is called.
      *
-     * @param instanceList the instance list's last answer, not null
-     * @param unavailableTargets names of targets that planned changes hold back, not null
-     * @param targetClients reaches the engines, not null
-     * @param fleetView takes loads and states, not null
-     * @param router takes cache events, not null
-     * @param time runs the rounds, not null
-     * @param pollIntervalMillis time between rounds, in milliseconds
+     * @param instanceList returns the latest instance list, not null
+     * @param unavailableTargets returns the names of targets that are out of service or leaving, not null
+     * @param targetClients creates the clients of the engines, not null
+     * @param fleetView receives load reports and states, not null
+     * @param router receives cache events, not null
+     * @param time the clock and timers, not null
+     * @param pollIntervalMillis the time between polling rounds, in milliseconds
      */
     EnginePoller(
             Supplier<List<ListedInstance>> instanceList,
@@ -72,7 +73,7 @@
         this.pollIntervalMillis = pollIntervalMillis;
     }
 
-    /** Polls now and from now on. */
+    /** Runs a polling round and schedules the next. */
     void start() {
         if (stopped) {
             return;
@@ -89,18 +90,18 @@
         timer = time.schedule(pollIntervalMillis, this::start);
     }
 
-    /** Ends polling. */
+    /** Stops polling. */
     void stop() {
         stopped = true;
         timer.cancel();
     }
 
     /**
-     * Returns an engine's last report.
+     * Returns the last load report of an engine if it is recent.
      *
-     * @param name the engine, not null
-     * @param maxAgeMillis how long ago it may have come, in milliseconds
-     * @return the report, or empty where there is none that new
+     * @param name the engine's name, not null
+     * @param maxAgeMillis the maximum time since the report was received, in milliseconds
+     * @return the report, or empty if there is none or it is older
      */
     Optional<LoadReport> recentReport(String name, long maxAgeMillis) {
         return Optional.ofNullable(lastReports.get(name))
@@ -109,10 +110,10 @@
     }
 
     /**
-     * Returns the age of an engine's last report.
+     * Returns the time since the last load report of an engine was received.
      *
-     * @param name the engine, not null
-     * @return milliseconds, -1 where there is no report
+     * @param name the engine's name, not null
+     * @return the time in milliseconds, or -1 if there is no report
      */
     long reportAgeMillis(String name) {
         TimedReport report = lastReports.get(name);
@@ -134,7 +135,8 @@
         });
         if (includeState) {
             engine.state().thenAccept(state -> onState(name, state));
-            engine.cacheEvents(lastEventSequences.getOrDefault(name, -1L)).thenAccept(events -> onCacheEvents(name, events));
+            engine.cacheEvents(lastEventSequences.getOrDefault(name, -1L))
+                    .thenAccept(events -> onCacheEvents(name, events));
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/InstanceListInventory.java
+++ b/src/main/java/org/dogwoodwinch/daemon/InstanceListInventory.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.external.ListedInstance;
 import org.dogwoodwinch.target.Target;
 
-/** The fleet as the platform's instance list shows it, for leases and orders. Thread-safe. */
+/** Provides the engines and claim ranks that leases and orders use, from the platform's instance list. Thread-safe. */
 final class InstanceListInventory implements FleetInventory {
 
     private final TargetDirectory directory;
@@ -16,17 +16,20 @@
     private List<Target> lastEngines = List.of();
 
     /**
-     * Creates a view.
+     * Creates an inventory.
      *
-     * @param directory reads the list, not null
-     * @param ownCandidate this instance, not null
+     * @param directory provides the latest instance list, not null
+     * @param ownCandidate this instance as a candidate for claims, not null
      */
     InstanceListInventory(TargetDirectory directory, ClaimPriority.Candidate ownCandidate) {
         this.directory = Objects.requireNonNull(directory, "directory");
         this.ownCandidate = Objects.requireNonNull(ownCandidate, "ownCandidate");
     }
 
-    /** Asked for many times a second; at the target size the list has some five thousand lines and changes seldom. */
+    /**
+     * Returns the engines, converted again only if the list has changed. Load: this method is called many times per
+     * second; at the target fleet size the list has about five thousand entries, and it seldom changes.
+     */
     @Override
     public synchronized List<Target> engines() {
         List<ListedInstance> instances = directory.latestInstances();
--- a/src/main/java/org/dogwoodwinch/daemon/LeavingTargetReportingRouter.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LeavingTargetReportingRouter.java
@@ -11,7 +11,10 @@
 import org.dogwoodwinch.target.TargetFailure;
 import org.dogwoodwinch.target.Usage;
 
-/** Passes everything on, and tells the peers which target refused because it is leaving. Thread-safe. */
+/**
+ * Router decorator that reports each target that refuses an attempt because it is leaving the fleet, so that
+ * the peers learn of it. Thread-safe.
+ */
 final class LeavingTargetReportingRouter implements Router {
 
     private static final long MAX_TRACKED_ATTEMPTS = 100_000;
@@ -22,10 +25,10 @@
             Caffeine.newBuilder().maximumSize(MAX_TRACKED_ATTEMPTS).build();
 
     /**
-     * Creates a router.
+     * Creates a router that forwards all calls to another router.
      *
-     * @param delegate chooses, not null
-     * @param leavingListener takes the name of a target that refused because it is leaving, not null
+     * @param delegate chooses the targets, not null
+     * @param leavingListener receives the name of a target that refused because it is leaving the fleet, not null
      */
     LeavingTargetReportingRouter(Router delegate, Consumer<String> leavingListener) {
         this.delegate = Objects.requireNonNull(delegate, "delegate");
--- a/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
+++ b/src/main/java/org/dogwoodwinch/daemon/OperatorPages.java
@@ -29,7 +29,7 @@
 import org.dogwoodwinch.status.TargetStatus;
 import org.dogwoodwinch.target.Target;
 
-/** What the operators' listener shows. */
+/** The pages that the operators' listener serves: metrics, health, readiness, status, quarantine and control. */
 final class OperatorPages {
 
     private static final int OK = 200;
@@ -44,11 +44,11 @@
     /**
      * Creates the pages.
      *
-     * @param ownInstance who this instance is, not null
-     * @param metrics the counters, not null
-     * @param components what the pages show, not null
-     * @param inFlight counts requests, not null
-     * @param servingState whether requests are taken, not null
+     * @param ownInstance the name and data centre of this instance, not null
+     * @param metrics the daemon's metrics, not null
+     * @param components the daemon's components, whose state the pages show, not null
+     * @param inFlight the number of callers' requests in flight, not null
+     * @param servingState whether new requests are accepted, not null
      */
     OperatorPages(
             InstanceSettings ownInstance,
@@ -64,13 +64,14 @@
     }
 
     /**
-     * Returns the pages by path.
+     * Returns the pages by path or path prefix.
      *
-     * @return the map
+     * @return the map from path to page
      */
     Map<String, OperatorPage> byPath() {
         ControlEndpoint endpoint = new ControlEndpoint(components.control());
-        QuarantineEndpoint quarantine = new QuarantineEndpoint(components.peers().suspectRegistry());
+        QuarantineEndpoint quarantine =
+                new QuarantineEndpoint(components.peers().suspectRegistry());
         OperatorPage quarantinePage = call -> completedAnswer(toAnswer(
                 quarantine.handle(call.method(), call.path(), call.body().toUtf8())));
         return Map.of(
@@ -130,13 +131,16 @@
 
     private InstanceStatus status() {
         ControlStatus controlStatus = components.control().status();
-        List<TargetStatus> targets =
-                components.fleetView().targetSummaries().stream().map(this::targetStatus).toList();
+        List<TargetStatus> targets = components.fleetView().targetSummaries().stream()
+                .map(this::targetStatus)
+                .toList();
         List<PeerStatus> peers = components.directory().latestInstances().stream()
                 .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY)
                 .filter(listed -> !listed.name().equals(ownInstance.name()))
                 .map(listed -> new PeerStatus(
-                        listed.name(), listed.dataCentre(), components.peers().lastSeenTracker().millisSinceLastSeen(listed.name())))
+                        listed.name(),
+                        listed.dataCentre(),
+                        components.peers().lastSeenTracker().millisSinceLastSeen(listed.name())))
                 .toList();
         return new InstanceStatus(
                 ownInstance.name(),
--- a/src/main/java/org/dogwoodwinch/daemon/PeerComponents.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerComponents.java
@@ -24,7 +24,7 @@
 import org.dogwoodwinch.settings.Settings;
 import org.dogwoodwinch.settings.TlsSettings;
 
-/** The daemon's exchange with the other instances and what lives by it alone. */
+/** The daemon's message exchange with the other instances, and the components that depend only on it. */
 final class PeerComponents {
 
     private static final long SUSPICION_MILLIS = 600_000;
@@ -39,15 +39,16 @@
     private int port;
 
     /**
-     * Builds the parts; nothing is sent yet.
+     * Creates the components. Nothing is sent until {@link #start()} is called.
      *
      * @param settings the daemon's settings, not null
-     * @param context what the process gives, not null
-     * @param directory lists the other instances, not null
-     * @param metrics counts refused messages, not null
-     * @throws IOException if the secret or a TLS file cannot be read
+     * @param context the clock, event loops and random generators of the process, not null
+     * @param directory provides the list of the other instances, not null
+     * @param metrics counts refused peer messages, not null
+     * @throws IOException if the file with the peer secret or a TLS file cannot be read
      */
-    PeerComponents(Settings settings, DaemonContext context, TargetDirectory directory, Metrics metrics) throws IOException {
+    PeerComponents(Settings settings, DaemonContext context, TargetDirectory directory, Metrics metrics)
+            throws IOException {
         this.settings = settings.peers();
         String ownName = settings.instance().name();
         this.transport = new NettyPeerTransport(
@@ -70,44 +71,44 @@
         suspicionExchange.subscribe(suspectRegistry);
     }
 
-    /** Listens and begins the rounds. */
+    /** Binds the listener for peers and starts the gossip rounds. */
     void start() {
         port = transport.listen(settings.host(), settings.port(), gossipExchange::receive);
         gossipExchange.start();
     }
 
-    /** Ends the rounds and closes the connections. */
+    /** Stops the gossip rounds and closes the connections to peers. */
     void stop() {
         gossipExchange.stop();
         transport.close();
     }
 
-    /** Returns where the other instances connect. */
+    /** Returns the port on which the other instances connect, zero before {@link #start()}. */
     int port() {
         return port;
     }
 
-    /** Returns the notice board. */
+    /** Returns the publish/subscribe bus between the instances. */
     PeerBus bus() {
         return gossipExchange;
     }
 
-    /** Returns the exchange, which knows which starts of instances are alive. */
+    /** Returns the gossip exchange, which determines whether an incarnation of an instance is alive. */
     GossipExchange gossipExchange() {
         return gossipExchange;
     }
 
-    /** Returns the targets that refused because they are leaving. */
+    /** Returns the targets that refused requests because they are leaving the fleet. */
     LeavingTargets leavingTargets() {
         return leavingTargets;
     }
 
-    /** Returns what tells when each instance was last heard of. */
+    /** Returns the record of when an update of each other instance was last received. */
     PeerLastSeenTracker lastSeenTracker() {
         return lastSeenTracker;
     }
 
-    /** Returns the suspects. */
+    /** Returns the registry of requests suspected of crashing targets. */
     SuspectRegistry suspectRegistry() {
         return suspectRegistry;
     }
@@ -120,7 +121,7 @@
                 Files.readString(Path.of(peerSettings.secretFile())).strip(),
                 peerSettings.roundMillis(),
                 peerSettings.neighboursCount(),
-                // Half of the budget is for what the others send here.
+                // The other half of the bandwidth budget is reserved for messages received from peers.
                 (int) Math.min(Integer.MAX_VALUE, peerSettings.bytesPerSecond() / 2),
                 peerSettings.maxFrameBytes());
     }
@@ -133,7 +134,7 @@
                 .toList();
     }
 
-    /** Both sides show a certificate: who may connect may also tell the instance what it believes. */
+    /** Requires certificates from both sides, because whoever may connect can change this instance's view of the fleet. */
     private static Optional<SslContext> serverTls(Optional<TlsSettings> tlsSettings) throws IOException {
         if (tlsSettings.isEmpty()) {
             return Optional.empty();
@@ -156,7 +157,8 @@
 
     private static TlsSettings requireClientCa(TlsSettings files) throws IOException {
         if (files.clientCaFile().isEmpty()) {
-            throw new IOException("peers.tls.clientCaFile is missing: instances show each other certificates");
+            throw new IOException(
+                    "peers.tls.clientCaFile is missing: it is required to verify the certificates of peers");
         }
         return files;
     }
--- a/src/main/java/org/dogwoodwinch/daemon/PeerLastSeenTracker.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerLastSeenTracker.java
@@ -8,7 +8,10 @@
 import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.time.TimeSource;
 
-/** Notes when something of each other instance was last heard, by whatever way it came. Thread-safe. */
+/**
+ * Records when each other instance last published a membership or load update, whether the update arrived directly or
+ * through other instances. Thread-safe.
+ */
 final class PeerLastSeenTracker {
 
     private static final long NEVER = -1;
@@ -17,10 +20,10 @@
     private final Map<String, Long> lastSeenAtMillis = new ConcurrentHashMap<>();
 
     /**
-     * Creates a watch and listens to the board.
+     * Creates a tracker and subscribes it to the bus.
      *
-     * @param bus the notice board, not null
-     * @param time gives the time, not null
+     * @param bus the publish/subscribe bus between the instances, not null
+     * @param time the clock, not null
      */
     PeerLastSeenTracker(PeerBus bus, TimeSource time) {
         this.time = Objects.requireNonNull(time, "time");
@@ -29,10 +32,10 @@
     }
 
     /**
-     * Returns how long ago an instance was heard of.
+     * Returns the time since an instance published its last known update.
      *
-     * @param name its name, not null
-     * @return milliseconds, -1 where it never was
+     * @param name the instance's name, not null
+     * @return the time in milliseconds, or -1 if no update of the instance was received
      */
     long millisSinceLastSeen(String name) {
         Long seenAtMillis = lastSeenAtMillis.get(name);
--- a/src/main/java/org/dogwoodwinch/daemon/ReportedTargetActivity.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ReportedTargetActivity.java
@@ -8,10 +8,12 @@
 import org.dogwoodwinch.target.LoadReport;
 
 /**
- * What is in flight on a target: urgent work as all instances tell each other, everything else as the engine reports.
+ * Derives the requests in flight on a target from load reports: urgent requests from the reports that the instances
+ * exchange, the total from the engine's own report.
  *
- * <p>Where an instance that may have sent work was not heard of late, or the engine's report is old, nothing is known and
- * the target counts as busy: an order sent then could cut a booking.
+ * <p>If an instance that may have sent requests has not been seen recently, or the engine's report is too old, the
+ * result is incomplete and the target counts as busy. An order that is sent to a busy target could abort an urgent
+ * request such as a booking.
  */
 final class ReportedTargetActivity implements TargetActivity {
 
@@ -25,15 +27,20 @@
     private final String ownName;
 
     /**
-     * Creates the answerer.
+     * Creates a source of target activity.
      *
-     * @param fleetView knows urgent work, not null
-     * @param enginePoller knows the engines' reports, not null
-     * @param directory lists the instances, not null
-     * @param lastSeenTracker tells when they were heard of, not null
+     * @param fleetView provides whether a target has urgent requests in flight, not null
+     * @param enginePoller provides the engines' load reports, not null
+     * @param directory provides the list of instances, not null
+     * @param lastSeenTracker provides when each instance was last seen, not null
      * @param ownName this instance's name, not null
      */
-    ReportedTargetActivity(FleetView fleetView, EnginePoller enginePoller, TargetDirectory directory, PeerLastSeenTracker lastSeenTracker, String ownName) {
+    ReportedTargetActivity(
+            FleetView fleetView,
+            EnginePoller enginePoller,
+            TargetDirectory directory,
+            PeerLastSeenTracker lastSeenTracker,
+            String ownName) {
         this.fleetView = Objects.requireNonNull(fleetView, "fleetView");
         this.enginePoller = Objects.requireNonNull(enginePoller, "enginePoller");
         this.directory = Objects.requireNonNull(directory, "directory");
--- a/src/main/java/org/dogwoodwinch/daemon/RequestReport.java
+++ b/src/main/java/org/dogwoodwinch/daemon/RequestReport.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts and logs what becomes of attempts. Answers and refusals are counted at the edge, by {@link EdgeReport}, so that
- * each is counted once whoever decided it. Thread-safe.
+ * Records metrics and log lines for attempts, retries and internal errors. Answers and refusals are recorded by {@link
+ * EdgeReport} only, so that each is counted exactly once, whichever component decided it. Thread-safe.
  */
 final class RequestReport implements RequestObserver {
 
@@ -21,9 +21,9 @@
     private final Metrics metrics;
 
     /**
-     * Creates a report.
+     * Creates an observer.
      *
-     * @param metrics counts, not null
+     * @param metrics the daemon's metrics, not null
      */
     RequestReport(Metrics metrics) {
         this.metrics = Objects.requireNonNull(metrics, "metrics");
@@ -47,7 +47,7 @@
                 .info(log);
     }
 
-    /** The caller sees only {@code internal}: without this line and count, nobody could find the broken invariant. */
+    /** Logs the exception, because the caller receives only {@code internal}, which does not identify the fault. */
     @Override
     public void onInternalError(CallerRequest request, RuntimeException fault) {
         metrics.countEvent("request_fault");
--- a/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the settings file again when it changed, with or without a signal. Settings that are wrong are told and left
- * out of force: the process goes on with those that it has.
+ * Reloads the settings file when its content has changed, at a fixed interval or on request. Invalid settings are logged
+ * and ignored; the current settings stay in force.
  */
 final class SettingsWatch {
 
@@ -35,7 +35,7 @@
         this.listener = Objects.requireNonNull(listener, "listener");
     }
 
-    /** Watches from now on; what the file says now is in force already. */
+    /** Starts checking the file periodically. Its current content is taken as already in force. */
     void start() {
         lastContent = readFile();
         time.schedule(checkIntervalMillis, this::checkPeriodically);
@@ -46,7 +46,7 @@
         time.schedule(checkIntervalMillis, this::checkPeriodically);
     }
 
-    /** Looks at the file now, as after a signal. */
+    /** Checks the file immediately, for example after SIGHUP, and passes changed valid settings to the listener. */
     void reloadIfChanged() {
         String content = readFile();
         if (content.isEmpty() || content.equals(lastContent)) {
@@ -62,12 +62,15 @@
             listener.accept(changedSettings);
         } else {
             LogEvent.of("settings_rejected")
-                    .with("problem", "the file is of another kind of daemon")
+                    .with("problem", "the file does not contain the settings of a forwarding daemon")
                     .warn(log);
         }
     }
 
-    /** The content decides, not the file's time: a file that is replaced may keep the time of another machine. */
+    /**
+     * Reads the file. Changes are detected by content rather than by modification time, because a file that was copied
+     * from another machine may keep the modification time from there.
+     */
     private String readFile() {
         try {
             return Files.readString(file);
--- a/src/main/java/org/dogwoodwinch/daemon/Signals.java
+++ b/src/main/java/org/dogwoodwinch/daemon/Signals.java
@@ -5,23 +5,24 @@
 import java.util.Objects;
 
 /**
- * Signals of this process.
+ * Installs handlers for signals sent to this process.
  *
- * <p>The Java platform has no other interface to them than {@code sun.misc.Signal} of module {@code jdk.unsupported}. It
- * is reached by reflection, since javac warns of every other use and warnings are errors here.
+ * <p>The only interface of the Java platform to signals is {@code sun.misc.Signal} of module {@code jdk.unsupported}. It
+ * is called by reflection, because javac warns about every direct use and the build treats warnings as errors.
  */
 final class Signals {
 
     private Signals() {}
 
     /**
-     * Runs a reaction at each arrival of a signal.
+     * Sets the action that runs each time a signal is received.
      *
-     * @param name the signal's name without its prefix, as TERM, not null
-     * @param action runs on a thread of the virtual machine, not null
-     * @throws IllegalStateException if this virtual machine hands out no signals
+     * @param name the signal's name without the prefix {@code SIG}, such as {@code TERM}, not null
+     * @param action the action, which runs on a thread of the virtual machine, not null
+     * @throws IllegalStateException if this virtual machine does not support signal handlers
      */
-    // The proxy's type is only known at run time for the reason above, and no native image is built.
+    // The proxy's interface is only known at run time because it is loaded by reflection. The warning concerns native
+    // images, which this project does not build.
     @SuppressWarnings("ProxyNonConstantType")
     static void setHandler(String name, Runnable action) {
         Objects.requireNonNull(action, "action");
@@ -35,7 +36,7 @@
                     (_proxy, method, _arguments) -> runAction(method, action));
             handleMethod.invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this virtual machine hands out no signals", e);
+            throw new IllegalStateException("this virtual machine does not support sun.misc.Signal", e);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/StopSignals.java
+++ b/src/main/java/org/dogwoodwinch/daemon/StopSignals.java
@@ -7,10 +7,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Turns SIGTERM and SIGINT into a graceful stop, and a second one into an end at once.
+ * Starts a graceful stop on the first SIGTERM or SIGINT and ends the process immediately on the second.
  *
- * <p>A shutdown hook would not do: while hooks run, the virtual machine ignores further signals, so that an operator who
- * gives up on a drain could only kill the process and would get no exit code to tell the two apart.
+ * <p>A shutdown hook is not sufficient: the virtual machine ignores further signals while hooks run. An operator who
+ * wants to abort a drain could then only kill the process, and no exit code would distinguish the two cases.
  */
 final class StopSignals {
 
@@ -22,7 +22,7 @@
     private final Runnable onSecond;
 
     /**
-     * Creates the pair of reactions.
+     * Creates the handler. It receives nothing until {@link #install()} is called.
      *
      * @param onFirst starts the graceful stop and returns, not null
      * @param onSecond ends the process, not null
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Takes the signals of this process over.
+     * Installs this handler for SIGTERM and SIGINT of this process.
      *
-     * @throws IllegalStateException if this virtual machine hands out no signals
+     * @throws IllegalStateException if this virtual machine does not support signal handlers
      */
     void install() {
         for (String name : SIGNAL_NAMES) {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Reacts to a signal.
+     * Handles a signal.
      *
-     * @param name the signal's name, not null
+     * @param name the signal's name, such as {@code SIGTERM}, not null
      */
     void onSignal(String name) {
         int number = receivedCount.incrementAndGet();
--- a/src/main/java/org/dogwoodwinch/daemon/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetDirectory.java
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the platform's instance list again and again and keeps the last answer.
+ * Polls the platform's instance list and retains the latest version.
  *
- * <p>While the list does not answer, the last one stays: an empty fleet in its place would refuse every request.
- * Thread-safe.
+ * <p>While the service does not answer, the latest version remains in use: with an empty list the daemon would refuse
+ * every request. Thread-safe.
  */
 final class TargetDirectory {
 
@@ -36,11 +36,11 @@
     private volatile Cancellable timer = () -> {};
 
     /**
-     * Creates a directory.
+     * Creates an empty directory. It reads nothing until {@link #start()} is called.
      *
-     * @param instanceList the platform's list, not null
-     * @param time runs the readings, not null
-     * @param pollIntervalMillis time between readings, in milliseconds
+     * @param instanceList the client of the platform's instance list, not null
+     * @param time schedules the polls, not null
+     * @param pollIntervalMillis the delay between the end of a poll and the next, in milliseconds
      */
     TargetDirectory(InstanceList instanceList, TimeSource time, long pollIntervalMillis) {
         this.instanceList = Objects.requireNonNull(instanceList, "instanceList");
@@ -49,15 +49,15 @@
     }
 
     /**
-     * Calls back with each answer of the list.
+     * Adds a listener that is called with each list that is read, whether or not it differs from the previous one.
      *
-     * @param listener takes the list, not null
+     * @param listener receives the list, not null
      */
     void addListener(Consumer<List<ListedInstance>> listener) {
         listeners.add(listener);
     }
 
-    /** Begins to read. */
+    /** Starts polling. */
     void start() {
         instanceList.read().whenComplete((list, _error) -> {
             if (stopped) {
@@ -70,35 +70,35 @@
         });
     }
 
-    /** Ends reading. */
+    /** Stops polling. */
     void stop() {
         stopped = true;
         timer.cancel();
     }
 
     /**
-     * Says whether the list has answered at least once.
+     * Returns whether the instance list has been read at least once.
      *
-     * @return true from the first answer on
+     * @return true after the first successful poll
      */
     boolean hasInstanceList() {
         return listReceived;
     }
 
     /**
-     * Returns the last answer.
+     * Returns the latest version of the list.
      *
-     * @return the lines; empty before the first answer
+     * @return the listed instances; empty before the first successful poll
      */
     List<ListedInstance> latestInstances() {
         return latestInstances;
     }
 
     /**
-     * Finds a target.
+     * Finds a target by name.
      *
-     * @param name its name, not null
-     * @return the target, or empty where the list has none of that name
+     * @param name the target's name, not null
+     * @return the target, or empty if none of that name is listed
      */
     Optional<Target> find(String name) {
         return latestInstances.stream()
@@ -108,9 +108,9 @@
     }
 
     /**
-     * Counts the instances of our own that stay.
+     * Returns the number of daemon instances that are not about to be removed.
      *
-     * @return the count, one or more: this instance counts itself before the list shows it
+     * @return the count, at least one, because this instance counts before the list contains it
      */
     int activeInstanceCount() {
         return (int) Math.max(
@@ -121,11 +121,12 @@
     }
 
     /**
-     * Says whether an instance is among the first of our own, in order of name.
+     * Returns whether an instance is among the first daemon instances in the order of their names. Instances that are
+     * about to be removed do not count.
      *
-     * @param name its name, not null
-     * @param count how many count as the first
-     * @return true where it is
+     * @param name the instance's name, not null
+     * @param count the number of first instances
+     * @return true if the instance is one of them
      */
     boolean isAmongFirstInstances(String name, int count) {
         return latestInstances.stream()
@@ -137,10 +138,10 @@
     }
 
     /**
-     * Names the other instances of our own, those that leave too.
+     * Returns the names of the other daemon instances, including those that are about to be removed.
      *
      * @param ownName this instance's name, not null
-     * @return the names
+     * @return the names of the listed daemon instances without {@code ownName}
      */
     Set<String> otherInstanceNames(String ownName) {
         return latestInstances.stream()
@@ -151,9 +152,9 @@
     }
 
     /**
-     * Makes the target of a line.
+     * Converts an entry of the instance list to a target.
      *
-     * @param listed the line, not null
+     * @param listed the entry, not null
      * @return the target
      */
     static Target toTarget(ListedInstance listed) {
--- a/src/main/java/org/dogwoodwinch/daemon/package-info.java
+++ b/src/main/java/org/dogwoodwinch/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** Wires the parts into the daemon {@code dogwoodwinchd}. */
+/** The daemon {@code dogwoodwinchd}: its main class, the wiring of its components, and its operator pages. */
 package org.dogwoodwinch.daemon;
