--- a/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
@@ -68,12 +68,12 @@
     }
 
     /**
-     * Runs the daemon until it is stopped. The form {@code --settings FILE}, which the platform uses, is parsed here without
-     * picocli, because picocli takes a sixth of the start-up time.
+     * Runs the daemon until it is stopped. The form {@code --settings FILE}, which the platform uses, is parsed here
+     * without picocli, because picocli takes a sixth of the start-up time.
      *
      * @param args the command line, not null
-     * @return the exit code. Any failure is returned as an exit code: if this method threw an exception, other threads would
-     *     keep the process and its sockets alive without a working daemon.
+     * @return the exit code. Any failure is returned as an exit code: if this method threw an exception, other threads
+     *     would keep the process and its sockets alive without a working daemon.
      */
     public static int exitCode(String[] args) {
         if (args.length != 2 || !args[0].equals(SETTINGS_OPTION)) {
--- a/src/main/java/org/dogwoodwinch/daemon/LeavingTargetReportingRouter.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LeavingTargetReportingRouter.java
@@ -12,8 +12,8 @@
 import org.dogwoodwinch.target.Usage;
 
 /**
- * Router decorator that reports each target that refuses an attempt because it is leaving the fleet, so that
- * the peers learn of it. Thread-safe.
+ * Router decorator that reports each target that refuses an attempt because it is leaving the fleet, so that the
+ * peers receive its name. Thread-safe.
  */
 final class LeavingTargetReportingRouter implements Router {
 
--- a/src/main/java/org/dogwoodwinch/daemon/PeerComponents.java
+++ b/src/main/java/org/dogwoodwinch/daemon/PeerComponents.java
@@ -134,7 +134,10 @@
                 .toList();
     }
 
-    /** Requires certificates from both sides, because whoever may connect can change this instance's view of the fleet. */
+    /**
+     * Creates the TLS context of the listener for peers. It requires client certificates, because whoever may connect
+     * can change this instance's view of the fleet.
+     */
     private static Optional<SslContext> serverTls(Optional<TlsSettings> tlsSettings) throws IOException {
         if (tlsSettings.isEmpty()) {
             return Optional.empty();
--- a/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reloads the settings file when its content has changed, at a fixed interval or on request. Invalid settings are logged
- * and ignored; the current settings stay in force.
+ * Reloads the settings file when its content has changed, at a fixed interval or on request. Invalid settings are
+ * logged and ignored; the current settings stay in force.
  */
 final class SettingsWatch {
 
--- a/src/main/java/org/dogwoodwinch/daemon/Signals.java
+++ b/src/main/java/org/dogwoodwinch/daemon/Signals.java
@@ -7,8 +7,8 @@
 /**
  * Installs handlers for signals sent to this process.
  *
- * <p>The only interface of the Java platform to signals is {@code sun.misc.Signal} of module {@code jdk.unsupported}. It
- * is called by reflection, because javac warns about every direct use and the build treats warnings as errors.
+ * <p>The only interface of the Java platform to signals is {@code sun.misc.Signal} of module {@code jdk.unsupported}.
+ * It is called by reflection, because javac warns about every direct use and the build treats warnings as errors.
  */
 final class Signals {
 
