--- a/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
@@ -16,30 +16,30 @@
 
 class BrokenTargetsTest {
 
-    private static final int MEMBERS_COUNT = 48;
-    private static final int TARGETS_COUNT = 100;
-    private static final int BROKEN_COUNT = 12;
-    private static final long BROKEN_MILLIS = 7_000;
+    private static final int INSTANCE_COUNT = 48;
+    private static final int TARGET_COUNT = 100;
+    private static final int BROKEN_TARGET_COUNT = 12;
+    private static final long OUTAGE_MILLIS = 7_000;
     private static final long BORN_MILLIS = 7;
-    private static final long HALF_BACK_MILLIS = 2_000;
-    private static final long ALL_BACK_MILLIS = 5_000;
-    private static final long CALL_GAP_MILLIS = 3;
+    private static final long HALF_RECOVERED_MILLIS = 2_000;
+    private static final long ALL_RECOVERED_MILLIS = 5_000;
+    private static final long CALL_INTERVAL_MILLIS = 3;
 
     /** Half of what the quota of a fifth allows. */
-    private static final int MOST_PART_OF_CALLS = 10;
+    private static final int MAX_FAILED_CALLS_DIVISOR = 10;
 
-    private final RelayFleet fleet = new RelayFleet(MEMBERS_COUNT, 3, 5);
+    private final SimulatedFleet fleet = new SimulatedFleet(INSTANCE_COUNT, 3, 5);
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(9);
     private final List<Incarnation> targets = new ArrayList<>();
     private final List<TargetHealth> healths = new ArrayList<>();
-    private final List<BrokenTargets> shared = new ArrayList<>();
+    private final List<BrokenTargets> brokenTargets = new ArrayList<>();
     private final Map<String, Long> bornMillis = new HashMap<>();
 
     BrokenTargetsTest() {
-        for (int i = 0; i < TARGETS_COUNT; i++) {
+        for (int i = 0; i < TARGET_COUNT; i++) {
             targets.add(new Incarnation("t" + i, "reader", "10.0.0.1", 80, "dc0", 6, false, Stage.WHOLE, BORN_MILLIS));
         }
-        for (RelayFleet.Member member : fleet.members) {
+        for (SimulatedFleet.Member member : fleet.members) {
             TargetHealth health = new TargetHealth(fleet.time::monotonicMillis);
             healths.add(health);
             BrokenTargets broken = new BrokenTargets(
@@ -49,7 +49,7 @@
                     _id -> bornMillis.getOrDefault(member.name, BORN_MILLIS),
                     RandomSource.XO_RO_SHI_RO_128_PP.create(healths.size()));
             broken.start();
-            shared.add(broken);
+            brokenTargets.add(broken);
         }
         fleet.time.advanceMillis(2_000);
     }
@@ -61,64 +61,66 @@
      * instance for itself, the twelve got 1,282 of 2,334 calls.
      */
     @Test
-    void whatOneInstanceFindsOutSparesTheOthersCalls() {
-        int metCount = play(BROKEN_MILLIS, true);
+    void failuresSeenByOneInstanceAreAvoidedByOthers() {
+        int failedCount = simulate(OUTAGE_MILLIS, true);
 
-        long mostCount = BROKEN_MILLIS / CALL_GAP_MILLIS / MOST_PART_OF_CALLS;
-        assertTrue(metCount <= mostCount, metCount + " calls met a broken target, " + mostCount + " is half the quota");
+        long maxCount = OUTAGE_MILLIS / CALL_INTERVAL_MILLIS / MAX_FAILED_CALLS_DIVISOR;
+        assertTrue(
+                failedCount <= maxCount,
+                failedCount + " calls met a broken target, " + maxCount + " is half the quota");
     }
 
     /** A target that answers again is back at half of the instances within two seconds, and at all within five. */
     @Test
-    void aTargetThatAnswersAgainIsTakenBackByAll() {
-        play(BROKEN_MILLIS, true);
+    void recoveredTargetIsUsedAgainByAllInstances() {
+        simulate(OUTAGE_MILLIS, true);
 
-        play(HALF_BACK_MILLIS, false);
-        int leftOutCount = healths.stream()
-                .mapToInt(health -> TARGETS_COUNT - health.filterUsable(targets).size())
+        simulate(HALF_RECOVERED_MILLIS, false);
+        int avoidedCount = healths.stream()
+                .mapToInt(health -> TARGET_COUNT - health.filterUsable(targets).size())
                 .sum();
-        assertTrue(leftOutCount <= MEMBERS_COUNT * BROKEN_COUNT / 2, leftOutCount + " are still left alone");
+        assertTrue(avoidedCount <= INSTANCE_COUNT * BROKEN_TARGET_COUNT / 2, avoidedCount + " are still left alone");
 
-        play(ALL_BACK_MILLIS - HALF_BACK_MILLIS, false);
+        simulate(ALL_RECOVERED_MILLIS - HALF_RECOVERED_MILLIS, false);
         for (TargetHealth health : healths) {
-            assertEquals(TARGETS_COUNT, health.filterUsable(targets).size());
+            assertEquals(TARGET_COUNT, health.filterUsable(targets).size());
         }
     }
 
     /** A target has started again, and a word about its earlier start comes late: it says nothing of the later one. */
     @Test
-    void aWordAboutAnEarlierStartLeavesNothingOut() {
+    void reportOnEarlierIncarnationIsIgnored() {
         bornMillis.put("i1", BORN_MILLIS + 1);
 
-        shared.get(0).brokeOff("t3");
+        brokenTargets.get(0).brokeOff("t3");
         fleet.time.advanceMillis(900);
 
-        assertEquals(TARGETS_COUNT, healths.get(1).filterUsable(targets).size());
-        assertEquals(TARGETS_COUNT - 1, healths.get(2).filterUsable(targets).size());
+        assertEquals(TARGET_COUNT, healths.get(1).filterUsable(targets).size());
+        assertEquals(TARGET_COUNT - 1, healths.get(2).filterUsable(targets).size());
     }
 
     /** Calls come one after the other at any instance, and half of them would rather go to a target with nothing to do. */
-    private int play(long forMillis, boolean broken) {
-        int metCount = 0;
-        for (long played = 0; played < forMillis; played += CALL_GAP_MILLIS) {
-            int member = random.nextInt(MEMBERS_COUNT);
-            List<Incarnation> usable = healths.get(member).filterUsable(targets);
+    private int simulate(long durationMillis, boolean broken) {
+        int failedCount = 0;
+        for (long elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += CALL_INTERVAL_MILLIS) {
+            int memberIndex = random.nextInt(INSTANCE_COUNT);
+            List<Incarnation> usable = healths.get(memberIndex).filterUsable(targets);
             List<Incarnation> idle =
-                    usable.stream().filter(BrokenTargetsTest::mayBreak).toList();
-            List<Incarnation> among = random.nextBoolean() && !idle.isEmpty() ? idle : usable;
-            Incarnation chosen = among.get(random.nextInt(among.size()));
-            if (broken && mayBreak(chosen)) {
-                metCount++;
-                shared.get(member).brokeOff(chosen.id());
+                    usable.stream().filter(BrokenTargetsTest::isAffectedTarget).toList();
+            List<Incarnation> candidates = random.nextBoolean() && !idle.isEmpty() ? idle : usable;
+            Incarnation chosen = candidates.get(random.nextInt(candidates.size()));
+            if (broken && isAffectedTarget(chosen)) {
+                failedCount++;
+                brokenTargets.get(memberIndex).brokeOff(chosen.id());
             } else {
-                shared.get(member).answered(chosen.id());
+                brokenTargets.get(memberIndex).answered(chosen.id());
             }
-            fleet.time.advanceMillis(CALL_GAP_MILLIS);
+            fleet.time.advanceMillis(CALL_INTERVAL_MILLIS);
         }
-        return metCount;
+        return failedCount;
     }
 
-    private static boolean mayBreak(Incarnation target) {
-        return Integer.parseInt(target.id().substring(1)) < BROKEN_COUNT;
+    private static boolean isAffectedTarget(Incarnation target) {
+        return Integer.parseInt(target.id().substring(1)) < BROKEN_TARGET_COUNT;
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/DaemonTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/DaemonTest.java
@@ -51,7 +51,7 @@
      * No answer here is longer. Without it each request counts with the 1,024 tokens that its entry allows, and forty of
      * them may add up to more than the deadline, depending on how many arrive before the first is answered.
      */
-    private static final int MOST_TOKENS = 64;
+    private static final int MAX_TOKENS = 64;
 
     private final EventLoopGroup group = new NioEventLoopGroup(4);
     private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(2);
@@ -61,7 +61,7 @@
     private DaemonAddress address;
 
     @BeforeEach
-    void start(@TempDir Path folder) throws IOException, InterruptedException {
+    void start(@TempDir Path directory) throws IOException, InterruptedException {
         SystemTimeSource time = new SystemTimeSource(timers);
         fleet = new StandInFleet(group, time, 0, StandInEngineObserver.NONE);
         for (int i = 1; i <= 2; i++) {
@@ -75,7 +75,8 @@
         }
         fleet.addService("script-check-1", DemoCatalogue.SCRIPT_CHECK, "kakkanad");
         daemon = new Daemon(
-                settings(folder), new DaemonContext(time, group, () -> RandomSource.XO_RO_SHI_RO_128_PP.create(11)));
+                createSettings(directory),
+                new DaemonContext(time, group, () -> RandomSource.XO_RO_SHI_RO_128_PP.create(11)));
         daemon.start();
         address = new DaemonAddress("malabar-1", "kakkanad", daemon.callersPort(), daemon.operatorsPort(), 0);
         FleetSetup setup = new FleetSetup(http, fleet.addresses());
@@ -96,24 +97,24 @@
      * for byte, though all the answers come interleaved from the same engines.
      */
     @Test
-    void concurrentCallersEachGetTheirOwnWholeAnswer() throws IOException {
-        List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
+    void concurrentCallersReceiveTheirOwnCompleteResponses() throws IOException {
+        List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            answers.add(http.sendAsync(slot("prompt " + i, i % 2 == 0), BodyHandlers.ofString()));
+            responses.add(http.sendAsync(completionRequest("prompt " + i, i % 2 == 0), BodyHandlers.ofString()));
         }
         for (int i = 0; i < 40; i++) {
-            HttpResponse<String> answer = answers.get(i).join();
-            assertEquals(200, answer.statusCode(), answer.body());
-            assertEquals(StandInText.answer("prompt " + i, MOST_TOKENS), textOf(answer.body()));
+            HttpResponse<String> response = responses.get(i).join();
+            assertEquals(200, response.statusCode(), response.body());
+            assertEquals(StandInText.answer("prompt " + i, MAX_TOKENS), responseText(response.body()));
         }
     }
 
     @Test
-    void aPlainServiceRunsOnce() throws IOException, InterruptedException {
-        HttpResponse<String> answer = http.send(
+    void plainServiceRequestRunsOnce() throws IOException, InterruptedException {
+        HttpResponse<String> response = http.send(
                 request("/services/script-check/checks?reel=4", DemoCatalogue.COMPLIANCE_TOKEN, "script"),
                 BodyHandlers.ofString());
-        assertEquals("script-check-1 did POST /checks?reel=4 script", answer.body());
+        assertEquals("script-check-1 did POST /checks?reel=4 script", response.body());
         assertEquals(1, fleet.serviceRuns());
     }
 
@@ -122,58 +123,59 @@
      * run, and ends only after the answer is whole.
      */
     @Test
-    void aStopCutsNoRequest() throws IOException, InterruptedException {
-        CompletableFuture<HttpResponse<String>> running =
-                http.sendAsync(slot("long one [tokens=60]", true), BodyHandlers.ofString());
-        awaitStatus("/status", body -> body.contains("\"inFlightRequests\":1"));
-        CompletableFuture<Integer> stopped = daemon.stop().toCompletableFuture();
-        assertEquals(503, operators("/readyz").statusCode());
-        awaitRefusal();
-        assertEquals(0, stopped.join());
+    void stopCompletesRunningRequests() throws IOException, InterruptedException {
+        CompletableFuture<HttpResponse<String>> runningRequest =
+                http.sendAsync(completionRequest("long one [tokens=60]", true), BodyHandlers.ofString());
+        awaitOperatorResponse("/status", body -> body.contains("\"inFlightRequests\":1"));
+        CompletableFuture<Integer> exitCode = daemon.stop().toCompletableFuture();
+        assertEquals(503, getFromOperatorPort("/readyz").statusCode());
+        awaitStoppingRefusal();
+        assertEquals(0, exitCode.join());
         assertEquals(
-                StandInText.answer("long one [tokens=60]", MOST_TOKENS),
-                textOf(running.join().body()));
+                StandInText.answer("long one [tokens=60]", MAX_TOKENS),
+                responseText(runningRequest.join().body()));
     }
 
     @Test
-    void operatorsSeeTheFleet() throws IOException, InterruptedException {
-        awaitStatus("/status", body -> body.contains("\"name\":\"booking-2\""));
-        String body = operators("/status").body();
+    void operatorEndpointsReportFleetState() throws IOException, InterruptedException {
+        awaitOperatorResponse("/status", body -> body.contains("\"name\":\"booking-2\""));
+        String body = getFromOperatorPort("/status").body();
         assertTrue(body.contains("\"ready\":true") && body.contains("\"logReachable\":true"), body);
-        assertEquals(404, operators("/nothing").statusCode());
-        assertEquals("[]", operators("/quarantine").body());
-        String metrics = operators("/metrics").body();
+        assertEquals(404, getFromOperatorPort("/nothing").statusCode());
+        assertEquals("[]", getFromOperatorPort("/quarantine").body());
+        String metrics = getFromOperatorPort("/metrics").body();
         assertTrue(metrics.contains("dogwoodwinch_catalogue_revision "), metrics);
         assertFalse(metrics.contains("dogwoodwinch_catalogue_revision -1"), metrics);
     }
 
-    private void awaitRefusal() throws IOException, InterruptedException {
-        HttpResponse<String> answer;
+    private void awaitStoppingRefusal() throws IOException, InterruptedException {
+        HttpResponse<String> response;
         do {
-            answer = http.send(slot("late", false), BodyHandlers.ofString());
-        } while (answer.statusCode() == 200);
-        assertEquals(503, answer.statusCode());
+            response = http.send(completionRequest("late", false), BodyHandlers.ofString());
+        } while (response.statusCode() == 200);
+        assertEquals(503, response.statusCode());
         assertEquals(
-                "stopping", answer.headers().firstValue("Dogwoodwinch-Refusal").orElse(""));
+                "stopping",
+                response.headers().firstValue("Dogwoodwinch-Refusal").orElse(""));
     }
 
-    private void awaitStatus(String path, java.util.function.Predicate<String> wanted)
+    private void awaitOperatorResponse(String path, java.util.function.Predicate<String> condition)
             throws IOException, InterruptedException {
-        while (!wanted.test(operators(path).body())) {
+        while (!condition.test(getFromOperatorPort(path).body())) {
             Thread.onSpinWait();
         }
     }
 
-    private HttpResponse<String> operators(String path) throws IOException, InterruptedException {
+    private HttpResponse<String> getFromOperatorPort(String path) throws IOException, InterruptedException {
         return http.send(
                 HttpRequest.newBuilder(URI.create(address.operatorsUrl() + path))
                         .build(),
                 BodyHandlers.ofString());
     }
 
-    private HttpRequest slot(String prompt, boolean stream) {
+    private HttpRequest completionRequest(String prompt, boolean stream) {
         String body = "{\"model\":\"slot-confirmation\",\"prompt\":\"" + prompt + "\",\"stream\":" + stream
-                + ",\"max_tokens\":" + MOST_TOKENS + "}";
+                + ",\"max_tokens\":" + MAX_TOKENS + "}";
         return request("/v1/completions", DemoCatalogue.BOOKING_TOKEN, body);
     }
 
@@ -184,28 +186,28 @@
                 .build();
     }
 
-    private static String textOf(String body) throws IOException {
+    private static String responseText(String body) throws IOException {
         ObjectMapper mapper = new ObjectMapper();
         if (!body.startsWith("data: ")) {
-            return text(mapper.readTree(body));
+            return choiceText(mapper.readTree(body));
         }
         assertTrue(body.endsWith("data: [DONE]\n\n"), body);
         StringBuilder text = new StringBuilder();
         for (String event : Splitter.on("\n\n").omitEmptyStrings().split(body)) {
             String data = event.substring("data: ".length());
             if (!data.equals("[DONE]")) {
-                text.append(text(mapper.readTree(data)));
+                text.append(choiceText(mapper.readTree(data)));
             }
         }
         return text.toString();
     }
 
-    private static String text(JsonNode answer) {
-        return answer.path("choices").path(0).path("text").asText();
+    private static String choiceText(JsonNode response) {
+        return response.path("choices").path(0).path("text").asText();
     }
 
-    private Settings settings(Path folder) throws IOException {
-        Path secret = Files.writeString(folder.resolve("secret"), "a secret of the test, long enough to be one");
+    private Settings createSettings(Path directory) throws IOException {
+        Path secret = Files.writeString(directory.resolve("secret"), "a secret of the test, long enough to be one");
         String json = "{\"instance\":{\"name\":\"malabar-1\",\"dataCentre\":\"kakkanad\"},\"callers\":{\"port\":0},"
                 + "\"operators\":{\"port\":0},\"admission\":{\"limitHomeIndex\":0,\"limitHomesCount\":1},\"peers\":{\"port\":0,\"secretFile\":\""
                 + secret + "\"},"
--- a/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
@@ -14,40 +14,40 @@
 
     private static final long BORN_MILLIS = 7;
 
-    private final RelayFleet fleet = new RelayFleet(6, 3, 5);
+    private final SimulatedFleet fleet = new SimulatedFleet(6, 3, 5);
     private final List<TargetHealth> healths = new ArrayList<>();
-    private final List<EnginesAway> shared = new ArrayList<>();
+    private final List<EnginesAway> enginesAway = new ArrayList<>();
     private final Map<String, Long> bornMillis = new HashMap<>();
 
     EnginesAwayTest() {
-        for (RelayFleet.Member member : fleet.members) {
+        for (SimulatedFleet.Member member : fleet.members) {
             TargetHealth health = new TargetHealth(fleet.time::monotonicMillis);
             healths.add(health);
             EnginesAway away =
                     new EnginesAway(member.exchange, health, _id -> bornMillis.getOrDefault(member.name, BORN_MILLIS));
             away.start();
-            shared.add(away);
+            enginesAway.add(away);
         }
         fleet.time.advanceMillis(1_000);
     }
 
     @Test
-    void allInstancesLeaveAnEngineAloneUntilItIsBack() {
-        shared.get(0).tell("e1", 15_000);
+    void allInstancesAvoidEngineDuringStageChange() {
+        enginesAway.get(0).tell("e1", 15_000);
         fleet.time.advanceMillis(500);
         healths.forEach(health -> assertTrue(health.isChangingStage("e1")));
 
-        shared.get(0).tell("e1", 0);
+        enginesAway.get(0).tell("e1", 0);
         fleet.time.advanceMillis(500);
         healths.forEach(health -> assertFalse(health.isChangingStage("e1")));
     }
 
     /** The engine crashed while it changed and is back under its id: a word from before must not leave it idle. */
     @Test
-    void aWordAboutAnEarlierStartLeavesNothingOut() {
+    void noticeAboutEarlierIncarnationIsIgnored() {
         bornMillis.put("i1", BORN_MILLIS + 1);
 
-        shared.get(0).tell("e1", 15_000);
+        enginesAway.get(0).tell("e1", 15_000);
         fleet.time.advanceMillis(500);
 
         assertFalse(healths.get(1).isChangingStage("e1"));
--- a/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
@@ -30,7 +30,7 @@
 class ForwardingDaemonTest {
 
     private static final String FAULT_HEADER = "x-fault";
-    private static final int MOST_QUESTIONS = 20_000;
+    private static final int MAX_ATTEMPTS = 20_000;
 
     private final Transport platformLoop = Transport.start(1);
     private final Transport daemonLoop = Transport.start(1);
@@ -41,9 +41,9 @@
     void start() throws IOException {
         platform = new PlatformStandIn(
                 platformLoop, new EventLoopTime(platformLoop.group().next()), ForwardingDaemonTest::fault);
-        daemon = new ForwardingDaemon(settings(), daemonLoop, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
+        daemon = new ForwardingDaemon(createSettings(), daemonLoop, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
         daemon.start();
-        assertTrue(becomesReady());
+        assertTrue(awaitReady());
     }
 
     @AfterEach
@@ -54,11 +54,11 @@
     }
 
     private static TargetFault fault(StandInRequest request) {
-        String wanted = request.header(FAULT_HEADER);
-        return wanted.isEmpty() ? TargetFault.NONE : TargetFault.valueOf(wanted);
+        String faultName = request.header(FAULT_HEADER);
+        return faultName.isEmpty() ? TargetFault.NONE : TargetFault.valueOf(faultName);
     }
 
-    private ForwardingSettings settings() {
+    private ForwardingSettings createSettings() {
         String json = "{\"instance\":{\"name\":\"n1\",\"dataCentre\":\"dc-1\"},\"forwarding\":{"
                 + "\"listen\":\"127.0.0.1:0\",\"readyListen\":\"127.0.0.1:0\",\"metricsListen\":\"127.0.0.1:0\"},"
                 + "\"store\":{\"address\":\"" + platform.storeAddress() + "\"},"
@@ -69,9 +69,9 @@
                 });
     }
 
-    private boolean becomesReady() throws IOException {
-        for (int i = 0; i < MOST_QUESTIONS; i++) {
-            if (ask(daemon.readyPort(), "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+    private boolean awaitReady() throws IOException {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
+            if (exchange(daemon.readyPort(), "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                     .startsWith("HTTP/1.1 200 ")) {
                 return true;
             }
@@ -79,7 +79,7 @@
         return false;
     }
 
-    private static String ask(int port, String request) throws IOException {
+    private static String exchange(int port, String request) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             InputStream in = socket.getInputStream();
@@ -87,8 +87,8 @@
         }
     }
 
-    private String call(String path, String id, String headers) throws IOException {
-        return ask(
+    private String sendCall(String path, String id, String headers) throws IOException {
+        return exchange(
                 daemon.port(),
                 "POST " + path + " HTTP/1.1\r\nHost: " + PlatformStandIn.HOST + "\r\nRequest-Id: " + id + "\r\n"
                         + headers + "Connection: close\r\nContent-Length: 5\r\n\r\nhello");
@@ -98,7 +98,7 @@
         return FAULT_HEADER + ": " + fault.name() + "\r\n";
     }
 
-    private int runs(String id) {
+    private int countRuns(String id) {
         return platform.targets().stream()
                 .map(TargetStandIn::runs)
                 .mapToInt(runs -> runs.getOrDefault(id, 0))
@@ -106,17 +106,18 @@
     }
 
     @Test
-    void eachKindOfCallIsServed() throws IOException {
-        assertTrue(call("/safe/a", "a1", "").endsWith("done a1"));
-        assertTrue(call("/once/a", "b2", "").endsWith("done b2"));
+    void eachRouteKindIsServed() throws IOException {
+        assertTrue(sendCall("/safe/a", "a1", "").endsWith("done a1"));
+        assertTrue(sendCall("/once/a", "b2", "").endsWith("done b2"));
         for (String path : new String[] {"/stream/a", "/resume/a"}) {
             String id = "c" + path.charAt(1);
-            String answer = call(path, id, "Model: m\r\nToken-Count: 2000,8\r\nPrompt-Prefix: 5c:1500,91:500\r\n");
-            assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-            assertTrue(answer.contains("id: 8\ndata: word8\n\n") && answer.endsWith("0\r\n\r\n"), answer);
-            assertEquals(1, runs(id));
+            String response =
+                    sendCall(path, id, "Model: m\r\nToken-Count: 2000,8\r\nPrompt-Prefix: 5c:1500,91:500\r\n");
+            assertTrue(response.startsWith("HTTP/1.1 200 "), response);
+            assertTrue(response.contains("id: 8\ndata: word8\n\n") && response.endsWith("0\r\n\r\n"), response);
+            assertEquals(1, countRuns(id));
         }
-        assertTrue(call("/nowhere/", "d4", "").startsWith("HTTP/1.1 404 "));
+        assertTrue(sendCall("/nowhere/", "d4", "").startsWith("HTTP/1.1 404 "));
     }
 
     /**
@@ -124,68 +125,68 @@
      * what may repeat is answered by another target where one answers.
      */
     @Test
-    void whateverTargetsDoNothingRunsTwiceAndNothingIsDenied() throws IOException {
+    void unsafeCallRunsAtMostOnceUnderTargetFaults() throws IOException {
         for (TargetFault fault : TargetFault.values()) {
             String id = "f-" + fault.name();
-            String answer = call("/once/a", id, fault(fault));
-            assertTrue(runs(id) <= 1, fault.name());
-            boolean denied = answer.startsWith("HTTP/1.1 503 ") || answer.startsWith("HTTP/1.1 429 ");
-            assertEquals(fault == TargetFault.REJECTED, denied, answer);
+            String response = sendCall("/once/a", id, fault(fault));
+            assertTrue(countRuns(id) <= 1, fault.name());
+            boolean reportedNotRun = response.startsWith("HTTP/1.1 503 ") || response.startsWith("HTTP/1.1 429 ");
+            assertEquals(fault == TargetFault.REJECTED, reportedNotRun, response);
             boolean success = fault == TargetFault.NONE || fault == TargetFault.EXTRA_ANSWER;
-            assertEquals(success, answer.startsWith("HTTP/1.1 200 "), answer);
+            assertEquals(success, response.startsWith("HTTP/1.1 200 "), response);
         }
     }
 
     /** The store falls silent after the start: calls are served by what was read before. */
     @Test
-    void withoutTheStoreCallsGoOn() throws Exception {
-        CompletableFuture<Void> silent = new CompletableFuture<>();
+    void callsAreServedWhileStoreIsSilent() throws Exception {
+        CompletableFuture<Void> storeSilenced = new CompletableFuture<>();
         platformLoop.group().next().execute(() -> {
             platform.store().mode(StoreStandIn.Mode.SILENT);
-            silent.complete(null);
+            storeSilenced.complete(null);
         });
-        silent.get(10, TimeUnit.SECONDS);
+        storeSilenced.get(10, TimeUnit.SECONDS);
 
         for (int i = 0; i < 20; i++) {
-            assertTrue(call("/once/a", "o" + i, "").endsWith("done o" + i));
+            assertTrue(sendCall("/once/a", "o" + i, "").endsWith("done o" + i));
         }
     }
 
     /** A stop while a stream runs: the stream is whole, the instance is not ready, and nothing was cut. */
     @Test
-    void aPlannedStopCutsNothing() throws Exception {
+    void plannedStopCompletesRunningStream() throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), daemon.port())) {
             socket.getOutputStream()
                     .write(("GET /stream/a HTTP/1.1\r\nHost: " + PlatformStandIn.HOST + "\r\nRequest-Id: s2\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
             byte[] first = socket.getInputStream().readNBytes(20);
-            CompletableFuture<Integer> stopped = daemon.stop().toCompletableFuture();
+            CompletableFuture<Integer> exitCode = daemon.stop().toCompletableFuture();
 
             String rest = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
 
             assertTrue(new String(first, StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 200 "));
             assertTrue(rest.endsWith("0\r\n\r\n"), rest);
-            assertEquals(0, stopped.get(30, TimeUnit.SECONDS));
+            assertEquals(0, exitCode.get(30, TimeUnit.SECONDS));
         }
-        assertTrue(ask(daemon.readyPort(), "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        assertTrue(exchange(daemon.readyPort(), "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .startsWith("HTTP/1.1 503 "));
     }
 
     @Test
-    void aNewConfigurationComesIntoForce() throws Exception {
-        String before = call("/safe/a", "v1", "").toLowerCase(Locale.ROOT);
-        assertTrue(before.contains("server-stamp"), before);
+    void newConfigurationTakesEffect() throws Exception {
+        String firstResponse = sendCall("/safe/a", "v1", "").toLowerCase(Locale.ROOT);
+        assertTrue(firstResponse.contains("server-stamp"), firstResponse);
         platformLoop
                 .group()
                 .next()
                 .execute(() -> platform.store()
                         .put("keyed.op", "config", "{\"version\":9,\"routes\":[],\"services\":[],\"limits\":{}}"));
-        String answer = "";
-        for (int i = 0; i < MOST_QUESTIONS && !answer.startsWith("HTTP/1.1 404 "); i++) {
-            answer = call("/safe/a", "w" + i, "");
+        String response = "";
+        for (int i = 0; i < MAX_ATTEMPTS && !response.startsWith("HTTP/1.1 404 "); i++) {
+            response = sendCall("/safe/a", "w" + i, "");
         }
-        assertTrue(answer.startsWith("HTTP/1.1 404 "), answer);
+        assertTrue(response.startsWith("HTTP/1.1 404 "), response);
         platformLoop.group().next().execute(() -> platform.configure(3));
-        assertTrue(call("/safe/a", "x1", "").startsWith("HTTP/1.1 404 "), "an older version must not come back");
+        assertTrue(sendCall("/safe/a", "x1", "").startsWith("HTTP/1.1 404 "), "an older version must not come back");
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
@@ -26,130 +26,132 @@
     private static final long BORN_MILLIS = 7;
     private static final Incarnation TARGET =
             new Incarnation("t1", "reader", "10.0.0.1", 80, "dc0", 64, false, Stage.DECODE, 1, BORN_MILLIS);
-    private static final long CALL_GAP_MILLIS = 10;
+    private static final long CALL_INTERVAL_MILLIS = 10;
     private static final long WINDOW_MILLIS = 4_000;
-    private static final long STABLE_MILLIS = 3_000;
+    private static final long SETTLE_MILLIS = 3_000;
 
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
     private final List<Instance> instances = new ArrayList<>();
-    private final List<Long> arrivalsMillis = new ArrayList<>();
+    private final List<Long> arrivalTimesMillis = new ArrayList<>();
     private final Map<String, Long> bornMillis = new HashMap<>();
-    private RelayFleet fleet;
+    private SimulatedFleet fleet;
     private OptionalDouble limit = OptionalDouble.empty();
 
     @Test
-    void allInstancesOfALargeFleetKnowALimitBeforeTheyAreHeldToIt() {
+    void limitReachesLargeFleetBeforeEnforcement() {
         start(48);
         limit = OptionalDouble.of(2);
 
-        instances.get(0).call();
-        fleet.time.advanceMillis(STABLE_MILLIS / 3);
+        instances.get(0).sendCall();
+        fleet.time.advanceMillis(SETTLE_MILLIS / 3);
 
         instances.forEach(each -> assertTrue(each.limits.isRateLimited("t1"), each.member.name));
         assertEquals(2, instances.stream().filter(Instance::hasShare).count(), "of two calls a second for all");
     }
 
     @Test
-    void theSumOfAllStaysWithinTheLimit() {
-        for (double each : new double[] {0.3, 1.6, 2.3, 7.5, 40}) {
+    void totalRateStaysWithinLimit() {
+        for (double limitPerSecond : new double[] {0.3, 1.6, 2.3, 7.5, 40}) {
             instances.clear();
-            arrivalsMillis.clear();
+            arrivalTimesMillis.clear();
             start(48);
-            limit = OptionalDouble.of(each);
+            limit = OptionalDouble.of(limitPerSecond);
 
-            play(12_000);
+            simulate(12_000);
 
-            assertWithin();
-            long inTime = arrivalsMillis.stream()
-                    .filter(at -> at > arrivalsMillis.get(0) + STABLE_MILLIS)
+            assertWithinLimit();
+            long settledCount = arrivalTimesMillis.stream()
+                    .filter(arrivalMillis -> arrivalMillis > arrivalTimesMillis.get(0) + SETTLE_MILLIS)
                     .count();
-            assertTrue(inTime + 1 >= 0.8 * each * 9, inTime + " calls in 9 s though " + each + " a second are taken");
+            assertTrue(
+                    settledCount + 1 >= 0.8 * limitPerSecond * 9,
+                    settledCount + " calls in 9 s though " + limitPerSecond + " a second are taken");
         }
     }
 
     /** Whichever one it is: an instance that has not heard of the others takes itself for a holder. */
     @Test
-    void oneInstanceThatSeesNobodyDoesNotBreakTheBound() {
-        for (double each : new double[] {0.3, 1.6, 2.3, 7.5, 40}) {
+    void isolatedInstanceDoesNotBreakLimit() {
+        for (double limitPerSecond : new double[] {0.3, 1.6, 2.3, 7.5, 40}) {
             instances.clear();
-            arrivalsMillis.clear();
+            arrivalTimesMillis.clear();
             start(9);
-            instances.get(4).countsOn = Optional.of(Set.of("i4"));
-            limit = OptionalDouble.of(each);
+            instances.get(4).knownInstances = Optional.of(Set.of("i4"));
+            limit = OptionalDouble.of(limitPerSecond);
 
-            play(12_000);
+            simulate(12_000);
 
-            assertWithin();
+            assertWithinLimit();
         }
     }
 
     /** A planned stop of a holder: it gives up at once, the one that follows has heard so before it begins. */
     @Test
-    void theSumStaysWithinTheLimitWhileHoldersComeAndGo() {
+    void totalRateStaysWithinLimitWhenShareHoldersChange() {
         start(9);
         limit = OptionalDouble.of(2.3);
-        play(5_000);
+        simulate(5_000);
         Instance holder =
                 instances.stream().filter(Instance::hasShare).findFirst().orElseThrow();
 
-        holder.countsOn = Optional.empty();
-        Set<String> left = names();
-        left.remove(holder.member.name);
+        holder.knownInstances = Optional.empty();
+        Set<String> remaining = memberNames();
+        remaining.remove(holder.member.name);
         for (Instance other : instances) {
-            play(100);
+            simulate(100);
             if (other != holder) {
-                other.countsOn = Optional.of(left);
+                other.knownInstances = Optional.of(remaining);
             }
         }
-        play(6_000);
+        simulate(6_000);
         assertEquals(2, instances.stream().filter(Instance::hasShare).count());
-        holder.countsOn = Optional.of(names());
+        holder.knownInstances = Optional.of(memberNames());
         for (Instance other : instances) {
-            play(100);
-            other.countsOn = Optional.of(names());
+            simulate(100);
+            other.knownInstances = Optional.of(memberNames());
         }
-        play(6_000);
+        simulate(6_000);
 
-        assertWithin();
+        assertWithinLimit();
     }
 
     @Test
-    void theEndOfALimitReachesAll() {
+    void removedLimitIsClearedAtAllInstances() {
         start(9);
         limit = OptionalDouble.of(2);
-        play(5_000);
+        simulate(5_000);
 
         limit = OptionalDouble.empty();
-        play(3_000);
+        simulate(3_000);
 
         instances.forEach(each -> assertFalse(each.limits.isRateLimited("t1"), each.member.name));
     }
 
     /** An instance that hears nothing for a moment misses the end, and nobody repeats to it what is over. */
     @Test
-    void anInstanceThatMissedTheEndForgetsTheLimit() {
+    void limitExpiresAtInstanceThatMissedItsRemoval() {
         start(9);
         limit = OptionalDouble.of(2);
-        play(5_000);
-        Instance deaf =
+        simulate(5_000);
+        Instance disconnected =
                 instances.stream().filter(each -> !each.hasShare()).findFirst().orElseThrow();
 
-        deaf.member.deaf = true;
+        disconnected.member.dropsReceived = true;
         limit = OptionalDouble.empty();
-        play(3_000);
-        deaf.member.deaf = false;
-        assertTrue(deaf.limits.isRateLimited("t1"));
+        simulate(3_000);
+        disconnected.member.dropsReceived = false;
+        assertTrue(disconnected.limits.isRateLimited("t1"));
         fleet.time.advanceMillis(12_000);
 
-        assertFalse(deaf.limits.isRateLimited("t1"));
+        assertFalse(disconnected.limits.isRateLimited("t1"));
     }
 
     /** While nobody calls the target, those who have a share of its limit keep the others informed. */
     @Test
-    void aLimitOfATargetThatNobodyCallsIsNotForgotten() {
+    void limitOfIdleTargetIsRetained() {
         start(9);
         limit = OptionalDouble.of(2);
-        play(3_000);
+        simulate(3_000);
 
         fleet.time.advanceMillis(60_000);
 
@@ -157,12 +159,12 @@
     }
 
     @Test
-    void aWordAboutAnEarlierStartLimitsNothing() {
+    void limitOfEarlierIncarnationIsIgnored() {
         start(9);
         bornMillis.put("i1", BORN_MILLIS + 1);
         limit = OptionalDouble.of(2);
 
-        instances.get(0).call();
+        instances.get(0).sendCall();
         fleet.time.advanceMillis(1_000);
 
         assertFalse(instances.get(1).limits.isRateLimited("t1"));
@@ -170,44 +172,46 @@
     }
 
     private void start(int count) {
-        fleet = new RelayFleet(count, 3, 5);
+        fleet = new SimulatedFleet(count, 3, 5);
         fleet.members.forEach(member -> instances.add(new Instance(member)));
         fleet.time.advanceMillis(3_000);
     }
 
-    private Set<String> names() {
+    private Set<String> memberNames() {
         return fleet.members.stream().map(member -> member.name).collect(Collectors.toSet());
     }
 
-    private void play(long forMillis) {
-        for (long played = 0; played < forMillis; played += CALL_GAP_MILLIS) {
-            instances.get(random.nextInt(instances.size())).call();
-            fleet.time.advanceMillis(CALL_GAP_MILLIS);
+    private void simulate(long durationMillis) {
+        for (long elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += CALL_INTERVAL_MILLIS) {
+            instances.get(random.nextInt(instances.size())).sendCall();
+            fleet.time.advanceMillis(CALL_INTERVAL_MILLIS);
         }
     }
 
-    private void assertWithin() {
+    private void assertWithinLimit() {
         double allowed = 1.5 * limit.getAsDouble() * WINDOW_MILLIS / 1_000 + 5;
-        long heldFromMillis = arrivalsMillis.get(0) + STABLE_MILLIS;
-        for (long from : arrivalsMillis) {
-            long count = arrivalsMillis.stream()
-                    .filter(at -> at >= from && at < from + WINDOW_MILLIS)
+        long enforcedFromMillis = arrivalTimesMillis.get(0) + SETTLE_MILLIS;
+        for (long windowStartMillis : arrivalTimesMillis) {
+            long count = arrivalTimesMillis.stream()
+                    .filter(arrivalMillis ->
+                            arrivalMillis >= windowStartMillis && arrivalMillis < windowStartMillis + WINDOW_MILLIS)
                     .count();
-            assertTrue(from < heldFromMillis || count <= allowed, count + " calls, allowed " + allowed);
+            assertTrue(
+                    windowStartMillis < enforcedFromMillis || count <= allowed, count + " calls, allowed " + allowed);
         }
     }
 
     private final class Instance {
 
-        private final RelayFleet.Member member;
+        private final SimulatedFleet.Member member;
         private final TargetRateLimits limits;
         private final RateLimitShares shares;
         private final LimitSharing sharing;
-        private Optional<Set<String>> countsOn = Optional.of(names());
+        private Optional<Set<String>> knownInstances = Optional.of(memberNames());
 
-        Instance(RelayFleet.Member member) {
+        Instance(SimulatedFleet.Member member) {
             this.member = member;
-            this.shares = new RateLimitShares(member.name, () -> countsOn, fleet.time::monotonicMillis);
+            this.shares = new RateLimitShares(member.name, () -> knownInstances, fleet.time::monotonicMillis);
             this.limits = new TargetRateLimits(fleet.time::monotonicMillis, shares);
             this.sharing = new LimitSharing(
                     member.exchange,
@@ -223,12 +227,12 @@
         }
 
         /** Calls the target if it may; the answer comes at once. */
-        void call() {
+        void sendCall() {
             if (limits.tryTake("t1")) {
                 long sentMillis = fleet.time.monotonicMillis();
-                arrivalsMillis.add(sentMillis);
-                OptionalDouble named = limit;
-                fleet.time.schedule(5, () -> sharing.answered(TARGET, named, sentMillis));
+                arrivalTimesMillis.add(sentMillis);
+                OptionalDouble reportedLimit = limit;
+                fleet.time.schedule(5, () -> sharing.answered(TARGET, reportedLimit, sentMillis));
             }
         }
     }
--- a/src/test/java/org/dogwoodwinch/daemon/RefusalsAtTheEdgeTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/RefusalResponsesTest.java
@@ -31,11 +31,11 @@
  * Every refusal reason, as the caller gets it and as the counters show it. Those that the edge decides are brought about
  * for real; those that are decided behind it come from a scripted handler.
  */
-class RefusalsAtTheEdgeTest {
+class RefusalResponsesTest {
 
     private static final String COMPLETIONS = "/v1/completions";
-    private static final String SOUND = "{\"model\":\"slot\",\"prompt\":\"p\"}";
-    private static final Set<RefusalReason> DECIDED_AT_THE_EDGE = EnumSet.of(
+    private static final String VALID_BODY = "{\"model\":\"slot\",\"prompt\":\"p\"}";
+    private static final Set<RefusalReason> REASONS_DECIDED_BY_EDGE = EnumSet.of(
             RefusalReason.UNKNOWN_PATH,
             RefusalReason.METHOD_NOT_ALLOWED,
             RefusalReason.INVALID_REQUEST,
@@ -61,12 +61,12 @@
 
     @ParameterizedTest
     @EnumSource(RefusalReason.class)
-    void everyReasonReachesItsCallerAndItsCounter(RefusalReason reason) throws IOException {
+    void everyReasonIsReturnedAndCounted(RefusalReason reason) throws IOException {
         if (reason != RefusalReason.NOT_READY) {
             edge.giveCatalogue();
         }
         boolean mayHaveRun = reason == RefusalReason.MAY_HAVE_RUN || reason == RefusalReason.INTERNAL;
-        HttpResponse<String> response = bringAbout(reason);
+        HttpResponse<String> response = provokeRefusal(reason);
         if (response != null) {
             assertEquals(reason.status(), response.statusCode());
             assertEquals(
@@ -85,20 +85,20 @@
     }
 
     @Test
-    void aRefusalSaysWhenToComeBack() {
+    void refusalContainsRetryAfter() {
         edge.giveCatalogue();
         edge.handler()
                 .onSubmit(submitted -> submitted
                         .sink()
                         .onRefused(Refusal.notRun(RefusalReason.QUEUE_FULL, "the queue is full", 1_200)));
-        HttpResponse<String> response = edge.send("POST", COMPLETIONS, SOUND);
+        HttpResponse<String> response = edge.send("POST", COMPLETIONS, VALID_BODY);
         assertEquals("2", response.headers().firstValue("Retry-After").orElse(""));
         assertTrue(response.body().contains("\"retryAfterMillis\":1200"));
     }
 
     /** Returns null where the answer was read from a raw connection and checked there. */
-    private HttpResponse<String> bringAbout(RefusalReason reason) throws IOException {
-        if (!DECIDED_AT_THE_EDGE.contains(reason)) {
+    private HttpResponse<String> provokeRefusal(RefusalReason reason) throws IOException {
+        if (!REASONS_DECIDED_BY_EDGE.contains(reason)) {
             edge.handler()
                     .onSubmit(submitted -> submitted
                             .sink()
@@ -106,48 +106,49 @@
                                     reason == RefusalReason.MAY_HAVE_RUN
                                             ? Refusal.mayHaveRun(reason, "detail")
                                             : Refusal.notRun(reason, "detail", 0)));
-            return edge.send("POST", COMPLETIONS, SOUND);
+            return edge.send("POST", COMPLETIONS, VALID_BODY);
         }
         return switch (reason) {
             case UNKNOWN_PATH -> edge.send("GET", "/nothing", "");
             case METHOD_NOT_ALLOWED -> edge.send("GET", COMPLETIONS, "");
             case INVALID_REQUEST -> edge.send("POST", COMPLETIONS, "{");
             case BODY_TOO_LARGE -> edge.send("POST", COMPLETIONS, "x".repeat(5_000));
-            case HEADERS_TOO_LARGE -> edge.send("POST", COMPLETIONS, SOUND, "X-Long", "x".repeat(3_000));
-            case CALLER_TOO_SLOW -> sendSlowly();
-            case UNAUTHENTICATED -> edge.send("POST", COMPLETIONS, SOUND, "Authorization", "Bearer wrong");
-            case FORBIDDEN -> edge.send("POST", COMPLETIONS, SOUND.replace("slot", "foreign"));
-            case UNKNOWN_ENTRY -> edge.send("POST", COMPLETIONS, SOUND.replace("slot", "nothing"));
-            case TOO_MANY_TOKENS -> edge.send("POST", COMPLETIONS, SOUND.replace("\"p\"", "\"p\",\"max_tokens\":65"));
-            case STOPPING -> sendStopping();
-            case INTERNAL -> sendIntoFault();
-            default -> edge.send("POST", COMPLETIONS, SOUND);
+            case HEADERS_TOO_LARGE -> edge.send("POST", COMPLETIONS, VALID_BODY, "X-Long", "x".repeat(3_000));
+            case CALLER_TOO_SLOW -> sendIncompleteRequest();
+            case UNAUTHENTICATED -> edge.send("POST", COMPLETIONS, VALID_BODY, "Authorization", "Bearer wrong");
+            case FORBIDDEN -> edge.send("POST", COMPLETIONS, VALID_BODY.replace("slot", "foreign"));
+            case UNKNOWN_ENTRY -> edge.send("POST", COMPLETIONS, VALID_BODY.replace("slot", "nothing"));
+            case TOO_MANY_TOKENS ->
+                edge.send("POST", COMPLETIONS, VALID_BODY.replace("\"p\"", "\"p\",\"max_tokens\":65"));
+            case STOPPING -> sendWhileStopping();
+            case INTERNAL -> sendToFailingHandler();
+            default -> edge.send("POST", COMPLETIONS, VALID_BODY);
         };
     }
 
-    private HttpResponse<String> sendStopping() {
+    private HttpResponse<String> sendWhileStopping() {
         edge.setServing(ServingState.STOPPING);
-        return edge.send("POST", COMPLETIONS, SOUND);
+        return edge.send("POST", COMPLETIONS, VALID_BODY);
     }
 
-    private HttpResponse<String> sendIntoFault() {
+    private HttpResponse<String> sendToFailingHandler() {
         edge.handler().onSubmit(_submitted -> {
             throw new IllegalStateException("a fault");
         });
-        return edge.send("POST", COMPLETIONS, SOUND);
+        return edge.send("POST", COMPLETIONS, VALID_BODY);
     }
 
     /**
      * The caller sends half a request line and then nothing. It sees a 408 and the connection closed, since its timer
      * counts from the first byte: trickling on would not have extended it.
      */
-    private HttpResponse<String> sendSlowly() throws IOException {
+    private HttpResponse<String> sendIncompleteRequest() throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), edge.port())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write("POST /v1/comp".getBytes(StandardCharsets.US_ASCII));
             time.awaitAndPass(EdgeFixture.LIMITS.arrivalMillis());
-            byte[] answer = socket.getInputStream().readNBytes(12);
-            assertEquals("HTTP/1.1 408", new String(answer, StandardCharsets.US_ASCII));
+            byte[] statusLine = socket.getInputStream().readNBytes(12);
+            assertEquals("HTTP/1.1 408", new String(statusLine, StandardCharsets.US_ASCII));
         }
         return null;
     }
--- a/src/test/java/org/dogwoodwinch/daemon/SettingsWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SettingsWatchTest.java
@@ -15,7 +15,7 @@
 
 class SettingsWatchTest {
 
-    private static final String TEXT = """
+    private static final String SETTINGS_JSON = """
             {
               "instance": {"name": "n1", "dataCentre": "dc"},
               "forwarding": {"listen": "10.0.0.1:80", "readyListen": "10.0.0.1:81", "metricsListen": "10.0.0.1:82"},
@@ -26,51 +26,51 @@
             """;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final List<Double> heard = new ArrayList<>();
+    private final List<Double> receivedSlackCounts = new ArrayList<>();
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Path file;
     private SettingsWatch watch;
 
     @BeforeEach
-    void watchTheFile() throws IOException {
-        file = Files.writeString(folder.resolve("node.json"), TEXT);
-        watch = new SettingsWatch(file, time, 1_000, this::changed);
+    void startWatch() throws IOException {
+        file = Files.writeString(directory.resolve("node.json"), SETTINGS_JSON);
+        watch = new SettingsWatch(file, time, 1_000, this::onSettingsChanged);
         watch.start();
     }
 
-    private void changed(ForwardingSettings fresh) {
-        heard.add(fresh.retries().slackCount());
+    private void onSettingsChanged(ForwardingSettings settings) {
+        receivedSlackCounts.add(settings.retries().slackCount());
     }
 
     @Test
-    void aChangeIsHeardOnceWithOrWithoutASignal() throws IOException {
+    void changeIsReportedOnceWithOrWithoutSignal() throws IOException {
         time.advanceMillis(5_000);
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), receivedSlackCounts);
 
-        Files.writeString(file, TEXT.replace("52", "60"));
+        Files.writeString(file, SETTINGS_JSON.replace("52", "60"));
         watch.check();
         time.advanceMillis(5_000);
-        assertEquals(List.of(60.0), heard);
+        assertEquals(List.of(60.0), receivedSlackCounts);
 
-        Files.writeString(file, TEXT.replace("52", "70"));
+        Files.writeString(file, SETTINGS_JSON.replace("52", "70"));
         time.advanceMillis(1_000);
-        assertEquals(List.of(60.0, 70.0), heard);
+        assertEquals(List.of(60.0, 70.0), receivedSlackCounts);
     }
 
     /** The file is wrong, half written or gone for a moment: what holds goes on holding, and the next right one counts. */
     @Test
-    void wrongSettingsAreLeftOutOfForce() throws IOException {
+    void invalidSettingsAreIgnored() throws IOException {
         Files.writeString(file, "{ \"instance\": ");
         time.advanceMillis(1_000);
         Files.delete(file);
         time.advanceMillis(1_000);
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), receivedSlackCounts);
 
-        Files.writeString(file, TEXT.replace("52", "80"));
+        Files.writeString(file, SETTINGS_JSON.replace("52", "80"));
         time.advanceMillis(1_000);
-        assertEquals(List.of(80.0), heard);
+        assertEquals(List.of(80.0), receivedSlackCounts);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/RelayFleet.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SimulatedFleet.java
@@ -31,38 +31,38 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 
 /** Instances in several data centres that tell each other what one of each reads from a store, in virtual time. */
-final class RelayFleet {
+final class SimulatedFleet {
 
     private static final String STREAM = "keyed.x";
-    private static final long STORE_MILLIS = 4;
-    private static final long TIMEOUT_MILLIS = 700;
+    private static final long STORE_LATENCY_MILLIS = 4;
+    private static final long STORE_TIMEOUT_MILLIS = 700;
     private static final int ROUND_MILLIS = 150;
     /** A fifth of a link of 7 Mbit/s. */
     private static final int LINK_SHARE_BYTES_PER_SECOND = 175_000;
 
-    private static final FollowerPolicy FOLLOW = new FollowerPolicy(600, 100, 50, 500);
-    private static final ReplicaPolicy TOLD = new ReplicaPolicy(1_100, 75, 3);
+    private static final FollowerPolicy FOLLOWER_POLICY = new FollowerPolicy(600, 100, 50, 500);
+    private static final ReplicaPolicy REPLICA_POLICY = new ReplicaPolicy(1_100, 75, 3);
 
     final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     final List<Member> members = new ArrayList<>();
     private final UniformRandomProvider random;
     private final List<Long> writtenAtMillis = new ArrayList<>();
-    private final List<Runnable> storeWaiters = new ArrayList<>();
-    final Map<String, Integer> storeCalls = new HashMap<>();
-    int storeCallsCount;
-    long messagesCount;
+    private final List<Runnable> pendingReads = new ArrayList<>();
+    final Map<String, Integer> storeCallsByMember = new HashMap<>();
+    int storeCallCount;
+    long messageCount;
     long messageBytes;
 
-    RelayFleet(int membersCount, int centresCount, long seed) {
+    SimulatedFleet(int memberCount, int dataCentreCount, long seed) {
         this(
-                IntStream.range(0, membersCount)
-                        .mapToObj(i -> "dc" + i % centresCount)
+                IntStream.range(0, memberCount)
+                        .mapToObj(i -> "dc" + i % dataCentreCount)
                         .toList(),
                 seed);
     }
 
     /** One instance for each entry, in the data centre that it names. */
-    RelayFleet(List<String> dataCentres, long seed) {
+    SimulatedFleet(List<String> dataCentres, long seed) {
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < dataCentres.size(); i++) {
             members.add(new Member("i" + i, dataCentres.get(i)));
@@ -71,11 +71,11 @@
     }
 
     /** Writes one more record; the store acknowledges it now. */
-    void write() {
+    void writeRecord() {
         writtenAtMillis.add(time.monotonicMillis());
-        List<Runnable> woken = List.copyOf(storeWaiters);
-        storeWaiters.clear();
-        woken.forEach(Runnable::run);
+        List<Runnable> reads = List.copyOf(pendingReads);
+        pendingReads.clear();
+        reads.forEach(Runnable::run);
     }
 
     long writtenAtMillis(long offset) {
@@ -98,13 +98,13 @@
         RelayExchange exchange;
         final Map<Long, Long> appliedAtMillis = new HashMap<>();
         private StreamFollower follower;
-        private int life;
+        private int incarnation;
         private final Set<String> connectedTo = new HashSet<>();
         /** Whether it knows the addresses of the others without having read or heard them. */
-        boolean knowsOthers = true;
+        boolean knowsMembers = true;
 
         /** How long a message waits on its way out by now, in order, as behind what fills the link. */
-        LongUnaryOperator waitMillisAt = _nowMillis -> 0;
+        LongUnaryOperator queueDelayMillisAt = _nowMillis -> 0;
 
         private long lastArrivalMillis;
 
@@ -112,41 +112,45 @@
         long sentBytes;
 
         /** What it told the others since the fleet began, by topic. */
-        final Map<PeerTopic, Long> toldBytes = new EnumMap<>(PeerTopic.class);
+        final Map<PeerTopic, Long> sentBytesByTopic = new EnumMap<>(PeerTopic.class);
 
         /** How long an answer of the store takes to come back to this instance. */
-        long storeAnswerMillis = STORE_MILLIS;
+        long storeLatencyMillis = STORE_LATENCY_MILLIS;
 
-        boolean storeCut;
-        boolean deaf;
-        boolean mute;
+        boolean storeUnreachable;
+        boolean dropsReceived;
+        boolean dropsSent;
         boolean frozen;
-        private final List<Runnable> whileFrozen = new ArrayList<>();
+        private final List<Runnable> deferredTasks = new ArrayList<>();
 
         Member(String name, String dataCentre) {
             this.name = name;
             this.dataCentre = dataCentre;
-            begin();
+            initialize();
         }
 
-        private void begin() {
-            int ownLife = ++life;
+        private void initialize() {
+            int ownIncarnation = ++incarnation;
             this.exchange = new RelayExchange(
                     new PeerSettings(name, dataCentre, "", ROUND_MILLIS, 8, LINK_SHARE_BYTES_PER_SECOND, 262_144),
                     time,
                     (to, message) -> {
-                        if (ownLife == life) {
+                        if (ownIncarnation == incarnation) {
                             send(to, message);
                         }
                     },
                     () -> members.stream()
-                            .filter(other -> other != this && knowsOthers)
+                            .filter(other -> other != this && knowsMembers)
                             .map(other -> new PeerMember(other.name, "10.0.0.1", 1, other.dataCentre))
                             .toList(),
-                    new Told(toldBytes));
+                    new SentBytesCounter(sentBytesByTopic));
             StreamSharing sharing = new StreamSharing(exchange, time);
             this.follower = new StreamFollower(
-                    sharing.share(STREAM, new Store(this), TOLD), FOLLOW, new Applied(this), time, random);
+                    sharing.share(STREAM, new SimulatedStore(this), REPLICA_POLICY),
+                    FOLLOWER_POLICY,
+                    new AppliedRecordListener(this),
+                    time,
+                    random);
         }
 
         void start() {
@@ -159,119 +163,119 @@
             appliedAtMillis.clear();
             connectedTo.clear();
             members.forEach(other -> other.connectedTo.remove(name));
-            begin();
+            initialize();
             start();
         }
 
         /** All of it, both ways: as a process that is killed, but for what it believes of itself. */
-        void dead(boolean dead) {
-            storeCut = dead;
-            deaf = dead;
-            mute = dead;
+        void setIsolated(boolean isolated) {
+            storeUnreachable = isolated;
+            dropsReceived = isolated;
+            dropsSent = isolated;
         }
 
         /** What arrives or answers meanwhile comes when it is thawed. */
-        void frozen(boolean now) {
-            frozen = now;
-            if (!now) {
-                List<Runnable> late = List.copyOf(whileFrozen);
-                whileFrozen.clear();
-                late.forEach(Runnable::run);
+        void frozen(boolean paused) {
+            frozen = paused;
+            if (!paused) {
+                List<Runnable> tasks = List.copyOf(deferredTasks);
+                deferredTasks.clear();
+                tasks.forEach(Runnable::run);
             }
         }
 
-        private void awake(Runnable task) {
+        private void runUnlessPaused(Runnable task) {
             if (frozen) {
-                whileFrozen.add(task);
+                deferredTasks.add(task);
             } else {
                 task.run();
             }
         }
 
         private void send(PeerMember to, Bytes message) {
-            if (mute || frozen) {
+            if (dropsSent || frozen) {
                 return;
             }
             if (connectedTo.add(to.name())) {
                 exchange.onConnected(to);
             }
-            messagesCount++;
+            messageCount++;
             messageBytes += message.length();
             sentBytes += message.length();
             Member receiver = members.stream()
                     .filter(member -> member.name.equals(to.name()))
                     .findFirst()
                     .orElseThrow();
-            time.schedule(onTheWayMillis(), () -> {
-                if (!receiver.deaf) {
-                    receiver.awake(() -> receiver.exchange.receive(message));
+            time.schedule(nextTransitMillis(), () -> {
+                if (!receiver.dropsReceived) {
+                    receiver.runUnlessPaused(() -> receiver.exchange.receive(message));
                 }
             });
         }
 
-        private long onTheWayMillis() {
+        private long nextTransitMillis() {
             long nowMillis = time.monotonicMillis();
-            long undisturbedMillis = 1L + random.nextInt(3);
-            long waitMillis = waitMillisAt.applyAsLong(nowMillis);
-            if (waitMillis == 0) {
-                return undisturbedMillis;
+            long networkMillis = 1L + random.nextInt(3);
+            long queueDelayMillis = queueDelayMillisAt.applyAsLong(nowMillis);
+            if (queueDelayMillis == 0) {
+                return networkMillis;
             }
-            lastArrivalMillis = Math.max(lastArrivalMillis, nowMillis + waitMillis + undisturbedMillis);
+            lastArrivalMillis = Math.max(lastArrivalMillis, nowMillis + queueDelayMillis + networkMillis);
             return lastArrivalMillis - nowMillis;
         }
     }
 
-    private static final class Told implements PeerObserver {
+    private static final class SentBytesCounter implements PeerObserver {
 
-        private final Map<PeerTopic, Long> bytes;
+        private final Map<PeerTopic, Long> bytesByTopic;
 
-        Told(Map<PeerTopic, Long> bytes) {
-            this.bytes = bytes;
+        SentBytesCounter(Map<PeerTopic, Long> bytesByTopic) {
+            this.bytesByTopic = bytesByTopic;
         }
 
         @Override
         public void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {
-            bytes.merge(topic, (long) entryBytes * recipientCount, Long::sum);
+            bytesByTopic.merge(topic, (long) entryBytes * recipientCount, Long::sum);
         }
     }
 
-    private final class Store implements KeyedStream {
+    private final class SimulatedStore implements KeyedStream {
 
         private final Member reader;
 
-        Store(Member reader) {
+        SimulatedStore(Member reader) {
             this.reader = reader;
         }
 
         @Override
         public CompletionStage<ReadResult> readSnapshotPage(Optional<String> _afterKey) {
-            return call(0, () -> new ReadResult.Page(List.of(), false, 0));
+            return completeLater(0, () -> new ReadResult.Page(List.of(), false, 0));
         }
 
         @Override
         public CompletionStage<ReadResult> read(long fromOffset, long waitMillis) {
-            storeCallsCount++;
-            storeCalls.merge(reader.name, 1, Integer::sum);
+            storeCallCount++;
+            storeCallsByMember.merge(reader.name, 1, Integer::sum);
             CompletableFuture<ReadResult> result = new CompletableFuture<>();
-            Runnable[] answer = new Runnable[1];
-            answer[0] = () -> {
-                storeWaiters.remove(answer[0]);
-                call(0, () -> batch(fromOffset)).thenAccept(result::complete);
+            Runnable[] completion = new Runnable[1];
+            completion[0] = () -> {
+                pendingReads.remove(completion[0]);
+                completeLater(0, () -> readBatch(fromOffset)).thenAccept(result::complete);
             };
             if (fromOffset < writtenAtMillis.size()) {
-                answer[0].run();
+                completion[0].run();
             } else {
-                storeWaiters.add(answer[0]);
+                pendingReads.add(completion[0]);
                 time.schedule(waitMillis, () -> {
-                    if (storeWaiters.contains(answer[0])) {
-                        answer[0].run();
+                    if (pendingReads.contains(completion[0])) {
+                        completion[0].run();
                     }
                 });
             }
             return result;
         }
 
-        private ReadResult batch(long fromOffset) {
+        private ReadResult readBatch(long fromOffset) {
             List<KeyedRecord> records = new ArrayList<>();
             for (long offset = fromOffset; offset < writtenAtMillis.size(); offset++) {
                 records.add(new KeyedRecord("k" + offset, offset, Optional.of(Bytes.ofUtf8("v"))));
@@ -279,22 +283,22 @@
             return new ReadResult.Batch(records, Math.max(fromOffset, writtenAtMillis.size()));
         }
 
-        private CompletionStage<ReadResult> call(long waitMillis, Supplier<ReadResult> answered) {
+        private CompletionStage<ReadResult> completeLater(long extraDelayMillis, Supplier<ReadResult> resultSupplier) {
             CompletableFuture<ReadResult> result = new CompletableFuture<>();
-            boolean cut = reader.storeCut;
-            ReadResult written = cut ? new ReadResult.Unavailable("timeout") : answered.get();
+            boolean unreachable = reader.storeUnreachable;
+            ReadResult outcome = unreachable ? new ReadResult.Unavailable("timeout") : resultSupplier.get();
             time.schedule(
-                    waitMillis + (cut ? TIMEOUT_MILLIS : reader.storeAnswerMillis),
-                    () -> reader.awake(() -> result.complete(written)));
+                    extraDelayMillis + (unreachable ? STORE_TIMEOUT_MILLIS : reader.storeLatencyMillis),
+                    () -> reader.runUnlessPaused(() -> result.complete(outcome)));
             return result;
         }
     }
 
-    private final class Applied implements StreamListener {
+    private final class AppliedRecordListener implements StreamListener {
 
         private final Member member;
 
-        Applied(Member member) {
+        AppliedRecordListener(Member member) {
             this.member = member;
         }
 
--- a/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
@@ -41,42 +41,42 @@
 class StageChangeTest {
 
     private static final long SWITCH_MILLIS = 3_000;
-    private static final long CALL_GAP_MILLIS = 20;
-    private static final long RUN_MILLIS = 400;
-    private static final long WORD_MILLIS = 300;
-    private static final long LIST_MILLIS = 400;
-    private static final int HANDFUL = 5;
+    private static final long CALL_INTERVAL_MILLIS = 20;
+    private static final long CALL_DURATION_MILLIS = 400;
+    private static final long NOTICE_DELAY_MILLIS = 300;
+    private static final long LISTING_DELAY_MILLIS = 400;
+    private static final int MAX_REJECTED_CALLS = 5;
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
     private final ServiceEntry service =
             new ServiceEntry("s", 360, Optional.of(new EngineTraits(64, 400_000, 18_000, 370_000, 5_000, 3_000)));
     private final List<Instance> instances = new ArrayList<>();
-    private final Engines engines = new Engines();
+    private final SimulatedEngines engines = new SimulatedEngines();
     private int rejectedCount;
-    private int withoutTargetCount;
+    private int unroutedCount;
 
     /** It finishes what it runs, and is back only then: it rejects all that comes meanwhile and looks idle. */
     @Test
-    void anEngineWithLongWorkGetsNothingUntilItIsBack() {
-        engines.finishMillis = 5_000;
+    void engineWithLongRunningWorkReceivesNoCallsDuringChange() {
+        engines.drainMillis = 5_000;
         start();
 
-        play(12_000);
+        simulate(12_000);
 
-        assertEquals(1, engines.changedCount);
-        assertTrue(rejectedCount <= HANDFUL, rejectedCount + " calls were rejected");
-        assertEquals(0, withoutTargetCount);
+        assertEquals(1, engines.completedChangeCount);
+        assertTrue(rejectedCount <= MAX_REJECTED_CALLS, rejectedCount + " calls were rejected");
+        assertEquals(0, unroutedCount);
     }
 
     /** The answer to the order is lost, and the order too: the engine stands as before. */
     @Test
-    void anEngineThatNeverGotItsOrderIsUsedAgain() {
+    void engineThatNeverReceivedOrderIsUsedAgain() {
         engines.outcome = OrderOutcome.UNKNOWN;
-        engines.carriedOutAfterMillis = Long.MAX_VALUE;
+        engines.executionDelayMillis = Long.MAX_VALUE;
         start();
 
-        play(6_000);
+        simulate(6_000);
 
         instances.forEach(
                 each -> assertEquals(8, each.directory.readyTargets("s").size()));
@@ -84,17 +84,19 @@
 
     /** The answer is lost, and the engine carries the order out seconds later, when its work counts on it again. */
     @Test
-    void anEngineThatChangesLateGetsLittle() {
+    void engineThatChangesLateReceivesFewCalls() {
         engines.outcome = OrderOutcome.UNKNOWN;
-        engines.carriedOutAfterMillis = 5_000;
-        engines.finishMillis = 3_000;
+        engines.executionDelayMillis = 5_000;
+        engines.drainMillis = 3_000;
         start();
 
-        play(14_000);
+        simulate(14_000);
 
-        long unnoticedMillis = 2_500;
-        long most = unnoticedMillis / CALL_GAP_MILLIS / 3;
-        assertTrue(rejectedCount <= most, rejectedCount + " calls were rejected, " + most + " while it is found out");
+        long detectionMillis = 2_500;
+        long maxRejectedCount = detectionMillis / CALL_INTERVAL_MILLIS / 3;
+        assertTrue(
+                rejectedCount <= maxRejectedCount,
+                rejectedCount + " calls were rejected, " + maxRejectedCount + " while it is found out");
     }
 
     private void start() {
@@ -110,28 +112,28 @@
                                 _service -> SWITCH_MILLIS,
                                 _service -> new StagePlanner(StagePlanPolicy.DEFAULT, new PrefillRates(30)),
                                 () -> true,
-                                () -> engines.changedCount == 0 && engines.orderedAtMillis < 0,
+                                () -> engines.completedChangeCount == 0 && engines.orderedAtMillis < 0,
                                 (_record, end) -> CompletableFuture.completedFuture(new ConditionalLog.Written(end)),
                                 engines,
-                                this::tell),
+                                this::publishStageChange),
                         new OrderLease(1_000, 5_000),
                         time)
                 .start();
     }
 
-    private void tell(String engineId, long millis) {
-        instances.get(0).away(engineId, millis);
+    private void publishStageChange(String engineId, long millis) {
+        instances.get(0).setStageChange(engineId, millis);
         time.schedule(
-                WORD_MILLIS,
+                NOTICE_DELAY_MILLIS,
                 () -> instances
                         .subList(1, instances.size())
-                        .forEach(each -> each.away(engineId, millis - WORD_MILLIS)));
+                        .forEach(each -> each.setStageChange(engineId, millis - NOTICE_DELAY_MILLIS)));
     }
 
-    private void play(long forMillis) {
-        for (long played = 0; played < forMillis; played += CALL_GAP_MILLIS) {
-            instances.get(random.nextInt(instances.size())).call();
-            time.advanceMillis(CALL_GAP_MILLIS);
+    private void simulate(long durationMillis) {
+        for (long elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += CALL_INTERVAL_MILLIS) {
+            instances.get(random.nextInt(instances.size())).sendCall();
+            time.advanceMillis(CALL_INTERVAL_MILLIS);
         }
     }
 
@@ -149,22 +151,22 @@
 
         Instance() {
             for (int i = 0; i < 8; i++) {
-                list(engine(i, i < 3 ? Stage.PREFILL : Stage.DECODE));
+                listEngine(engine(i, i < 3 ? Stage.PREFILL : Stage.DECODE));
                 if (i < 3) {
-                    loads.replacePeerLoads("others" + i, Map.of("e" + i, waiting()));
+                    loads.replacePeerLoads("others" + i, Map.of("e" + i, queuedLoad()));
                 }
             }
         }
 
-        private TargetLoad waiting() {
+        private TargetLoad queuedLoad() {
             return new TargetLoad(4, PrefillQueue.ofPrompt(0, 30_000));
         }
 
-        void list(Incarnation engine) {
+        void listEngine(Incarnation engine) {
             directory.apply(engine.id(), nextOffset++, Optional.of(engine));
         }
 
-        void away(String engineId, long millis) {
+        void setStageChange(String engineId, long millis) {
             if (millis > 0) {
                 health.startStageChange(engineId, millis);
             } else {
@@ -172,68 +174,68 @@
             }
         }
 
-        void call() {
+        void sendCall() {
             TargetQuery query = new TargetQuery(service, Optional.empty(), 1, 1_000, 0, Set.of(), true);
             Optional<ForwardingPlan> plan = chooser.choose(query);
             if (plan.isEmpty()) {
-                withoutTargetCount++;
+                unroutedCount++;
                 return;
             }
             String id = plan.get().target().id();
-            if (engines.busy(id)) {
+            if (engines.isChangingStage(id)) {
                 rejectedCount++;
                 return;
             }
             loads.recordSend(id, 0, 0);
-            time.schedule(RUN_MILLIS, () -> loads.recordEnd(id));
+            time.schedule(CALL_DURATION_MILLIS, () -> loads.recordEnd(id));
         }
     }
 
-    private final class Engines extends SilentEngines {
+    private final class SimulatedEngines extends SilentEngines {
 
         private OrderOutcome outcome = OrderOutcome.TAKEN;
-        private long carriedOutAfterMillis;
-        private long finishMillis = 1_000;
-        private String changing = "";
+        private long executionDelayMillis;
+        private long drainMillis = 1_000;
+        private String orderedEngineId = "";
         private long orderedAtMillis = -1;
         private boolean isChanging;
-        private int changedCount;
+        private int completedChangeCount;
 
-        boolean busy(String engineId) {
-            return isChanging && engineId.equals(changing);
+        boolean isChangingStage(String engineId) {
+            return isChanging && engineId.equals(orderedEngineId);
         }
 
         @Override
         public CompletionStage<Optional<OrderState>> orderState(Incarnation engine) {
-            boolean changed = changedCount > 0 && engine.id().equals(changing);
+            boolean changed = completedChangeCount > 0 && engine.id().equals(orderedEngineId);
             Stage stage = changed ? Stage.PREFILL : engine.stage();
             return CompletableFuture.completedFuture(
-                    Optional.of(new OrderState(stage, busy(engine.id()), changed ? 1 : 0)));
+                    Optional.of(new OrderState(stage, isChangingStage(engine.id()), changed ? 1 : 0)));
         }
 
         @Override
         public CompletionStage<OrderOutcome> order(Incarnation engine, StageOrder order) {
-            changing = engine.id();
+            orderedEngineId = engine.id();
             orderedAtMillis = time.monotonicMillis();
-            if (carriedOutAfterMillis == 0) {
-                change(engine, order.stage());
-            } else if (carriedOutAfterMillis < Long.MAX_VALUE) {
-                time.schedule(carriedOutAfterMillis, () -> change(engine, order.stage()));
+            if (executionDelayMillis == 0) {
+                startChange(engine, order.stage());
+            } else if (executionDelayMillis < Long.MAX_VALUE) {
+                time.schedule(executionDelayMillis, () -> startChange(engine, order.stage()));
             }
             return CompletableFuture.completedFuture(outcome);
         }
 
-        private void change(Incarnation engine, Stage stage) {
+        private void startChange(Incarnation engine, Stage stage) {
             isChanging = true;
-            time.schedule(finishMillis + SWITCH_MILLIS, () -> {
+            time.schedule(drainMillis + SWITCH_MILLIS, () -> {
                 isChanging = false;
-                changedCount++;
+                completedChangeCount++;
                 Incarnation changed = engine(Integer.parseInt(engine.id().substring(1)), stage);
                 time.schedule(
-                        LIST_MILLIS,
+                        LISTING_DELAY_MILLIS,
                         () -> instances.forEach(each -> {
-                            each.list(changed);
-                            each.away(changed.id(), 0);
+                            each.listEngine(changed);
+                            each.setStageChange(changed.id(), 0);
                         }));
             });
         }
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -37,29 +37,29 @@
 /** Orders of several instances that each take themselves for the giver, as engines that check no token see them. */
 class StageOrdersTest {
 
-    private static final long APART_MILLIS = 3_000;
-    private static final int SCHEDULES = 200;
+    private static final long MIN_SEPARATION_MILLIS = 3_000;
+    private static final int SCHEDULE_COUNT = 200;
 
     private final VirtualTimeSource time = new VirtualTimeSource(1_000_000);
-    private final List<Long> storeRecords = new ArrayList<>();
-    private final List<Arrival> arrivals = new ArrayList<>();
-    private final List<Giver> givers = new ArrayList<>();
+    private final List<Long> recordTimesMillis = new ArrayList<>();
+    private final List<ReceivedOrder> receivedOrders = new ArrayList<>();
+    private final List<Issuer> issuers = new ArrayList<>();
     private OrderOutcome outcome = OrderOutcome.TAKEN;
 
-    private record Arrival(String engine, String holder, long token, long atMillis) {}
+    private record ReceivedOrder(String engine, String holder, long token, long atMillis) {}
 
     /** One instance: it believes that orders fall to it while its switch says so. */
-    private final class Giver implements EngineControl {
+    private final class Issuer implements EngineControl {
 
         private final LoadTracker loads = new LoadTracker();
         private final TargetDirectory directory =
                 new TargetDirectory(new TargetHealth(time::monotonicMillis), NoRateLimits.create());
-        private boolean gives;
-        private boolean storeLosesAnswers;
-        private long storeMillis = 4;
-        private long wayMillis = 1;
+        private boolean isIssuing;
+        private boolean losesStoreResponses;
+        private long storeLatencyMillis = 4;
+        private long orderLatencyMillis = 1;
 
-        Giver(String name) {
+        Issuer(String name) {
             for (int i = 0; i < 8; i++) {
                 Stage stage = i < 3 ? Stage.PREFILL : Stage.DECODE;
                 directory.apply(
@@ -79,27 +79,27 @@
                                     _service -> 3_000,
                                     _service -> new StagePlanner(StagePlanPolicy.DEFAULT, new PrefillRates(30)),
                                     () -> true,
-                                    () -> gives,
+                                    () -> isIssuing,
                                     this::append,
                                     this,
                                     (_engine, _millis) -> {}),
-                            new OrderLease(1_000, APART_MILLIS + 2_000),
+                            new OrderLease(1_000, MIN_SEPARATION_MILLIS + 2_000),
                             time)
                     .start();
         }
 
         private CompletionStage<ConditionalLog.Appended> append(Bytes _record, long end) {
             CompletableFuture<ConditionalLog.Appended> result = new CompletableFuture<>();
-            boolean lost = storeLosesAnswers;
-            time.schedule(storeMillis, () -> {
+            boolean responseLost = losesStoreResponses;
+            time.schedule(storeLatencyMillis, () -> {
                 ConditionalLog.Appended appended;
-                if (storeRecords.size() == end) {
-                    storeRecords.add(time.monotonicMillis());
+                if (recordTimesMillis.size() == end) {
+                    recordTimesMillis.add(time.monotonicMillis());
                     appended = new ConditionalLog.Written(end);
                 } else {
-                    appended = new ConditionalLog.EndOffsetMismatch(storeRecords.size());
+                    appended = new ConditionalLog.EndOffsetMismatch(recordTimesMillis.size());
                 }
-                if (lost) {
+                if (responseLost) {
                     time.schedule(700, () -> result.complete(new ConditionalLog.Unknown("timeout")));
                 } else {
                     result.complete(appended);
@@ -116,10 +116,11 @@
         @Override
         public CompletionStage<OrderOutcome> order(Incarnation engine, StageOrder order) {
             CompletableFuture<OrderOutcome> result = new CompletableFuture<>();
-            OrderOutcome answered = outcome;
-            time.schedule(wayMillis, () -> {
-                arrivals.add(new Arrival(engine.id(), order.holder(), order.fencingToken(), time.monotonicMillis()));
-                result.complete(answered);
+            OrderOutcome configuredOutcome = outcome;
+            time.schedule(orderLatencyMillis, () -> {
+                receivedOrders.add(
+                        new ReceivedOrder(engine.id(), order.holder(), order.fencingToken(), time.monotonicMillis()));
+                result.complete(configuredOutcome);
             });
             return result;
         }
@@ -143,33 +144,33 @@
         }
     }
 
-    private Giver giver(String name) {
-        Giver giver = new Giver(name);
-        givers.add(giver);
-        return giver;
+    private Issuer addIssuer(String name) {
+        Issuer issuer = new Issuer(name);
+        issuers.add(issuer);
+        return issuer;
     }
 
     /** Tokens are never shared, never fall at an engine, and two holders' orders to one engine are far apart. */
-    private void assertOneGiver() {
+    private void assertOrdersAreExclusive() {
         Set<Long> tokens = new HashSet<>();
-        for (int i = 0; i < arrivals.size(); i++) {
-            Arrival later = arrivals.get(i);
-            assertTrue(tokens.add(later.token), arrivals::toString);
-            for (Arrival earlier : arrivals.subList(0, i)) {
-                assertTrue(earlier.token < later.token, arrivals::toString);
-                boolean apart = later.atMillis - earlier.atMillis >= APART_MILLIS;
-                assertTrue(earlier.holder.equals(later.holder) || apart, arrivals::toString);
+        for (int i = 0; i < receivedOrders.size(); i++) {
+            ReceivedOrder later = receivedOrders.get(i);
+            assertTrue(tokens.add(later.token), receivedOrders::toString);
+            for (ReceivedOrder earlier : receivedOrders.subList(0, i)) {
+                assertTrue(earlier.token < later.token, receivedOrders::toString);
+                boolean separated = later.atMillis - earlier.atMillis >= MIN_SEPARATION_MILLIS;
+                assertTrue(earlier.holder.equals(later.holder) || separated, receivedOrders::toString);
             }
         }
     }
 
     @Test
-    void anEngineIsOrderedByTheGiverAlone() {
-        giver("a").gives = true;
-        giver("b");
+    void onlyActiveIssuerSendsOrders() {
+        addIssuer("a").isIssuing = true;
+        addIssuer("b");
         time.advanceMillis(3_000);
-        assertEquals(1, arrivals.size());
-        assertEquals("a", arrivals.get(0).holder);
+        assertEquals(1, receivedOrders.size());
+        assertEquals("a", receivedOrders.get(0).holder);
     }
 
     /**
@@ -177,77 +178,77 @@
      * still had under way; the second waits until that cannot be.
      */
     @Test
-    void aSuccessorWaitsUntilNoOrderOfTheFirstCanBeUnderWay() {
-        Giver first = giver("a");
-        Giver second = giver("b");
-        first.gives = true;
+    void successorWaitsUntilEarlierOrdersCannotArrive() {
+        Issuer first = addIssuer("a");
+        Issuer second = addIssuer("b");
+        first.isIssuing = true;
         time.advanceMillis(1_500);
-        first.gives = false;
-        second.gives = true;
+        first.isIssuing = false;
+        second.isIssuing = true;
         time.advanceMillis(15_000);
-        assertTrue(arrivals.stream().anyMatch(arrival -> arrival.holder.equals("b")), arrivals::toString);
-        assertOneGiver();
+        assertTrue(receivedOrders.stream().anyMatch(received -> received.holder.equals("b")), receivedOrders::toString);
+        assertOrdersAreExclusive();
     }
 
     /** The record was written but its answer lost: its token is never used, and the next one is higher. */
     @Test
-    void aRecordWhoseAnswerWasLostGivesNoRight() {
-        Giver giver = giver("a");
-        giver.gives = true;
-        giver.storeLosesAnswers = true;
+    void unconfirmedRecordGrantsNoLease() {
+        Issuer issuer = addIssuer("a");
+        issuer.isIssuing = true;
+        issuer.losesStoreResponses = true;
         time.advanceMillis(2_000);
-        giver.storeLosesAnswers = false;
-        assertEquals(1, storeRecords.size());
-        assertEquals(List.of(), arrivals);
+        issuer.losesStoreResponses = false;
+        assertEquals(1, recordTimesMillis.size());
+        assertEquals(List.of(), receivedOrders);
         time.advanceMillis(15_000);
-        assertTrue(arrivals.size() > 0 && arrivals.get(0).token > 0, arrivals::toString);
+        assertTrue(receivedOrders.size() > 0 && receivedOrders.get(0).token > 0, receivedOrders::toString);
     }
 
     /** The store answers after the right's time, as after a freeze: no order follows. */
     @Test
-    void aRightThatCameTooLateIsNotUsed() {
-        Giver giver = giver("a");
-        giver.gives = true;
-        giver.storeMillis = 1_200;
+    void leaseThatExpiredBeforeConfirmationIsNotUsed() {
+        Issuer issuer = addIssuer("a");
+        issuer.isIssuing = true;
+        issuer.storeLatencyMillis = 1_200;
         time.advanceMillis(20_000);
-        assertTrue(storeRecords.size() > 1);
-        assertEquals(List.of(), arrivals);
+        assertTrue(recordTimesMillis.size() > 1);
+        assertEquals(List.of(), receivedOrders);
     }
 
     /** An order without an answer may be carried out many seconds later; its engine gets no other one meanwhile. */
     @Test
-    void anEngineWhoseOrderHadNoAnswerIsLeftAlone() {
+    void engineWithUnansweredOrderReceivesNoOther() {
         outcome = OrderOutcome.UNKNOWN;
-        giver("a").gives = true;
+        addIssuer("a").isIssuing = true;
         time.advanceMillis(19_000);
         Set<String> engines = new HashSet<>();
-        arrivals.forEach(arrival -> assertTrue(engines.add(arrival.engine), arrivals::toString));
-        assertTrue(arrivals.size() > 1);
+        receivedOrders.forEach(received -> assertTrue(engines.add(received.engine), receivedOrders::toString));
+        assertTrue(receivedOrders.size() > 1);
     }
 
     /** 200 schedules: who gives changes at any time, two give at once, the store is slow or loses answers. */
     @Test
-    void whoeverTakesItselfForTheGiverOrdersDoNotMix() {
-        int orders = 0;
-        for (int schedule = 0; schedule < SCHEDULES; schedule++) {
-            orders += new StageOrdersTest().play(RandomSource.XO_RO_SHI_RO_128_PP.create(schedule));
+    void ordersOfConcurrentIssuersNeverOverlap() {
+        int orderCount = 0;
+        for (int schedule = 0; schedule < SCHEDULE_COUNT; schedule++) {
+            orderCount += new StageOrdersTest().simulate(RandomSource.XO_RO_SHI_RO_128_PP.create(schedule));
         }
-        assertTrue(orders > SCHEDULES, "orders given: " + orders);
+        assertTrue(orderCount > SCHEDULE_COUNT, "orders given: " + orderCount);
     }
 
-    private int play(UniformRandomProvider random) {
+    private int simulate(UniformRandomProvider random) {
         for (String name : List.of("a", "b", "c")) {
-            giver(name);
+            addIssuer(name);
         }
         for (int step = 0; step < 40; step++) {
-            Giver one = givers.get(random.nextInt(givers.size()));
-            one.gives = random.nextBoolean();
-            one.storeLosesAnswers = random.nextInt(4) == 0;
-            one.storeMillis = random.nextInt(4) == 0 ? random.nextInt(1_500) : 4;
-            one.wayMillis = random.nextInt(1_000);
+            Issuer issuer = issuers.get(random.nextInt(issuers.size()));
+            issuer.isIssuing = random.nextBoolean();
+            issuer.losesStoreResponses = random.nextInt(4) == 0;
+            issuer.storeLatencyMillis = random.nextInt(4) == 0 ? random.nextInt(1_500) : 4;
+            issuer.orderLatencyMillis = random.nextInt(1_000);
             time.advanceMillis(random.nextInt(2_000));
         }
-        assertOneGiver();
-        return arrivals.size();
+        assertOrdersAreExclusive();
+        return receivedOrders.size();
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
@@ -10,11 +10,11 @@
 
     /** An operator stops the instance, and then, tired of the drain, once more: the second signal ends it at once. */
     @Test
-    void theFirstSignalDrainsAndTheSecondEnds() {
-        List<String> heard = new ArrayList<>();
-        StopSignals signals = new StopSignals(() -> heard.add("drain"), () -> heard.add("end"));
+    void firstSignalDrainsAndSecondExits() {
+        List<String> actions = new ArrayList<>();
+        StopSignals signals = new StopSignals(() -> actions.add("drain"), () -> actions.add("end"));
         signals.received("SIGTERM");
         signals.received("SIGINT");
-        assertEquals(List.of("drain", "end"), heard);
+        assertEquals(List.of("drain", "end"), actions);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/StreamSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StreamSharingTest.java
@@ -14,44 +14,45 @@
 class StreamSharingTest {
 
     /** Nine tenths of the least time in which a configuration or a leaving target has to be heeded everywhere. */
-    private static final long BOUND_MILLIS = 1_800;
+    private static final long MAX_DELAY_MILLIS = 1_800;
 
     /** As long as an instance has to have been sound before it is bound by promises again. */
-    private static final long IN_TOUCH_MILLIS = 3_000;
+    private static final long MIN_HEALTHY_MILLIS = 3_000;
 
-    private static final int SCHEDULES = 200;
-    private static final int STEPS = 12;
+    private static final int SCHEDULE_COUNT = 200;
+    private static final int STEP_COUNT = 12;
 
-    private static long worstDelayMillis(RelayFleet fleet, RelayFleet.Member member, long fromOffset, long toOffset) {
-        long worst = 0;
+    private static long worstDelayMillis(
+            SimulatedFleet fleet, SimulatedFleet.Member member, long fromOffset, long toOffset) {
+        long worstMillis = 0;
         for (long offset = fromOffset; offset < toOffset; offset++) {
-            long applied = member.appliedAtMillis.getOrDefault(offset, Long.MAX_VALUE);
-            worst = Math.max(worst, applied - fleet.writtenAtMillis(offset));
+            long appliedMillis = member.appliedAtMillis.getOrDefault(offset, Long.MAX_VALUE);
+            worstMillis = Math.max(worstMillis, appliedMillis - fleet.writtenAtMillis(offset));
         }
-        return worst;
+        return worstMillis;
     }
 
     /** Calls to the store stay those of a few readers however many instances there are. */
     @Test
-    void oneInstanceOfADataCentreReads() {
-        Map<Integer, Integer> calls = new HashMap<>();
-        for (int size : new int[] {9, 72}) {
-            RelayFleet fleet = new RelayFleet(size, 3, 1);
+    void oneInstancePerDataCentreReadsStore() {
+        Map<Integer, Integer> callsByFleetSize = new HashMap<>();
+        for (int fleetSize : new int[] {9, 72}) {
+            SimulatedFleet fleet = new SimulatedFleet(fleetSize, 3, 1);
             fleet.time.advanceMillis(5_000);
-            int before = fleet.storeCallsCount;
+            int callsBefore = fleet.storeCallCount;
             fleet.time.advanceMillis(20_000);
-            calls.put(size, fleet.storeCallsCount - before);
+            callsByFleetSize.put(fleetSize, fleet.storeCallCount - callsBefore);
         }
-        assertEquals(calls.get(9), calls.get(72));
-        assertTrue(calls.get(72) <= 3 * 20_000 / 600, calls::toString);
+        assertEquals(callsByFleetSize.get(9), callsByFleetSize.get(72));
+        assertTrue(callsByFleetSize.get(72) <= 3 * 20_000 / 600, callsByFleetSize::toString);
     }
 
     /** A record reaches all instances within a few network delays of its acknowledgement, not a round later. */
     @Test
-    void aRecordIsToldAtOnce() {
-        RelayFleet fleet = new RelayFleet(72, 3, 2);
+    void recordIsForwardedImmediately() {
+        SimulatedFleet fleet = new SimulatedFleet(72, 3, 2);
         fleet.time.advanceMillis(5_000);
-        fleet.write();
+        fleet.writeRecord();
         fleet.time.advanceMillis(20);
         fleet.members.forEach(member -> assertEquals(1, member.appliedAtMillis.size(), member.name));
     }
@@ -61,13 +62,13 @@
      * it are in touch with the store and bound by it, so they read for themselves before the bound is over.
      */
     @Test
-    void aReaderThatIsCutOffFromTheStoreHoldsNobodyBack() {
-        RelayFleet fleet = new RelayFleet(9, 3, 3);
+    void readerCutOffFromStoreDelaysNoOtherInstance() {
+        SimulatedFleet fleet = new SimulatedFleet(9, 3, 3);
         fleet.time.advanceMillis(5_000);
-        RelayFleet.Member reader = fleet.relay("dc0");
-        reader.storeCut = true;
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
+        SimulatedFleet.Member reader = fleet.relay("dc0");
+        reader.storeUnreachable = true;
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
         fleet.members.stream()
                 .filter(member -> member != reader)
                 .forEach(member -> assertEquals(1, member.appliedAtMillis.size(), member.name));
@@ -75,57 +76,57 @@
 
     /** The reader goes on reading, but nobody hears it: a cut one way. */
     @Test
-    void aReaderThatNobodyHearsIsReplaced() {
-        RelayFleet fleet = new RelayFleet(72, 3, 4);
+    void readerWhoseMessagesAreLostIsReplaced() {
+        SimulatedFleet fleet = new SimulatedFleet(72, 3, 4);
         fleet.time.advanceMillis(5_000);
-        RelayFleet.Member reader = fleet.relay("dc1");
-        reader.mute = true;
+        SimulatedFleet.Member reader = fleet.relay("dc1");
+        reader.dropsSent = true;
         fleet.time.advanceMillis(200);
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
         fleet.members.forEach(member -> assertEquals(1, member.appliedAtMillis.size(), member.name));
         fleet.time.advanceMillis(3_000);
-        int before = fleet.storeCallsCount;
+        int callsBefore = fleet.storeCallCount;
         fleet.time.advanceMillis(20_000);
-        assertTrue(fleet.storeCallsCount - before <= 4 * 20_000 / 600, fleet.storeCalls::toString);
+        assertTrue(fleet.storeCallCount - callsBefore <= 4 * 20_000 / 600, fleet.storeCallsByMember::toString);
     }
 
     /** It is thawed after others took over: its old word takes nobody back, and it goes on where it stopped. */
     @Test
-    void aReaderThatWasFrozenTakesNobodyBack() {
-        RelayFleet fleet = new RelayFleet(9, 3, 5);
+    void resumedReaderDoesNotRevertState() {
+        SimulatedFleet fleet = new SimulatedFleet(9, 3, 5);
         fleet.time.advanceMillis(5_000);
-        RelayFleet.Member reader = fleet.relay("dc2");
+        SimulatedFleet.Member reader = fleet.relay("dc2");
         reader.frozen(true);
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
         reader.frozen(false);
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
         fleet.members.forEach(member -> {
             assertEquals(3, member.appliedAtMillis.size(), member.name);
-            assertTrue(member == reader || worstDelayMillis(fleet, member, 0, 3) <= BOUND_MILLIS, member.name);
+            assertTrue(member == reader || worstDelayMillis(fleet, member, 0, 3) <= MAX_DELAY_MILLIS, member.name);
         });
     }
 
     /** Data centres have relays of their own, and the one that dies is replaced by another. */
     @Test
-    void aRelayThatDiesIsReplaced() {
-        RelayFleet fleet = new RelayFleet(12, 3, 6);
+    void failedRelayIsReplaced() {
+        SimulatedFleet fleet = new SimulatedFleet(12, 3, 6);
         fleet.time.advanceMillis(5_000);
-        RelayFleet.Member first = fleet.relay("dc0");
-        first.dead(true);
+        SimulatedFleet.Member failedRelay = fleet.relay("dc0");
+        failedRelay.setIsolated(true);
         fleet.time.advanceMillis(2_000);
-        long acting = fleet.members.stream()
-                .filter(member -> member != first && member.dataCentre.equals("dc0") && member.exchange.isRelay())
+        long activeRelayCount = fleet.members.stream()
+                .filter(member -> member != failedRelay && member.dataCentre.equals("dc0") && member.exchange.isRelay())
                 .count();
-        assertEquals(1, acting);
+        assertEquals(1, activeRelayCount);
         assertNotEquals(
-                first.name,
+                failedRelay.name,
                 fleet.members.stream()
-                        .filter(member -> member != first && member.exchange.isRelay())
+                        .filter(member -> member != failedRelay && member.exchange.isRelay())
                         .findFirst()
                         .orElseThrow()
                         .name);
@@ -137,65 +138,66 @@
      * nobody ever misses one.
      */
     @Test
-    void whateverFailsSoundInstancesLearnInTime() {
-        long worst = 0;
-        for (int schedule = 0; schedule < SCHEDULES; schedule++) {
-            worst = Math.max(worst, play(schedule));
+    void healthyInstancesReceiveRecordsInTimeDespiteFaults() {
+        long worstMillis = 0;
+        for (int schedule = 0; schedule < SCHEDULE_COUNT; schedule++) {
+            worstMillis = Math.max(worstMillis, simulate(schedule));
         }
-        assertTrue(worst <= BOUND_MILLIS, "worst delay " + worst + " ms");
+        assertTrue(worstMillis <= MAX_DELAY_MILLIS, "worst delay " + worstMillis + " ms");
     }
 
-    private static long play(int seed) {
+    private static long simulate(int seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        RelayFleet fleet = new RelayFleet(6 + random.nextInt(10), 3, seed);
+        SimulatedFleet fleet = new SimulatedFleet(6 + random.nextInt(10), 3, seed);
         fleet.time.advanceMillis(4_000);
-        Map<String, Long> soundSinceMillis = new HashMap<>();
-        fleet.members.forEach(member -> soundSinceMillis.put(member.name, fleet.time.monotonicMillis()));
-        long worst = 0;
-        for (int step = 0; step < STEPS; step++) {
-            disturb(fleet, random, soundSinceMillis);
+        Map<String, Long> healthySinceMillis = new HashMap<>();
+        fleet.members.forEach(member -> healthySinceMillis.put(member.name, fleet.time.monotonicMillis()));
+        long worstMillis = 0;
+        for (int step = 0; step < STEP_COUNT; step++) {
+            injectFaults(fleet, random, healthySinceMillis);
             fleet.time.advanceMillis(random.nextInt(400));
-            fleet.write();
-            long written = fleet.writtenAtMillis(step);
-            fleet.time.advanceMillis(BOUND_MILLIS + 1);
-            for (RelayFleet.Member member : fleet.members) {
-                if (soundSinceMillis.get(member.name) <= written - IN_TOUCH_MILLIS) {
-                    long applied = member.appliedAtMillis.getOrDefault((long) step, Long.MAX_VALUE);
-                    worst = Math.max(worst, applied - written);
+            fleet.writeRecord();
+            long writtenMillis = fleet.writtenAtMillis(step);
+            fleet.time.advanceMillis(MAX_DELAY_MILLIS + 1);
+            for (SimulatedFleet.Member member : fleet.members) {
+                if (healthySinceMillis.get(member.name) <= writtenMillis - MIN_HEALTHY_MILLIS) {
+                    long appliedMillis = member.appliedAtMillis.getOrDefault((long) step, Long.MAX_VALUE);
+                    worstMillis = Math.max(worstMillis, appliedMillis - writtenMillis);
                 }
             }
         }
-        fleet.members.forEach(StreamSharingTest::heal);
+        fleet.members.forEach(StreamSharingTest::clearFaults);
         fleet.time.advanceMillis(10_000);
-        fleet.members.forEach(member -> assertEquals(STEPS, member.appliedAtMillis.size(), member.name));
-        return worst;
+        fleet.members.forEach(member -> assertEquals(STEP_COUNT, member.appliedAtMillis.size(), member.name));
+        return worstMillis;
     }
 
-    private static void disturb(RelayFleet fleet, UniformRandomProvider random, Map<String, Long> soundSinceMillis) {
-        for (RelayFleet.Member member : fleet.members) {
-            boolean failing = soundSinceMillis.get(member.name) == Long.MAX_VALUE;
-            if (failing && random.nextInt(3) == 0) {
-                heal(member);
-                soundSinceMillis.put(member.name, fleet.time.monotonicMillis());
-            } else if (!failing && random.nextInt(member.exchange.isRelay() ? 3 : 12) == 0) {
-                harm(member, random.nextInt(5));
-                soundSinceMillis.put(member.name, Long.MAX_VALUE);
+    private static void injectFaults(
+            SimulatedFleet fleet, UniformRandomProvider random, Map<String, Long> healthySinceMillis) {
+        for (SimulatedFleet.Member member : fleet.members) {
+            boolean faulty = healthySinceMillis.get(member.name) == Long.MAX_VALUE;
+            if (faulty && random.nextInt(3) == 0) {
+                clearFaults(member);
+                healthySinceMillis.put(member.name, fleet.time.monotonicMillis());
+            } else if (!faulty && random.nextInt(member.exchange.isRelay() ? 3 : 12) == 0) {
+                injectFault(member, random.nextInt(5));
+                healthySinceMillis.put(member.name, Long.MAX_VALUE);
             }
         }
     }
 
-    private static void harm(RelayFleet.Member member, int kind) {
+    private static void injectFault(SimulatedFleet.Member member, int kind) {
         switch (kind) {
-            case 0 -> member.dead(true);
-            case 1 -> member.storeCut = true;
-            case 2 -> member.mute = true;
-            case 3 -> member.deaf = true;
+            case 0 -> member.setIsolated(true);
+            case 1 -> member.storeUnreachable = true;
+            case 2 -> member.dropsSent = true;
+            case 3 -> member.dropsReceived = true;
             default -> member.frozen(true);
         }
     }
 
-    private static void heal(RelayFleet.Member member) {
-        member.dead(false);
+    private static void clearFaults(SimulatedFleet.Member member) {
+        member.setIsolated(false);
         member.frozen(false);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
@@ -36,16 +36,16 @@
 
 class TargetsReaderTest {
 
-    private static final long LAPSE_MILLIS = 1_600;
+    private static final long LAPSE_GRACE_MILLIS = 1_600;
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final KvCacheIndex parts = new KvCacheIndex();
+    private final KvCacheIndex cacheIndex = new KvCacheIndex();
     private final TargetDirectory directory = new TargetDirectory(new TargetHealth(() -> 0), NoRateLimits.create());
     private final TargetsReader reader = new TargetsReader(
-            directory, service(), new ForwardingMetrics(new PrometheusRegistry()), time, LAPSE_MILLIS);
+            directory, createService(), new ForwardingMetrics(new PrometheusRegistry()), time, LAPSE_GRACE_MILLIS);
     private long offset;
 
-    private ForwardingService service() {
+    private ForwardingService createService() {
         LoadTracker loads = new LoadTracker();
         return new ForwardingService(
                 (_target, _handler, outcome) -> outcome.failed(),
@@ -57,7 +57,7 @@
                 new ForwardingService.Decisions(
                         new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(2)),
                         loads,
-                        parts,
+                        cacheIndex,
                         new PrefillRates(30),
                         new RetryPolicy(1, 1, 1, 1),
                         new RetryBudget(0, () -> 0, 1_000, 0),
@@ -70,24 +70,24 @@
                 new ForwardingMetrics(new PrometheusRegistry()));
     }
 
-    private void entry(String id, String state) {
+    private void putEntry(String id, String state) {
         String json = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"dc\",\"version\":\"v1\",\"slots\":6,"
                 + "\"state\":\"" + state + "\",\"coldLeftMs\":0,\"seq\":4}";
         reader.onRecord(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
     }
 
-    private void entryBorn(String id, String address, long bornMillis) {
+    private void putEntryWithStartTime(String id, String address, long bornMillis) {
         String json =
                 "{\"service\":\"s\",\"address\":\"" + address + "\",\"zone\":\"dc\",\"version\":\"v1\",\"slots\":6,"
                         + "\"state\":\"ready\",\"coldLeftMs\":0,\"seq\":4,\"born\":" + bornMillis + "}";
         reader.onRecord(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
     }
 
-    private void removed(String id) {
+    private void removeEntry(String id) {
         reader.onRecord(new KeyedRecord(id, offset++, Optional.empty()));
     }
 
-    private List<String> ready() {
+    private List<String> readyTargetIds() {
         return directory.readyTargets("s").stream()
                 .map(Incarnation::id)
                 .sorted()
@@ -95,15 +95,15 @@
     }
 
     @Test
-    void entriesComeLeaveAndGo() {
-        entry("a", "ready");
-        entry("b", "ready");
-        assertEquals(List.of("a", "b"), ready());
-
-        entry("a", "draining");
-        assertEquals(List.of("b"), ready());
-        removed("b");
-        assertEquals(List.of(), ready());
+    void entriesAreAddedDrainedAndRemoved() {
+        putEntry("a", "ready");
+        putEntry("b", "ready");
+        assertEquals(List.of("a", "b"), readyTargetIds());
+
+        putEntry("a", "draining");
+        assertEquals(List.of("b"), readyTargetIds());
+        removeEntry("b");
+        assertEquals(List.of(), readyTargetIds());
     }
 
     /**
@@ -112,63 +112,63 @@
      * and one that does not come back is left alone in time.
      */
     @Test
-    void whatLapsedInAnOutageIsGoneOnlyWhenItDoesNotComeBack() {
-        entry("a", "ready");
-        entry("b", "ready");
+    void entryThatLapsedDuringOutageIsRemovedUnlessRenewed() {
+        putEntry("a", "ready");
+        putEntry("b", "ready");
         reader.onDisconnected("timeout");
         time.advanceMillis(5_000);
         reader.onReconnected();
-        removed("a");
-        removed("b");
-        assertEquals(List.of("a", "b"), ready());
+        removeEntry("a");
+        removeEntry("b");
+        assertEquals(List.of("a", "b"), readyTargetIds());
 
         time.advanceMillis(1_000);
-        entry("a", "ready");
-        time.advanceMillis(LAPSE_MILLIS);
+        putEntry("a", "ready");
+        time.advanceMillis(LAPSE_GRACE_MILLIS);
 
-        assertEquals(List.of("a"), ready());
+        assertEquals(List.of("a"), readyTargetIds());
     }
 
     /** The outage ends with a full reading, as the history was dropped: what it does not list may just have lapsed. */
     @Test
-    void aFullReadingAfterAnOutageIsBelievedAfterAWhile() {
-        entry("a", "ready");
-        entry("b", "ready");
+    void snapshotAfterOutageTakesEffectAfterGracePeriod() {
+        putEntry("a", "ready");
+        putEntry("b", "ready");
         reader.onDisconnected("timeout");
         time.advanceMillis(5_000);
         reader.onReconnected();
         offset = 20;
         reader.onSnapshotComplete(Set.of(), 20);
-        assertEquals(List.of("a", "b"), ready());
+        assertEquals(List.of("a", "b"), readyTargetIds());
 
-        entry("a", "ready");
-        time.advanceMillis(LAPSE_MILLIS);
+        putEntry("a", "ready");
+        time.advanceMillis(LAPSE_GRACE_MILLIS);
 
-        assertEquals(List.of("a"), ready());
+        assertEquals(List.of("a"), readyTargetIds());
     }
 
     /** A target that said it leaves is not waited for, whatever the store does. */
     @Test
-    void aLeavingTargetIsGoneAtOnce() {
-        entry("a", "ready");
-        entry("a", "draining");
+    void drainingTargetIsRemovedImmediately() {
+        putEntry("a", "ready");
+        putEntry("a", "draining");
         reader.onDisconnected("timeout");
         reader.onReconnected();
-        removed("a");
+        removeEntry("a");
 
         assertTrue(directory.find("a").isEmpty());
     }
 
     @Test
-    void withoutAnOutageALapseCountsAtOnce() {
-        entry("a", "ready");
-        removed("a");
+    void lapseWithoutOutageTakesEffectImmediately() {
+        putEntry("a", "ready");
+        removeEntry("a");
 
-        assertEquals(List.of(), ready());
+        assertEquals(List.of(), readyTargetIds());
     }
 
     @Test
-    void aJumpOfTheClocksIsNoticedOnce() {
+    void clockJumpIsReportedOnce() {
         List<String> jumps = new ArrayList<>();
         new ClockWatch(time, 500, 700, () -> jumps.add("jump")).start();
         time.advanceMillis(5_000);
@@ -185,15 +185,15 @@
      * going there as if it were kept, and their callers waited for all of it to be read.
      */
     @Test
-    void whatAnEngineKeptIsForgottenWhenItStartsAgainUnderItsId() {
+    void cacheStateIsClearedWhenEngineRestartsUnderSameId() {
         Prompt prompt = new Prompt("m", 900, 9, List.of(new PromptSegment("p", 900)));
-        entryBorn("a", "10.0.0.1:80", 1_000);
-        parts.setCachedTokens("a", "p", 900);
-        entryBorn("a", "10.0.0.1:80", 1_000);
-        assertEquals(900, parts.cachedPrefixTokens("a", prompt));
+        putEntryWithStartTime("a", "10.0.0.1:80", 1_000);
+        cacheIndex.setCachedTokens("a", "p", 900);
+        putEntryWithStartTime("a", "10.0.0.1:80", 1_000);
+        assertEquals(900, cacheIndex.cachedPrefixTokens("a", prompt));
 
-        entryBorn("a", "10.0.0.1:80", 2_000);
-        assertEquals(0, parts.cachedPrefixTokens("a", prompt));
+        putEntryWithStartTime("a", "10.0.0.1:80", 2_000);
+        assertEquals(0, cacheIndex.cachedPrefixTokens("a", prompt));
     }
 
     /**
@@ -201,16 +201,16 @@
      * to an address where nobody is, or another engine by now.
      */
     @Test
-    void aLateWordOfAnEarlierStartChangesNothing() {
-        entryBorn("a", "10.0.0.2:80", 2_000);
-        entryBorn("a", "10.0.0.1:80", 1_000);
+    void delayedEntryOfEarlierIncarnationIsIgnored() {
+        putEntryWithStartTime("a", "10.0.0.2:80", 2_000);
+        putEntryWithStartTime("a", "10.0.0.1:80", 1_000);
         assertEquals("10.0.0.2", directory.find("a").orElseThrow().host());
     }
 
     /** A time that is none comes from a writer gone wrong: its entry names no engine to use. */
     @Test
-    void anEntryWhoseBirthIsNoTimeNamesNoTarget() {
-        entryBorn("a", "10.0.0.1:80", -5);
-        assertEquals(List.of(), ready());
+    void entryWithInvalidStartTimeIsIgnored() {
+        putEntryWithStartTime("a", "10.0.0.1:80", -5);
+        assertEquals(List.of(), readyTargetIds());
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
@@ -9,25 +9,25 @@
 /** Instances that start while the platform turns them away know what their neighbours know. */
 class WarmStartTest {
 
-    private static final int RECORDS = 5;
+    private static final int RECORD_COUNT = 5;
 
     /** A relay gives a sign of life every 300 ms: the first one finds the new process, and all follows it. */
-    private static final long WARM_MILLIS = 700;
+    private static final long WARM_START_MILLIS = 700;
 
     /** Nine tenths of the least time in which a configuration or a leaving target has to be heeded everywhere. */
-    private static final long BOUND_MILLIS = 1_800;
+    private static final long MAX_DELAY_MILLIS = 1_800;
 
-    private static RelayFleet settled(int members, int centres, int seed) {
-        RelayFleet fleet = new RelayFleet(members, centres, seed);
+    private static SimulatedFleet createSettledFleet(int memberCount, int dataCentreCount, int seed) {
+        SimulatedFleet fleet = new SimulatedFleet(memberCount, dataCentreCount, seed);
         fleet.time.advanceMillis(3_000);
-        for (int i = 0; i < RECORDS; i++) {
-            fleet.write();
+        for (int i = 0; i < RECORD_COUNT; i++) {
+            fleet.writeRecord();
         }
         fleet.time.advanceMillis(2_000);
         return fleet;
     }
 
-    private static List<RelayFleet.Member> of(RelayFleet fleet, String dataCentre) {
+    private static List<SimulatedFleet.Member> membersOf(SimulatedFleet fleet, String dataCentre) {
         return fleet.members.stream()
                 .filter(member -> member.dataCentre.equals(dataCentre))
                 .toList();
@@ -39,17 +39,17 @@
      * to it anew tells it everything at once.
      */
     @Test
-    void anInstanceThatIsTurnedAwayKnowsWhatItsNeighboursKnow() {
-        RelayFleet fleet = settled(24, 3, 11);
-        RelayFleet.Member started = fleet.members.stream()
+    void instanceRejectedByStoreReceivesStateFromPeers() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 11);
+        SimulatedFleet.Member restarted = fleet.members.stream()
                 .filter(member -> !member.exchange.isRelay())
                 .findFirst()
                 .orElseThrow();
-        started.storeCut = true;
-        started.knowsOthers = false;
-        started.restart();
-        fleet.time.advanceMillis(WARM_MILLIS);
-        assertEquals(RECORDS, started.appliedAtMillis.size());
+        restarted.storeUnreachable = true;
+        restarted.knowsMembers = false;
+        restarted.restart();
+        fleet.time.advanceMillis(WARM_START_MILLIS);
+        assertEquals(RECORD_COUNT, restarted.appliedAtMillis.size());
     }
 
     /**
@@ -58,43 +58,43 @@
      * meanwhile reaches them by the same way in time.
      */
     @Test
-    void aDataCentreThatIsTurnedAwayLivesOnTheWordOfAnother() {
-        RelayFleet fleet = settled(24, 3, 12);
-        List<RelayFleet.Member> turnedAway = of(fleet, "dc0");
-        turnedAway.forEach(member -> member.storeCut = true);
-        turnedAway.forEach(RelayFleet.Member::restart);
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        turnedAway.forEach(member -> assertEquals(RECORDS, member.appliedAtMillis.size(), member.name));
+    void dataCentreRejectedByStoreReceivesStateFromAnother() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 12);
+        List<SimulatedFleet.Member> rejected = membersOf(fleet, "dc0");
+        rejected.forEach(member -> member.storeUnreachable = true);
+        rejected.forEach(SimulatedFleet.Member::restart);
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        rejected.forEach(member -> assertEquals(RECORD_COUNT, member.appliedAtMillis.size(), member.name));
         fleet.time.advanceMillis(2_000);
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        turnedAway.forEach(member -> assertEquals(RECORDS + 1, member.appliedAtMillis.size(), member.name));
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        rejected.forEach(member -> assertEquals(RECORD_COUNT + 1, member.appliedAtMillis.size(), member.name));
     }
 
     /** All lose power at once, and the store answers one instance in six: the others serve by what these have read. */
     @Test
-    void whereAllStartAtOnceThoseThatReadTellTheOthers() {
-        RelayFleet fleet = settled(24, 3, 13);
+    void instancesThatReadStoreUpdateOthersAfterFullRestart() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 13);
         for (int i = 0; i < fleet.members.size(); i++) {
-            fleet.members.get(i).storeCut = i % 6 != 0;
+            fleet.members.get(i).storeUnreachable = i % 6 != 0;
         }
-        fleet.members.forEach(RelayFleet.Member::restart);
+        fleet.members.forEach(SimulatedFleet.Member::restart);
         fleet.time.advanceMillis(3_000);
-        fleet.members.forEach(member -> assertEquals(RECORDS, member.appliedAtMillis.size(), member.name));
+        fleet.members.forEach(member -> assertEquals(RECORD_COUNT, member.appliedAtMillis.size(), member.name));
     }
 
     /** What it was told is no older than what the relay has, and the store's own word comes on top of it. */
     @Test
-    void theStoresWordGoesOnWhereTheNeighboursEnded() {
-        RelayFleet fleet = settled(24, 3, 14);
-        RelayFleet.Member started = of(fleet, "dc1").get(0);
-        started.storeCut = true;
-        started.restart();
-        fleet.time.advanceMillis(WARM_MILLIS);
-        started.storeCut = false;
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        assertEquals(RECORDS + 1, started.appliedAtMillis.size());
-        assertTrue(started.appliedAtMillis.get((long) RECORDS) >= started.appliedAtMillis.get(0L));
+    void storeReadsContinueAfterStateFromPeers() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 14);
+        SimulatedFleet.Member restarted = membersOf(fleet, "dc1").get(0);
+        restarted.storeUnreachable = true;
+        restarted.restart();
+        fleet.time.advanceMillis(WARM_START_MILLIS);
+        restarted.storeUnreachable = false;
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        assertEquals(RECORD_COUNT + 1, restarted.appliedAtMillis.size());
+        assertTrue(restarted.appliedAtMillis.get((long) RECORD_COUNT) >= restarted.appliedAtMillis.get(0L));
     }
 }
