--- a/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
@@ -25,7 +25,7 @@
     private static final long ALL_RECOVERED_MILLIS = 5_000;
     private static final long CALL_INTERVAL_MILLIS = 3;
 
-    /** Half of what the quota of a fifth allows. */
+    /** A tenth of the calls, half of the fifth that the quota allows. */
     private static final int MAX_FAILED_CALLS_DIVISOR = 10;
 
     private final SimulatedFleet fleet = new SimulatedFleet(INSTANCE_COUNT, 3, 5);
@@ -55,10 +55,9 @@
     }
 
     /**
-     * Callers see a failure or a repeat for each call that meets a broken target. Twelve of a hundred targets break off
-     * each call for seven seconds; forty-eight instances have seven calls a second each, so each meets a given target
-     * rarely, and what one has found out comes too late for the others unless it is told. Evidence: left alone by each
-     * instance for itself, the twelve got 1,282 of 2,334 calls.
+     * Load: 48 instances send seven calls a second each, so each one calls a given target rarely. Of 100 targets,
+     * twelve break every connection for seven seconds; unless the instances share their failures, each one loses calls
+     * to each broken target. Without sharing, the twelve received 1,282 of 2,334 calls.
      */
     @Test
     void failuresSeenByOneInstanceAreAvoidedByOthers() {
@@ -67,10 +66,13 @@
         long maxCount = OUTAGE_MILLIS / CALL_INTERVAL_MILLIS / MAX_FAILED_CALLS_DIVISOR;
         assertTrue(
                 failedCount <= maxCount,
-                failedCount + " calls met a broken target, " + maxCount + " is half the quota");
+                failedCount + " calls reached a broken target, at most " + maxCount + " allowed");
     }
 
-    /** A target that answers again is back at half of the instances within two seconds, and at all within five. */
+    /**
+     * Guards against recovered targets staying unused: half of the instances use them again within two seconds, all
+     * within five.
+     */
     @Test
     void recoveredTargetIsUsedAgainByAllInstances() {
         simulate(OUTAGE_MILLIS, true);
@@ -79,7 +81,9 @@
         int avoidedCount = healths.stream()
                 .mapToInt(health -> TARGET_COUNT - health.filterUsable(targets).size())
                 .sum();
-        assertTrue(avoidedCount <= INSTANCE_COUNT * BROKEN_TARGET_COUNT / 2, avoidedCount + " are still left alone");
+        assertTrue(
+                avoidedCount <= INSTANCE_COUNT * BROKEN_TARGET_COUNT / 2,
+                avoidedCount + " targets are still excluded, summed over all instances");
 
         simulate(ALL_RECOVERED_MILLIS - HALF_RECOVERED_MILLIS, false);
         for (TargetHealth health : healths) {
@@ -87,7 +91,7 @@
         }
     }
 
-    /** A target has started again, and a word about its earlier start comes late: it says nothing of the later one. */
+    /** A report on an earlier incarnation that arrives after the target restarted must not exclude the new one. */
     @Test
     void reportOnEarlierIncarnationIsIgnored() {
         bornMillis.put("i1", BORN_MILLIS + 1);
@@ -99,7 +103,10 @@
         assertEquals(TARGET_COUNT - 1, healths.get(2).filterUsable(targets).size());
     }
 
-    /** Calls come one after the other at any instance, and half of them would rather go to a target with nothing to do. */
+    /**
+     * Sends calls one at a time through random instances; half of the calls prefer an affected target, which looks
+     * idle. Returns how many calls reached a broken target.
+     */
     private int simulate(long durationMillis, boolean broken) {
         int failedCount = 0;
         for (long elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += CALL_INTERVAL_MILLIS) {
--- a/src/test/java/org/dogwoodwinch/daemon/DaemonMainTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/DaemonMainTest.java
@@ -13,7 +13,7 @@
     @TempDir
     Path directory;
 
-    /** Both ways to name the file lead to the same end. */
+    /** Both forms of the option give the same exit code. */
     @Test
     void invalidSettingsExitWithOne() throws IOException {
         Path file = Files.writeString(directory.resolve("node.json"), "{\"instance\": 7}");
@@ -28,7 +28,7 @@
         assertEquals(2, DaemonMain.exitCode(new String[] {"--settings", "a", "b"}));
     }
 
-    /** An exception that left the main thread would not end the process: its event loop lives on. */
+    /** An exception that escaped from the main thread would not end the process, since its event loop keeps running. */
     @Test
     void uncaughtExceptionExitsWithOne() {
         assertEquals(1, DaemonMain.exitCode(new String[] {"--settings", "no\0path"}));
--- a/src/test/java/org/dogwoodwinch/daemon/DaemonTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/DaemonTest.java
@@ -43,13 +43,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole path in one process: callers, a daemon on free ports, and stand-ins behind HTTP. */
+/** End-to-end test in one process: callers, a daemon on free ports, and stand-in back ends over HTTP. */
 @Timeout(60)
 class DaemonTest {
 
     /**
-     * No answer here is longer. Without it each request counts with the 1,024 tokens that its entry allows, and forty of
-     * them may add up to more than the deadline, depending on how many arrive before the first is answered.
+     * The maximum length of a response. Without it, each request would be accounted for with the 1,024 tokens that its
+     * entry allows, and forty requests might exceed the deadline, depending on how many arrive before the first
+     * response.
      */
     private static final int MAX_TOKENS = 64;
 
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Forty callers ask at once, each with a prompt of its own. Each gets the text that belongs to its own prompt, byte
-     * for byte, though all the answers come interleaved from the same engines.
+     * Guards against mixed-up responses: forty concurrent callers send different prompts, and the engines' responses
+     * are interleaved.
      */
     @Test
     void concurrentCallersReceiveTheirOwnCompleteResponses() throws IOException {
@@ -119,8 +120,8 @@
     }
 
     /**
-     * The instance is told to stop while an answer streams. It says that it is not ready, refuses what is new as not
-     * run, and ends only after the answer is whole.
+     * An instance that is stopped while a response is streamed reports that it is not ready, refuses new requests as
+     * not run, and exits only after the response is complete.
      */
     @Test
     void stopCompletesRunningRequests() throws IOException, InterruptedException {
--- a/src/test/java/org/dogwoodwinch/daemon/DelayedUpdatesTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/DelayedUpdatesTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the reader of a data centre says waits on its way out, and all of it arrives, late and in order. */
+/** Delays the updates that the reader of a data centre sends; all of them arrive, in order. */
 class DelayedUpdatesTest {
 
-    /** Nine tenths of the least time in which a leaving target has to be heeded everywhere. */
+    /** Nine tenths of the shortest time within which all instances must stop using a draining target. */
     private static final long MAX_DELAY_MILLIS = 1_800;
 
     private static final long MAX_QUEUE_DELAY_MILLIS = 3_000;
@@ -34,7 +34,10 @@
         assertWithinMaxDelay(fleet);
     }
 
-    /** Nobody needs to read for itself where the link is sound: the others' word stays that of one reader. */
+    /**
+     * While the links are not saturated, the updates of one reader are sufficient and no other instance reads the
+     * store.
+     */
     @Test
     void timelyUpdatesNeedNoAdditionalReaders() {
         SimulatedFleet fleet = new SimulatedFleet(40, 2, 8);
@@ -66,6 +69,8 @@
             }
         }
         assertEquals(
-                0, Math.max(0, worstMillis - MAX_DELAY_MILLIS), "worst " + worstMillis + " ms at " + worstLocation);
+                0,
+                Math.max(0, worstMillis - MAX_DELAY_MILLIS),
+                "longest delay " + worstMillis + " ms at " + worstLocation);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
@@ -42,7 +42,10 @@
         healths.forEach(health -> assertFalse(health.isChangingStage("e1")));
     }
 
-    /** The engine crashed while it changed and is back under its id: a word from before must not leave it idle. */
+    /**
+     * An engine that crashed during a stage change and restarted under its id must not stay unused because of an
+     * earlier notice.
+     */
     @Test
     void noticeAboutEarlierIncarnationIsIgnored() {
         bornMillis.put("i1", BORN_MILLIS + 1);
--- a/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The whole daemon over real sockets, in front of stand-ins that speak the platform's protocol. */
+/** Runs the whole daemon over real sockets, in front of stand-ins that use the platform's protocol. */
 class ForwardingDaemonTest {
 
     private static final String FAULT_HEADER = "x-fault";
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Targets lose answers, garble them, cut them and fail. What runs once runs once and is never said not to have run;
-     * what may repeat is answered by another target where one answers.
+     * Targets lose, corrupt, truncate or fail responses. An unsafe call runs at most once and is reported as not run
+     * only if it did not run.
      */
     @Test
     void unsafeCallRunsAtMostOnceUnderTargetFaults() throws IOException {
@@ -137,7 +137,9 @@
         }
     }
 
-    /** The store falls silent after the start: calls are served by what was read before. */
+    /**
+     * When the store stops responding after the start, calls are served from the configuration and targets read before.
+     */
     @Test
     void callsAreServedWhileStoreIsSilent() throws Exception {
         CompletableFuture<Void> storeSilenced = new CompletableFuture<>();
@@ -152,7 +154,10 @@
         }
     }
 
-    /** A stop while a stream runs: the stream is whole, the instance is not ready, and nothing was cut. */
+    /**
+     * A planned stop must not truncate a running stream: the stream completes while the instance reports that it is not
+     * ready.
+     */
     @Test
     void plannedStopCompletesRunningStream() throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), daemon.port())) {
@@ -187,6 +192,8 @@
         }
         assertTrue(response.startsWith("HTTP/1.1 404 "), response);
         platformLoop.group().next().execute(() -> platform.configure(3));
-        assertTrue(sendCall("/safe/a", "x1", "").startsWith("HTTP/1.1 404 "), "an older version must not come back");
+        assertTrue(
+                sendCall("/safe/a", "x1", "").startsWith("HTTP/1.1 404 "),
+                "an older configuration version must not replace a newer one");
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
@@ -30,7 +30,7 @@
     private static final long WARM_UP_MILLIS = 10_000;
     private static final long MEASUREMENT_MILLIS = 10_000;
 
-    /** The narrowest link of an instance, 7 Mbit/s, and the part of it that telling may take. */
+    /** The bandwidth of an instance's slowest link, 7 Mbit/s; peer messages may use a fraction of it. */
     private static final long LINK_BYTES_PER_SECOND = 875_000;
 
     private static final int MAX_LINK_DIVISOR = 5;
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Callers at one instance of a data centre wait a second for each connection, some leave before their call is sent on:
-     * its link is full. It passes on what 98 engines keep to 21 others, and two of three parts that engines read are the
-     * request's own, which nobody asks for again.
+     * Load: a relay forwards the cache contents of 98 engines to 21 other instances, and two of three prefilled
+     * segments are unique to their request. Failure: its link is saturated, callers wait a second for each connection,
+     * and some disconnect before their call is forwarded.
      */
     @Test
     void cacheUpdatesLeaveRelayLinkCapacityToCalls() {
@@ -69,10 +69,10 @@
         long maxBytesPerSecond = LINK_BYTES_PER_SECOND / MAX_LINK_DIVISOR;
         assertTrue(
                 bytesPerSecond <= maxBytesPerSecond,
-                bytesPerSecond + " bytes a second, a fifth of the link is " + maxBytesPerSecond);
+                bytesPerSecond + " bytes per second, at most " + maxBytesPerSecond + " (a fifth of the link) allowed");
     }
 
-    /** What is kept for others to use is known everywhere: a call at any instance follows it. */
+    /** A call at any instance must be able to follow a shared segment to the engine that has it cached. */
     @Test
     void sharedSegmentsAreKnownToAllInstances() {
         simulate(WARM_UP_MILLIS);
@@ -87,11 +87,15 @@
                     .count();
             long expectedCount = informedCount == 0 ? 0 : INSTANCE_COUNT;
             assertEquals(
-                    expectedCount, informedCount, "instances that know where part " + sharedSegmentNumber + " is kept");
+                    expectedCount,
+                    informedCount,
+                    "instances that know where segment " + sharedSegmentNumber + " is cached");
         }
     }
 
-    /** All instances have lost power, and an engine tells one of them all that it keeps before any call names a part. */
+    /**
+     * After all instances lose power, an engine reports its cache to one of them before any call has named a segment.
+     */
     @Test
     void smallFleetLearnsCacheContentsAfterFullRestart() {
         SimulatedFleet smallFleet = new SimulatedFleet(6, 3, 3);
@@ -116,7 +120,7 @@
         assertEquals(countInFirstDataCentre(smallFleet), knownTokens.size());
     }
 
-    /** Each data centre has a watcher of its own. */
+    /** Returns how many instances share the first one's data centre; each data centre watches the engine separately. */
     private static long countInFirstDataCentre(SimulatedFleet smallFleet) {
         String dataCentre = smallFleet.members.get(0).dataCentre;
         return smallFleet.members.stream()
@@ -124,7 +128,10 @@
                 .count();
     }
 
-    /** Calls come at any instance, each with one shared part of many and one of its own, to the shared part's home. */
+    /**
+     * Sends calls through random instances to the engine of their shared segment; each prompt has one shared and one
+     * unique segment.
+     */
     private void simulate(long durationMillis) {
         for (long elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += CALL_INTERVAL_MILLIS) {
             int sharedSegmentNumber = random.nextInt(SHARED_SEGMENT_COUNT);
@@ -149,7 +156,7 @@
         indexes.get(memberIndex).recordPrefill(engineId, prompt);
     }
 
-    /** The engine tells a change to the instance that watches it. */
+    /** Reports a cache change to the instance that watches the engine. */
     private void reportCacheChange(String engineId, String segmentId, int tokens) {
         for (int i = 0; i < INSTANCE_COUNT; i++) {
             if (fleet.members.get(i).exchange.isAssignedToSelf(engineId)) {
--- a/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
@@ -20,7 +20,7 @@
 import org.dogwoodwinch.forwarding.TargetRateLimits;
 import org.junit.jupiter.api.Test;
 
-/** Load: many instances that would all rather call one target, which names a limit for all of them together. */
+/** Load: many instances prefer the same target, which reports a rate limit for all of them together. */
 class LimitSharingTest {
 
     private static final long BORN_MILLIS = 7;
@@ -46,7 +46,10 @@
         fleet.time.advanceMillis(SETTLE_MILLIS / 3);
 
         instances.forEach(each -> assertTrue(each.limits.isRateLimited("t1"), each.member.name));
-        assertEquals(2, instances.stream().filter(Instance::hasShare).count(), "of two calls a second for all");
+        assertEquals(
+                2,
+                instances.stream().filter(Instance::hasShare).count(),
+                "instances with a share of two calls per second");
     }
 
     @Test
@@ -65,11 +68,11 @@
                     .count();
             assertTrue(
                     settledCount + 1 >= 0.8 * limitPerSecond * 9,
-                    settledCount + " calls in 9 s though " + limitPerSecond + " a second are taken");
+                    settledCount + " calls in 9 s, limit " + limitPerSecond + " per second");
         }
     }
 
-    /** Whichever one it is: an instance that has not heard of the others takes itself for a holder. */
+    /** Any instance may be isolated: one that knows no others assumes that it has a share of the limit. */
     @Test
     void isolatedInstanceDoesNotBreakLimit() {
         for (double limitPerSecond : new double[] {0.3, 1.6, 2.3, 7.5, 40}) {
@@ -85,7 +88,7 @@
         }
     }
 
-    /** A planned stop of a holder: it gives up at once, the one that follows has heard so before it begins. */
+    /** A share holder that is stopped gives up its share at once, and its successor knows so before it uses its own. */
     @Test
     void totalRateStaysWithinLimitWhenShareHoldersChange() {
         start(9);
@@ -127,7 +130,7 @@
         instances.forEach(each -> assertFalse(each.limits.isRateLimited("t1"), each.member.name));
     }
 
-    /** An instance that hears nothing for a moment misses the end, and nobody repeats to it what is over. */
+    /** An instance that receives nothing for a moment misses the removal of the limit, which nobody repeats. */
     @Test
     void limitExpiresAtInstanceThatMissedItsRemoval() {
         start(9);
@@ -146,7 +149,7 @@
         assertFalse(disconnected.limits.isRateLimited("t1"));
     }
 
-    /** While nobody calls the target, those who have a share of its limit keep the others informed. */
+    /** Instances that have a share of the limit keep sending it to the others while the target receives no calls. */
     @Test
     void limitOfIdleTargetIsRetained() {
         start(9);
@@ -197,7 +200,8 @@
                             arrivalMillis >= windowStartMillis && arrivalMillis < windowStartMillis + WINDOW_MILLIS)
                     .count();
             assertTrue(
-                    windowStartMillis < enforcedFromMillis || count <= allowed, count + " calls, allowed " + allowed);
+                    windowStartMillis < enforcedFromMillis || count <= allowed,
+                    count + " calls in a window, at most " + allowed + " allowed");
         }
     }
 
@@ -226,7 +230,7 @@
             return limit.isPresent() && shares.sharePerSecond("t1", limit.getAsDouble()) > 0;
         }
 
-        /** Calls the target if it may; the answer comes at once. */
+        /** Calls the target if the limit permits it; the response arrives after 5 ms. */
         void sendCall() {
             if (limits.tryTake("t1")) {
                 long sentMillis = fleet.time.monotonicMillis();
--- a/src/test/java/org/dogwoodwinch/daemon/RefusalResponsesTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/RefusalResponsesTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Every refusal reason, as the caller gets it and as the counters show it. Those that the edge decides are brought about
- * for real; those that are decided behind it come from a scripted handler.
+ * Checks each refusal reason as returned to the caller and as counted. Reasons that the edge decides are provoked by
+ * real requests; a scripted handler returns the others.
  */
 class RefusalResponsesTest {
 
@@ -96,7 +96,7 @@
         assertTrue(response.body().contains("\"retryAfterMillis\":1200"));
     }
 
-    /** Returns null where the answer was read from a raw connection and checked there. */
+    /** Returns the response, or null if it was read from a raw connection and checked there. */
     private HttpResponse<String> provokeRefusal(RefusalReason reason) throws IOException {
         if (!REASONS_DECIDED_BY_EDGE.contains(reason)) {
             edge.handler()
@@ -133,14 +133,14 @@
 
     private HttpResponse<String> sendToFailingHandler() {
         edge.handler().onSubmit(_submitted -> {
-            throw new IllegalStateException("a fault");
+            throw new IllegalStateException("injected fault");
         });
         return edge.send("POST", COMPLETIONS, VALID_BODY);
     }
 
     /**
-     * The caller sends half a request line and then nothing. It sees a 408 and the connection closed, since its timer
-     * counts from the first byte: trickling on would not have extended it.
+     * Sends half a request line and then nothing. The caller receives a 408 and the connection is closed: the timeout
+     * runs from the first byte, so sending further bytes slowly would not have extended it.
      */
     private HttpResponse<String> sendIncompleteRequest() throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), edge.port())) {
--- a/src/test/java/org/dogwoodwinch/daemon/RelayBandwidthTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/RelayBandwidthTest.java
@@ -30,7 +30,7 @@
     private static final int ENGINE_COUNT = 98;
     private static final int ROUND_MILLIS = 150;
 
-    /** The narrowest link of an instance, 7 Mbit/s, and the part of it that messages between instances may take. */
+    /** The bandwidth of an instance's slowest link, 7 Mbit/s; peer messages may use a fraction of it. */
     private static final long LINK_BYTES_PER_SECOND = 875_000;
 
     private static final int MAX_LINK_DIVISOR = 4;
@@ -72,7 +72,10 @@
         fleet.time.advanceMillis(2_000);
     }
 
-    /** Work goes on for callers that have left: at a relay their closes wait, on a full link, behind what it tells. */
+    /**
+     * Failure: on a relay's saturated link, closing a connection waits behind peer messages, and targets keep working
+     * for callers that have disconnected.
+     */
     @Test
     void relayTrafficLeavesLinkCapacityToCalls() {
         simulateSeconds(WARM_UP_SECONDS);
@@ -92,11 +95,14 @@
         bytesByTopic.replaceAll((_topic, bytes) -> bytes / MEASUREMENT_SECONDS);
         assertTrue(
                 Collections.max(sentBytes) <= maxBytes,
-                "bytes in each second " + sentBytes + ", a quarter of the link is " + maxBytes + "; by topic "
+                "bytes in each second " + sentBytes + ", at most " + maxBytes
+                        + " (a quarter of the link) allowed; per second by topic "
                         + bytesByTopic);
     }
 
-    /** What yields to calls is never word of a target that leaves: a call sent there after it is lost. */
+    /**
+     * Updates that yield to calls must not include those about draining targets: a call sent to one afterwards is lost.
+     */
     @Test
     void busyRelayForwardsStoreRecordsWithoutDelay() {
         simulateSeconds(WARM_UP_SECONDS + MEASUREMENT_SECONDS);
@@ -107,7 +113,7 @@
                 long appliedMillis = member.appliedAtMillis.getOrDefault(offset, Long.MAX_VALUE);
                 assertTrue(
                         appliedMillis <= fleet.writtenAtMillis(offset) + MAX_RECORD_DELAY_MILLIS,
-                        member.name + " learnt of record " + offset + " at " + appliedMillis + ", it was written at "
+                        member.name + " applied record " + offset + " at " + appliedMillis + " ms, written at "
                                 + fleet.writtenAtMillis(offset));
             }
         }
@@ -116,7 +122,7 @@
     private static List<String> dataCentres() {
         List<String> dataCentres = new ArrayList<>(Collections.nCopies(DATA_CENTRE_SIZE, "dc0"));
         for (int other = 1; other <= OTHER_DATA_CENTRE_COUNT; other++) {
-            // Of another data centre, this one's relay hears its relay alone.
+            // The relay of dc0 receives messages from the relay of each other data centre only: one instance suffices.
             dataCentres.add("dc" + other);
         }
         return dataCentres;
@@ -133,7 +139,10 @@
         }
     }
 
-    /** A call at any instance: a part that many calls name, a document that a few do, and its own. */
+    /**
+     * Simulates a call at a random instance. Its prompt has a segment that many calls share, a document that a few
+     * calls share, and a unique segment.
+     */
     private void simulateCall() {
         if (callCount % CALLS_PER_DOCUMENT == 0) {
             sharedSegmentNumber = random.nextInt(SHARED_SEGMENT_COUNT);
@@ -175,13 +184,15 @@
         }
     }
 
-    /** One instance of another data centre stands for all of it. */
+    /**
+     * Returns the index of a random instance. One instance of each other data centre represents all of its instances.
+     */
     private int randomCallerIndex() {
         int index = random.nextInt(FLEET_SIZE);
         return index < DATA_CENTRE_SIZE ? index : DATA_CENTRE_SIZE + index % OTHER_DATA_CENTRE_COUNT;
     }
 
-    /** The engine tells a change to the instance of each data centre that watches it. */
+    /** Reports a cache change to the instance of each data centre that watches the engine. */
     private void reportCacheChange(String engineId, String segmentId, int tokens) {
         for (int i = 0; i < fleet.members.size(); i++) {
             if (fleet.members.get(i).exchange.isAssignedToSelf(engineId)) {
--- a/src/test/java/org/dogwoodwinch/daemon/SettingsWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SettingsWatchTest.java
@@ -60,7 +60,10 @@
         assertEquals(List.of(60.0, 70.0), receivedSlackCounts);
     }
 
-    /** The file is wrong, half written or gone for a moment: what holds goes on holding, and the next right one counts. */
+    /**
+     * While the file is invalid, incomplete or missing, the current settings stay in force until the next valid
+     * version.
+     */
     @Test
     void invalidSettingsAreIgnored() throws IOException {
         Files.writeString(file, "{ \"instance\": ");
--- a/src/test/java/org/dogwoodwinch/daemon/SignalsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SignalsTest.java
@@ -11,8 +11,8 @@
     private static final long TIMEOUT_SECONDS = 30;
 
     /**
-     * The platform tells a process by SIGHUP that its settings file changed. Nothing that handles it, the process would
-     * end with every call in it; so the reaction runs and the process goes on.
+     * The platform sends SIGHUP when the settings file has changed. Without a handler, the signal would terminate the
+     * process and all of its calls.
      */
     @Test
     void handledSignalDoesNotTerminateProcess() throws Exception {
--- a/src/test/java/org/dogwoodwinch/daemon/SimulatedFleet.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SimulatedFleet.java
@@ -30,7 +30,10 @@
 import org.dogwoodwinch.peer.RelayExchange;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** Instances in several data centres that tell each other what one of each reads from a store, in virtual time. */
+/**
+ * Simulates, in virtual time, instances in several data centres. One instance of each reads a store and forwards the
+ * records to the others.
+ */
 final class SimulatedFleet {
 
     private static final String STREAM = "keyed.x";
@@ -61,7 +64,7 @@
                 seed);
     }
 
-    /** One instance for each entry, in the data centre that it names. */
+    /** Creates one instance for each entry, in the data centre that the entry names. */
     SimulatedFleet(List<String> dataCentres, long seed) {
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < dataCentres.size(); i++) {
@@ -70,7 +73,7 @@
         members.forEach(Member::start);
     }
 
-    /** Writes one more record; the store acknowledges it now. */
+    /** Appends a record to the store at the current time and completes the pending reads. */
     void writeRecord() {
         writtenAtMillis.add(time.monotonicMillis());
         List<Runnable> reads = List.copyOf(pendingReads);
@@ -82,7 +85,7 @@
         return writtenAtMillis.get((int) offset);
     }
 
-    /** The instance that reads for its data centre. */
+    /** Returns the relay of a data centre, which reads the store for it. */
     Member relay(String dataCentre) {
         return members.stream()
                 .filter(member -> member.dataCentre.equals(dataCentre) && member.exchange.isRelay())
@@ -90,7 +93,7 @@
                 .orElseThrow();
     }
 
-    /** One instance, with switches for what fails. */
+    /** An instance, with switches that inject faults. */
     final class Member {
 
         final String name;
@@ -100,27 +103,29 @@
         private StreamFollower follower;
         private int incarnation;
         private final Set<String> connectedTo = new HashSet<>();
-        /** Whether it knows the addresses of the others without having read or heard them. */
+        /** Whether the instance knows the addresses of the others without having read or received them. */
         boolean knowsMembers = true;
 
-        /** How long a message waits on its way out by now, in order, as behind what fills the link. */
+        /**
+         * Returns the queueing delay at the given time, as on a saturated link; messages stay in order.
+         */
         LongUnaryOperator queueDelayMillisAt = _nowMillis -> 0;
 
         private long lastArrivalMillis;
 
-        /** What it sent to the others since the fleet began. */
+        /** The bytes sent to the other instances since the start. */
         long sentBytes;
 
-        /** What it told the others since the fleet began, by topic. */
+        /** The bytes of entries sent to the other instances since the start, by topic. */
         final Map<PeerTopic, Long> sentBytesByTopic = new EnumMap<>(PeerTopic.class);
 
-        /** How long an answer of the store takes to come back to this instance. */
+        /** The time that a response of the store takes to reach this instance. */
         long storeLatencyMillis = STORE_LATENCY_MILLIS;
 
         boolean storeUnreachable;
         boolean dropsReceived;
         boolean dropsSent;
-        boolean frozen;
+        boolean paused;
         private final List<Runnable> deferredTasks = new ArrayList<>();
 
         Member(String name, String dataCentre) {
@@ -158,7 +163,7 @@
             exchange.start();
         }
 
-        /** Loses power and starts anew: it knows nothing, and each connection to it is a new one. */
+        /** Simulates a restart after a power loss: the instance has no state, and each connection to it is new. */
         void restart() {
             appliedAtMillis.clear();
             connectedTo.clear();
@@ -167,16 +172,21 @@
             start();
         }
 
-        /** All of it, both ways: as a process that is killed, but for what it believes of itself. */
+        /**
+         * Cuts off the instance from the store and, in both directions, from the others, as if killed, but keeps its
+         * state.
+         */
         void setIsolated(boolean isolated) {
             storeUnreachable = isolated;
             dropsReceived = isolated;
             dropsSent = isolated;
         }
 
-        /** What arrives or answers meanwhile comes when it is thawed. */
-        void frozen(boolean paused) {
-            frozen = paused;
+        /**
+         * Pauses or resumes the process. Messages and store responses that arrive meanwhile are handled on resumption.
+         */
+        void setPaused(boolean paused) {
+            this.paused = paused;
             if (!paused) {
                 List<Runnable> tasks = List.copyOf(deferredTasks);
                 deferredTasks.clear();
@@ -185,7 +195,7 @@
         }
 
         private void runUnlessPaused(Runnable task) {
-            if (frozen) {
+            if (paused) {
                 deferredTasks.add(task);
             } else {
                 task.run();
@@ -193,7 +203,7 @@
         }
 
         private void send(PeerMember to, Bytes message) {
-            if (dropsSent || frozen) {
+            if (dropsSent || paused) {
                 return;
             }
             if (connectedTo.add(to.name())) {
--- a/src/test/java/org/dogwoodwinch/daemon/SlowLinkTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/SlowLinkTest.java
@@ -12,22 +12,25 @@
 import org.dogwoodwinch.peer.PeerTopic;
 import org.junit.jupiter.api.Test;
 
-/** One instance's messages wait behind what fills its link, and all arrive, in order. */
+/** Delays the messages of one instance as a saturated link does: all of them arrive, in order. */
 class SlowLinkTest {
 
-    /** Nine tenths of the least time in which a leaving target has to be heeded everywhere. */
+    /** Nine tenths of the shortest time within which all instances must stop using a draining target. */
     private static final long MAX_DELAY_MILLIS = 1_800;
 
     private static final long ROUND_MILLIS = 150;
     private static final long QUEUE_DELAY_MILLIS = 1_500;
 
-    /** Later than a relay is missed, and not so late that its sign of life is of no use any more. */
+    /** Longer than the time after which a relay counts as missing, and short enough that its heartbeats still count. */
     private static final long HEARTBEAT_DELAY_MILLIS = 1_440;
 
-    /** The late relay, the next in order that takes over, and one that had not heard that one yet. */
+    /** The delayed relay, its successor, and an instance that has not yet received the successor's heartbeat. */
     private static final int MAX_ACTIVE_RELAYS = 3;
 
-    /** Each late word put the silent relay back in its successor's place, and everybody took itself for the relay. */
+    /**
+     * Failure: each delayed update reinstated the silent relay in place of its successor, and every instance became a
+     * relay.
+     */
     @Test
     void delayedHeartbeatsDoNotMakeEveryInstanceARelay() {
         SimulatedFleet fleet = new SimulatedFleet(40, 2, 11);
@@ -35,7 +38,7 @@
         SimulatedFleet.Member slowRelay = fleet.relay("dc0");
         slowRelay.queueDelayMillisAt = _nowMillis -> HEARTBEAT_DELAY_MILLIS;
         fleet.time.advanceMillis(5_000);
-        // Instances' rounds are not in step.
+        // The rounds of the instances are not synchronized.
         fleet.members.stream()
                 .filter(member -> member.dataCentre.equals("dc0") && member != slowRelay && member.exchange.isRelay())
                 .forEach(successor -> successor.queueDelayMillisAt = _nowMillis -> ROUND_MILLIS);
@@ -52,10 +55,13 @@
 
         assertTrue(
                 activeRelayCounts.stream().allMatch(count -> count <= MAX_ACTIVE_RELAYS),
-                activeRelayCounts + ", messages in 3 s " + (fleet.messageCount - messagesBefore));
+                "active relays " + activeRelayCounts + ", messages in 3 s " + (fleet.messageCount - messagesBefore));
     }
 
-    /** A follower's own full link made the sound relay's words look late, and it told its whole data centre as well. */
+    /**
+     * Failure: a follower's saturated link made a healthy relay's updates look late, and the follower sent to its whole
+     * data centre as well.
+     */
     @Test
     void instanceWithSlowLinkDoesNotBecomeRelay() {
         SimulatedFleet fleet = new SimulatedFleet(40, 2, 12);
@@ -73,7 +79,10 @@
         assertFalse(becameRelay, "sent " + (slowMember.sentBytes - bytesBefore) + " bytes in 4.5 s");
     }
 
-    /** What a follower found out waited on its own link and passed for new, over what was stated later elsewhere. */
+    /**
+     * Failure: a follower's update was queued on its own link, counted as new on arrival, and replaced a later one from
+     * elsewhere.
+     */
     @Test
     void updateAgeIncludesSenderQueueDelay() {
         SimulatedFleet fleet = new SimulatedFleet(40, 2, 13);
@@ -93,10 +102,14 @@
                 agesMillisByMember.values().stream()
                         .filter(age -> age < QUEUE_DELAY_MILLIS)
                         .count(),
-                () -> "heard by " + agesMillisByMember.size() + ", as old as " + agesMillisByMember.values());
+                () -> "received by " + agesMillisByMember.size() + " instances, ages in ms "
+                        + agesMillisByMember.values());
     }
 
-    /** The reader's answers came late and so did its word; each alone was in time and both together were not. */
+    /**
+     * Failure: store responses and forwarded updates were both late; either delay alone met the bound, their sum did
+     * not.
+     */
     @Test
     void combinedStoreAndLinkDelaysStayWithinMaxDelay() {
         StringBuilder summary = new StringBuilder();
@@ -104,11 +117,11 @@
         for (long linkDelayMillis : new long[] {0, 300, 600, 900}) {
             for (long storeLatencyMillis : new long[] {400, 700}) {
                 long worstMillis = worstDelayMillis(linkDelayMillis, storeLatencyMillis);
-                summary.append(" way ")
+                summary.append(" link delay ")
                         .append(linkDelayMillis)
-                        .append(" answer ")
+                        .append(" store latency ")
                         .append(storeLatencyMillis)
-                        .append(" worst ")
+                        .append(" longest delay ")
                         .append(worstMillis);
                 overallWorstMillis = Math.max(overallWorstMillis, worstMillis);
             }
--- a/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
@@ -37,7 +37,7 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** Load: six instances send calls all the while one engine of eight is ordered to change its stage. */
+/** Load: six instances send calls continuously while one engine of eight is ordered to change its stage. */
 class StageChangeTest {
 
     private static final long SWITCH_MILLIS = 3_000;
@@ -56,7 +56,9 @@
     private int rejectedCount;
     private int unroutedCount;
 
-    /** It finishes what it runs, and is back only then: it rejects all that comes meanwhile and looks idle. */
+    /**
+     * Until it has finished its running work and changed, the engine rejects all new calls and therefore looks idle.
+     */
     @Test
     void engineWithLongRunningWorkReceivesNoCallsDuringChange() {
         engines.drainMillis = 5_000;
@@ -65,11 +67,13 @@
         simulate(12_000);
 
         assertEquals(1, engines.completedChangeCount);
-        assertTrue(rejectedCount <= MAX_REJECTED_CALLS, rejectedCount + " calls were rejected");
+        assertTrue(
+                rejectedCount <= MAX_REJECTED_CALLS,
+                rejectedCount + " calls were rejected, at most " + MAX_REJECTED_CALLS + " allowed");
         assertEquals(0, unroutedCount);
     }
 
-    /** The answer to the order is lost, and the order too: the engine stands as before. */
+    /** The order and its response are both lost, so the engine keeps its stage. */
     @Test
     void engineThatNeverReceivedOrderIsUsedAgain() {
         engines.outcome = OrderOutcome.UNKNOWN;
@@ -82,7 +86,7 @@
                 each -> assertEquals(8, each.directory.readyTargets("s").size()));
     }
 
-    /** The answer is lost, and the engine carries the order out seconds later, when its work counts on it again. */
+    /** The response is lost, and the engine executes the order seconds later, when instances already use it again. */
     @Test
     void engineThatChangesLateReceivesFewCalls() {
         engines.outcome = OrderOutcome.UNKNOWN;
@@ -96,7 +100,7 @@
         long maxRejectedCount = detectionMillis / CALL_INTERVAL_MILLIS / 3;
         assertTrue(
                 rejectedCount <= maxRejectedCount,
-                rejectedCount + " calls were rejected, " + maxRejectedCount + " while it is found out");
+                rejectedCount + " calls were rejected, at most " + maxRejectedCount + " allowed");
     }
 
     private void start() {
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -34,7 +34,10 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** Orders of several instances that each take themselves for the giver, as engines that check no token see them. */
+/**
+ * Checks the orders of several instances that each consider themselves the issuer, as received by engines that check no
+ * fencing token.
+ */
 class StageOrdersTest {
 
     private static final long MIN_SEPARATION_MILLIS = 3_000;
@@ -48,7 +51,7 @@
 
     private record ReceivedOrder(String engine, String holder, long token, long atMillis) {}
 
-    /** One instance: it believes that orders fall to it while its switch says so. */
+    /** An instance that considers itself the issuer of orders while {@code isIssuing} is set. */
     private final class Issuer implements EngineControl {
 
         private final LoadTracker loads = new LoadTracker();
@@ -150,7 +153,7 @@
         return issuer;
     }
 
-    /** Tokens are never shared, never fall at an engine, and two holders' orders to one engine are far apart. */
+    /** Asserts that tokens are unique and increasing, and that orders of different holders are far enough apart. */
     private void assertOrdersAreExclusive() {
         Set<Long> tokens = new HashSet<>();
         for (int i = 0; i < receivedOrders.size(); i++) {
@@ -174,8 +177,8 @@
     }
 
     /**
-     * The giver dies and another one follows. Engines that check no token would carry out an order that the first one
-     * still had under way; the second waits until that cannot be.
+     * Failure: the issuer dies while an order is in flight, and an engine that checks no token executes it after one of
+     * the successor.
      */
     @Test
     void successorWaitsUntilEarlierOrdersCannotArrive() {
@@ -190,7 +193,9 @@
         assertOrdersAreExclusive();
     }
 
-    /** The record was written but its answer lost: its token is never used, and the next one is higher. */
+    /**
+     * The record was written but the store's response was lost: its token is never used, and the next one is higher.
+     */
     @Test
     void unconfirmedRecordGrantsNoLease() {
         Issuer issuer = addIssuer("a");
@@ -204,7 +209,7 @@
         assertTrue(receivedOrders.size() > 0 && receivedOrders.get(0).token > 0, receivedOrders::toString);
     }
 
-    /** The store answers after the right's time, as after a freeze: no order follows. */
+    /** The store confirms the lease after its term has ended, as after a pause of the process: no order follows. */
     @Test
     void leaseThatExpiredBeforeConfirmationIsNotUsed() {
         Issuer issuer = addIssuer("a");
@@ -215,7 +220,7 @@
         assertEquals(List.of(), receivedOrders);
     }
 
-    /** An order without an answer may be carried out many seconds later; its engine gets no other one meanwhile. */
+    /** An unanswered order may be executed many seconds later, so its engine receives no other order meanwhile. */
     @Test
     void engineWithUnansweredOrderReceivesNoOther() {
         outcome = OrderOutcome.UNKNOWN;
@@ -226,14 +231,14 @@
         assertTrue(receivedOrders.size() > 1);
     }
 
-    /** 200 schedules: who gives changes at any time, two give at once, the store is slow or loses answers. */
+    /** Runs 200 schedules: issuers change at any time, two issue at once, and the store is slow or loses responses. */
     @Test
     void ordersOfConcurrentIssuersNeverOverlap() {
         int orderCount = 0;
         for (int schedule = 0; schedule < SCHEDULE_COUNT; schedule++) {
             orderCount += new StageOrdersTest().simulate(RandomSource.XO_RO_SHI_RO_128_PP.create(schedule));
         }
-        assertTrue(orderCount > SCHEDULE_COUNT, "orders given: " + orderCount);
+        assertTrue(orderCount > SCHEDULE_COUNT, "orders received: " + orderCount);
     }
 
     private int simulate(UniformRandomProvider random) {
--- a/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
@@ -8,7 +8,9 @@
 
 class StopSignalsTest {
 
-    /** An operator stops the instance, and then, tired of the drain, once more: the second signal ends it at once. */
+    /**
+     * An operator who does not want to wait for the drain sends a second signal, which ends the process immediately.
+     */
     @Test
     void firstSignalDrainsAndSecondExits() {
         List<String> actions = new ArrayList<>();
--- a/src/test/java/org/dogwoodwinch/daemon/StreamSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StreamSharingTest.java
@@ -10,13 +10,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** One instance of each data centre reads the store for all; whatever befalls it, the others learn in time. */
+/**
+ * One instance of each data centre reads the store for all. If it fails, the others still receive records in
+ * time.
+ */
 class StreamSharingTest {
 
-    /** Nine tenths of the least time in which a configuration or a leaving target has to be heeded everywhere. */
+    /**
+     * Nine tenths of the shortest time within which all instances must apply a configuration or stop using a draining
+     * target.
+     */
     private static final long MAX_DELAY_MILLIS = 1_800;
 
-    /** As long as an instance has to have been sound before it is bound by promises again. */
+    /** The time for which an instance must have been healthy before the delay bound applies to it again. */
     private static final long MIN_HEALTHY_MILLIS = 3_000;
 
     private static final int SCHEDULE_COUNT = 200;
@@ -32,7 +38,10 @@
         return worstMillis;
     }
 
-    /** Calls to the store stay those of a few readers however many instances there are. */
+    /**
+     * Guards against store load that grows with the fleet: only a few readers call the store, whatever the fleet's
+     * size.
+     */
     @Test
     void oneInstancePerDataCentreReadsStore() {
         Map<Integer, Integer> callsByFleetSize = new HashMap<>();
@@ -47,7 +56,7 @@
         assertTrue(callsByFleetSize.get(72) <= 3 * 20_000 / 600, callsByFleetSize::toString);
     }
 
-    /** A record reaches all instances within a few network delays of its acknowledgement, not a round later. */
+    /** A record must reach all instances within a few network delays of its acknowledgement, not one round later. */
     @Test
     void recordIsForwardedImmediately() {
         SimulatedFleet fleet = new SimulatedFleet(72, 3, 2);
@@ -58,8 +67,8 @@
     }
 
     /**
-     * The reader loses the store but not its neighbours, and says nothing wrong: its word is just old. Those that rely on
-     * it are in touch with the store and bound by it, so they read for themselves before the bound is over.
+     * Failure: the reader is cut off from the store but not from its peers, so its updates are valid but outdated.
+     * Instances that can reach the store must then read it themselves within the bound.
      */
     @Test
     void readerCutOffFromStoreDelaysNoOtherInstance() {
@@ -74,7 +83,7 @@
                 .forEach(member -> assertEquals(1, member.appliedAtMillis.size(), member.name));
     }
 
-    /** The reader goes on reading, but nobody hears it: a cut one way. */
+    /** The reader still reads the store, but none of its messages arrive: a network cut in one direction. */
     @Test
     void readerWhoseMessagesAreLostIsReplaced() {
         SimulatedFleet fleet = new SimulatedFleet(72, 3, 4);
@@ -91,18 +100,18 @@
         assertTrue(fleet.storeCallCount - callsBefore <= 4 * 20_000 / 600, fleet.storeCallsByMember::toString);
     }
 
-    /** It is thawed after others took over: its old word takes nobody back, and it goes on where it stopped. */
+    /** A reader that is resumed after others took over must not revert their state, and continues where it stopped. */
     @Test
     void resumedReaderDoesNotRevertState() {
         SimulatedFleet fleet = new SimulatedFleet(9, 3, 5);
         fleet.time.advanceMillis(5_000);
         SimulatedFleet.Member reader = fleet.relay("dc2");
-        reader.frozen(true);
+        reader.setPaused(true);
         fleet.writeRecord();
         fleet.time.advanceMillis(MAX_DELAY_MILLIS);
         fleet.writeRecord();
         fleet.time.advanceMillis(MAX_DELAY_MILLIS);
-        reader.frozen(false);
+        reader.setPaused(false);
         fleet.writeRecord();
         fleet.time.advanceMillis(MAX_DELAY_MILLIS);
         fleet.members.forEach(member -> {
@@ -111,7 +120,7 @@
         });
     }
 
-    /** Data centres have relays of their own, and the one that dies is replaced by another. */
+    /** Each data centre has its own relay, which is replaced by another instance when it dies. */
     @Test
     void failedRelayIsReplaced() {
         SimulatedFleet fleet = new SimulatedFleet(12, 3, 6);
@@ -133,9 +142,9 @@
     }
 
     /**
-     * 200 schedules of kills, cuts one way, cuts off the store and freezes, one after the other and overlapping, with a
-     * record written twice a second. Each instance that was sound for three seconds heeds each record in time, and
-     * nobody ever misses one.
+     * Runs 200 schedules of kills, one-way cuts, cuts from the store and pauses, sequential and overlapping, with a
+     * record written about every two seconds. Instances that have been healthy for three seconds apply each record in
+     * time, and no instance misses one.
      */
     @Test
     void healthyInstancesReceiveRecordsInTimeDespiteFaults() {
@@ -143,7 +152,7 @@
         for (int schedule = 0; schedule < SCHEDULE_COUNT; schedule++) {
             worstMillis = Math.max(worstMillis, simulate(schedule));
         }
-        assertTrue(worstMillis <= MAX_DELAY_MILLIS, "worst delay " + worstMillis + " ms");
+        assertTrue(worstMillis <= MAX_DELAY_MILLIS, "longest delay " + worstMillis + " ms");
     }
 
     private static long simulate(int seed) {
@@ -192,12 +201,12 @@
             case 1 -> member.storeUnreachable = true;
             case 2 -> member.dropsSent = true;
             case 3 -> member.dropsReceived = true;
-            default -> member.frozen(true);
+            default -> member.setPaused(true);
         }
     }
 
     private static void clearFaults(SimulatedFleet.Member member) {
         member.setIsolated(false);
-        member.frozen(false);
+        member.setPaused(false);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
@@ -107,9 +107,9 @@
     }
 
     /**
-     * The store is away long enough for all entries to lapse, and comes back. For a moment its log tells that every
-     * target is gone; the sound ones register again within two seconds. Calls go on being served by those that are sound,
-     * and one that does not come back is left alone in time.
+     * Failure: the store is unreachable until all entries lapse, and its log then reports every target as removed,
+     * although the healthy ones register again within two seconds. Calls must still be served by these, while a target
+     * that does not return is excluded in time.
      */
     @Test
     void entryThatLapsedDuringOutageIsRemovedUnlessRenewed() {
@@ -129,7 +129,7 @@
         assertEquals(List.of("a"), readyTargetIds());
     }
 
-    /** The outage ends with a full reading, as the history was dropped: what it does not list may just have lapsed. */
+    /** The history was dropped, so the outage ends with a snapshot; an entry that it lacks may merely have lapsed. */
     @Test
     void snapshotAfterOutageTakesEffectAfterGracePeriod() {
         putEntry("a", "ready");
@@ -147,7 +147,7 @@
         assertEquals(List.of("a"), readyTargetIds());
     }
 
-    /** A target that said it leaves is not waited for, whatever the store does. */
+    /** No grace period applies to a target that was draining, whatever the state of the store. */
     @Test
     void drainingTargetIsRemovedImmediately() {
         putEntry("a", "ready");
@@ -181,8 +181,8 @@
     }
 
     /**
-     * An engine crashes and starts again under its id: it keeps nothing of what it had read. Calls with a long part went on
-     * going there as if it were kept, and their callers waited for all of it to be read.
+     * Failure: an engine crashed and restarted under its id with an empty cache, calls with a long segment were still
+     * routed to it as if the segment were cached, and their callers waited for the whole prefill.
      */
     @Test
     void cacheStateIsClearedWhenEngineRestartsUnderSameId() {
@@ -197,8 +197,8 @@
     }
 
     /**
-     * A word of the start before is written after the one of the new start, as it was on its way for long. Calls would go
-     * to an address where nobody is, or another engine by now.
+     * Failure: a delayed entry of the earlier incarnation was written after the new one, and calls went to an address
+     * that was unused or belonged to another engine.
      */
     @Test
     void delayedEntryOfEarlierIncarnationIsIgnored() {
@@ -207,7 +207,7 @@
         assertEquals("10.0.0.2", directory.find("a").orElseThrow().host());
     }
 
-    /** A time that is none comes from a writer gone wrong: its entry names no engine to use. */
+    /** An invalid start time comes from a faulty writer, so its entry must not yield a target. */
     @Test
     void entryWithInvalidStartTimeIsIgnored() {
         putEntryWithStartTime("a", "10.0.0.1:80", -5);
--- a/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
@@ -6,15 +6,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Instances that start while the platform turns them away know what their neighbours know. */
+/** Instances that start while the store rejects their calls receive the state of their peers. */
 class WarmStartTest {
 
     private static final int RECORD_COUNT = 5;
 
-    /** A relay gives a sign of life every 300 ms: the first one finds the new process, and all follows it. */
+    /**
+     * Covers the 300 ms between the heartbeats of a relay: the first one reaches the new process, and the state
+     * follows.
+     */
     private static final long WARM_START_MILLIS = 700;
 
-    /** Nine tenths of the least time in which a configuration or a leaving target has to be heeded everywhere. */
+    /**
+     * Nine tenths of the shortest time within which all instances must apply a configuration or stop using a draining
+     * target.
+     */
     private static final long MAX_DELAY_MILLIS = 1_800;
 
     private static SimulatedFleet createSettledFleet(int memberCount, int dataCentreCount, int seed) {
@@ -34,9 +40,9 @@
     }
 
     /**
-     * An instance starts while the store turns it away, and knows no address but its own. Callers that reach it are refused
-     * for as long, since it has no configuration and no targets, though each neighbour has both. A neighbour that connects
-     * to it anew tells it everything at once.
+     * Failure: an instance started while the store rejected its calls and knew no peer address; it refused callers for
+     * lack of configuration and targets, although its peers had both. A peer that connects to it must send it all
+     * state.
      */
     @Test
     void instanceRejectedByStoreReceivesStateFromPeers() {
@@ -53,9 +59,8 @@
     }
 
     /**
-     * A whole data centre loses power, and the store turns all of it away for ten seconds. Its callers have nobody else
-     * near them. The reader of another data centre tells its first instance, which tells the others; what is written
-     * meanwhile reaches them by the same way in time.
+     * Failure: a whole data centre loses power, the store rejects all of its calls for ten seconds, and its callers
+     * have no other instance nearby. The reader of another data centre must send its state and later records.
      */
     @Test
     void dataCentreRejectedByStoreReceivesStateFromAnother() {
@@ -71,7 +76,10 @@
         rejected.forEach(member -> assertEquals(RECORD_COUNT + 1, member.appliedAtMillis.size(), member.name));
     }
 
-    /** All lose power at once, and the store answers one instance in six: the others serve by what these have read. */
+    /**
+     * All instances restart, and the store responds to one in six: the others must serve from the state that these have
+     * read.
+     */
     @Test
     void instancesThatReadStoreUpdateOthersAfterFullRestart() {
         SimulatedFleet fleet = createSettledFleet(24, 3, 13);
@@ -83,7 +91,9 @@
         fleet.members.forEach(member -> assertEquals(RECORD_COUNT, member.appliedAtMillis.size(), member.name));
     }
 
-    /** What it was told is no older than what the relay has, and the store's own word comes on top of it. */
+    /**
+     * State received from peers is as recent as the relay's, and records read from the store later are applied on top.
+     */
     @Test
     void storeReadsContinueAfterStateFromPeers() {
         SimulatedFleet fleet = createSettledFleet(24, 3, 14);
