--- a/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
@@ -20,7 +20,7 @@
     private static final int TARGET_COUNT = 100;
     private static final int BROKEN_TARGET_COUNT = 12;
     private static final long OUTAGE_MILLIS = 7_000;
-    private static final long BORN_MILLIS = 7;
+    private static final long STARTED_MILLIS = 7;
     private static final long HALF_RECOVERED_MILLIS = 2_000;
     private static final long ALL_RECOVERED_MILLIS = 5_000;
     private static final long CALL_INTERVAL_MILLIS = 3;
@@ -33,11 +33,12 @@
     private final List<Incarnation> targets = new ArrayList<>();
     private final List<TargetHealth> healths = new ArrayList<>();
     private final List<BrokenTargets> brokenTargets = new ArrayList<>();
-    private final Map<String, Long> bornMillis = new HashMap<>();
+    private final Map<String, Long> startedMillisByInstance = new HashMap<>();
 
     BrokenTargetsTest() {
         for (int i = 0; i < TARGET_COUNT; i++) {
-            targets.add(new Incarnation("t" + i, "reader", "10.0.0.1", 80, "dc0", 6, false, Stage.WHOLE, BORN_MILLIS));
+            targets.add(
+                    new Incarnation("t" + i, "reader", "10.0.0.1", 80, "dc0", 6, false, Stage.WHOLE, STARTED_MILLIS));
         }
         for (SimulatedFleet.Member member : fleet.members) {
             TargetHealth health = new TargetHealth(fleet.time::monotonicMillis);
@@ -46,7 +47,7 @@
                     member.name,
                     member.exchange,
                     health,
-                    _id -> bornMillis.getOrDefault(member.name, BORN_MILLIS),
+                    _id -> startedMillisByInstance.getOrDefault(member.name, STARTED_MILLIS),
                     RandomSource.XO_RO_SHI_RO_128_PP.create(healths.size()));
             broken.start();
             brokenTargets.add(broken);
@@ -94,7 +95,7 @@
     /** A report on an earlier incarnation that arrives after the target restarted must not exclude the new one. */
     @Test
     void reportOnEarlierIncarnationIsIgnored() {
-        bornMillis.put("i1", BORN_MILLIS + 1);
+        startedMillisByInstance.put("i1", STARTED_MILLIS + 1);
 
         brokenTargets.get(0).brokeOff("t3");
         fleet.time.advanceMillis(900);
--- a/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/EnginesAwayTest.java
@@ -12,21 +12,21 @@
 
 class EnginesAwayTest {
 
-    private static final long BORN_MILLIS = 7;
+    private static final long STARTED_MILLIS = 7;
 
     private final SimulatedFleet fleet = new SimulatedFleet(6, 3, 5);
     private final List<TargetHealth> healths = new ArrayList<>();
     private final List<EnginesAway> enginesAway = new ArrayList<>();
-    private final Map<String, Long> bornMillis = new HashMap<>();
+    private final Map<String, Long> startedMillisByInstance = new HashMap<>();
 
     EnginesAwayTest() {
         for (SimulatedFleet.Member member : fleet.members) {
             TargetHealth health = new TargetHealth(fleet.time::monotonicMillis);
             healths.add(health);
-            EnginesAway away =
-                    new EnginesAway(member.exchange, health, _id -> bornMillis.getOrDefault(member.name, BORN_MILLIS));
-            away.start();
-            enginesAway.add(away);
+            EnginesAway sharing = new EnginesAway(
+                    member.exchange, health, _id -> startedMillisByInstance.getOrDefault(member.name, STARTED_MILLIS));
+            sharing.start();
+            enginesAway.add(sharing);
         }
         fleet.time.advanceMillis(1_000);
     }
@@ -48,7 +48,7 @@
      */
     @Test
     void noticeAboutEarlierIncarnationIsIgnored() {
-        bornMillis.put("i1", BORN_MILLIS + 1);
+        startedMillisByInstance.put("i1", STARTED_MILLIS + 1);
 
         enginesAway.get(0).tell("e1", 15_000);
         fleet.time.advanceMillis(500);
--- a/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/ForwardingDaemonTest.java
@@ -164,13 +164,13 @@
             socket.getOutputStream()
                     .write(("GET /stream/a HTTP/1.1\r\nHost: " + PlatformStandIn.HOST + "\r\nRequest-Id: s2\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            byte[] first = socket.getInputStream().readNBytes(20);
+            byte[] firstBytes = socket.getInputStream().readNBytes(20);
             CompletableFuture<Integer> exitCode = daemon.stop().toCompletableFuture();
 
-            String rest = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            String remainder = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
 
-            assertTrue(new String(first, StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 200 "));
-            assertTrue(rest.endsWith("0\r\n\r\n"), rest);
+            assertTrue(new String(firstBytes, StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 200 "));
+            assertTrue(remainder.endsWith("0\r\n\r\n"), remainder);
             assertEquals(0, exitCode.get(30, TimeUnit.SECONDS));
         }
         assertTrue(exchange(daemon.readyPort(), "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
--- a/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
@@ -23,9 +23,9 @@
 /** Load: many instances prefer the same target, which reports a rate limit for all of them together. */
 class LimitSharingTest {
 
-    private static final long BORN_MILLIS = 7;
+    private static final long STARTED_MILLIS = 7;
     private static final Incarnation TARGET =
-            new Incarnation("t1", "reader", "10.0.0.1", 80, "dc0", 64, false, Stage.DECODE, 1, BORN_MILLIS);
+            new Incarnation("t1", "reader", "10.0.0.1", 80, "dc0", 64, false, Stage.DECODE, 1, STARTED_MILLIS);
     private static final long CALL_INTERVAL_MILLIS = 10;
     private static final long WINDOW_MILLIS = 4_000;
     private static final long SETTLE_MILLIS = 3_000;
@@ -33,7 +33,7 @@
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
     private final List<Instance> instances = new ArrayList<>();
     private final List<Long> arrivalTimesMillis = new ArrayList<>();
-    private final Map<String, Long> bornMillis = new HashMap<>();
+    private final Map<String, Long> startedMillisByInstance = new HashMap<>();
     private SimulatedFleet fleet;
     private OptionalDouble limit = OptionalDouble.empty();
 
@@ -164,7 +164,7 @@
     @Test
     void limitOfEarlierIncarnationIsIgnored() {
         start(9);
-        bornMillis.put("i1", BORN_MILLIS + 1);
+        startedMillisByInstance.put("i1", STARTED_MILLIS + 1);
         limit = OptionalDouble.of(2);
 
         instances.get(0).sendCall();
@@ -221,7 +221,7 @@
                     member.exchange,
                     limits,
                     shares,
-                    _id -> bornMillis.getOrDefault(member.name, BORN_MILLIS),
+                    _id -> startedMillisByInstance.getOrDefault(member.name, STARTED_MILLIS),
                     fleet.time);
             sharing.start();
         }
--- a/src/test/java/org/dogwoodwinch/daemon/RelayBandwidthTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/RelayBandwidthTest.java
@@ -81,12 +81,12 @@
         simulateSeconds(WARM_UP_SECONDS);
         SimulatedFleet.Member relay = fleet.relay("dc0");
         Map<PeerTopic, Long> bytesByTopicBefore = new EnumMap<>(relay.sentBytesByTopic);
-        List<Long> sentBytes = new ArrayList<>();
+        List<Long> bytesBySecond = new ArrayList<>();
 
         for (int second = 0; second < MEASUREMENT_SECONDS; second++) {
             long bytesBefore = relay.sentBytes;
             simulateSeconds(1);
-            sentBytes.add(relay.sentBytes - bytesBefore);
+            bytesBySecond.add(relay.sentBytes - bytesBefore);
         }
 
         long maxBytes = LINK_BYTES_PER_SECOND / MAX_LINK_DIVISOR;
@@ -94,8 +94,8 @@
         bytesByTopicBefore.forEach((topic, bytes) -> bytesByTopic.merge(topic, -bytes, Long::sum));
         bytesByTopic.replaceAll((_topic, bytes) -> bytes / MEASUREMENT_SECONDS);
         assertTrue(
-                Collections.max(sentBytes) <= maxBytes,
-                "bytes in each second " + sentBytes + ", at most " + maxBytes
+                Collections.max(bytesBySecond) <= maxBytes,
+                "bytes in each second " + bytesBySecond + ", at most " + maxBytes
                         + " (a quarter of the link) allowed; per second by topic "
                         + bytesByTopic);
     }
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -178,7 +178,7 @@
 
     /**
      * Failure: the issuer dies while an order is in flight, and an engine that checks no token executes it after one of
-     * the successor.
+     * the successor, so the successor waits until no earlier order can be in flight.
      */
     @Test
     void successorWaitsUntilEarlierOrdersCannotArrive() {
--- a/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
@@ -76,10 +76,10 @@
         reader.onRecord(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
     }
 
-    private void putEntryWithStartTime(String id, String address, long bornMillis) {
+    private void putEntryWithStartTime(String id, String address, long startedMillis) {
         String json =
                 "{\"service\":\"s\",\"address\":\"" + address + "\",\"zone\":\"dc\",\"version\":\"v1\",\"slots\":6,"
-                        + "\"state\":\"ready\",\"coldLeftMs\":0,\"seq\":4,\"born\":" + bornMillis + "}";
+                        + "\"state\":\"ready\",\"coldLeftMs\":0,\"seq\":4,\"born\":" + startedMillis + "}";
         reader.onRecord(new KeyedRecord(id, offset++, Optional.of(Bytes.ofUtf8(json))));
     }
 
