--- a/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
+++ b/src/main/java/org/dogwoodwinch/daemon/SettingsWatch.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the settings file again when it changed, with or without a signal. Settings that are wrong are told and left
- * out of force: the process goes on with those that it has.
+ * Reloads the settings file when its content has changed, at a fixed interval or on request. Invalid settings are
+ * logged and ignored; the current settings stay in force.
  */
 final class SettingsWatch {
 
@@ -24,51 +24,54 @@
 
     private final Path file;
     private final TimeSource time;
-    private final long checkMillis;
-    private final Consumer<ForwardingSettings> onChange;
-    private String lastText = "";
+    private final long checkIntervalMillis;
+    private final Consumer<ForwardingSettings> listener;
+    private String lastContent = "";
 
-    SettingsWatch(Path file, TimeSource time, long checkMillis, Consumer<ForwardingSettings> onChange) {
+    SettingsWatch(Path file, TimeSource time, long checkIntervalMillis, Consumer<ForwardingSettings> listener) {
         this.file = Objects.requireNonNull(file, "file");
         this.time = Objects.requireNonNull(time, "time");
-        this.checkMillis = checkMillis;
-        this.onChange = Objects.requireNonNull(onChange, "onChange");
+        this.checkIntervalMillis = checkIntervalMillis;
+        this.listener = Objects.requireNonNull(listener, "listener");
     }
 
-    /** Watches from now on; what the file says now is in force already. */
+    /** Starts checking the file periodically. Its current content is taken as already in force. */
     void start() {
-        lastText = read();
-        time.schedule(checkMillis, this::checkAndRepeat);
+        lastContent = readFile();
+        time.schedule(checkIntervalMillis, this::checkPeriodically);
     }
 
-    private void checkAndRepeat() {
-        check();
-        time.schedule(checkMillis, this::checkAndRepeat);
+    private void checkPeriodically() {
+        reloadIfChanged();
+        time.schedule(checkIntervalMillis, this::checkPeriodically);
     }
 
-    /** Looks at the file now, as after a signal. */
-    void check() {
-        String text = read();
-        if (text.isEmpty() || text.equals(lastText)) {
+    /** Checks the file immediately, for example after SIGHUP, and passes changed valid settings to the listener. */
+    void reloadIfChanged() {
+        String content = readFile();
+        if (content.isEmpty() || content.equals(lastContent)) {
             return;
         }
-        lastText = text;
-        SettingsResult result = SettingsLoader.parse(file.toString(), text);
+        lastContent = content;
+        SettingsResult result = SettingsLoader.parse(file.toString(), content);
         if (result instanceof SettingsResult.Rejected rejected) {
             for (SettingsProblem problem : rejected.problems()) {
                 LogEvent.of("settings_rejected").with("problem", problem).warn(log);
             }
-        } else if (((SettingsResult.Loaded) result).settings() instanceof ForwardingSettings fresh) {
-            onChange.accept(fresh);
+        } else if (((SettingsResult.Loaded) result).settings() instanceof ForwardingSettings changedSettings) {
+            listener.accept(changedSettings);
         } else {
             LogEvent.of("settings_rejected")
-                    .with("problem", "the file is of another kind of daemon")
+                    .with("problem", "the file does not contain the settings of a forwarding daemon")
                     .warn(log);
         }
     }
 
-    /** The content decides, not the file's time: a file that is replaced may keep the time of another machine. */
-    private String read() {
+    /**
+     * Reads the file. Changes are detected by content rather than by modification time, because a file that was copied
+     * from another machine may keep the modification time from there.
+     */
+    private String readFile() {
         try {
             return Files.readString(file);
         } catch (IOException e) {
--- a/src/main/java/org/dogwoodwinch/daemon/TargetDirectory.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetDirectory.java
@@ -17,119 +17,120 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the platform's instance list again and again and keeps the last answer.
+ * Polls the platform's instance list and retains the latest version.
  *
- * <p>While the list does not answer, the last one stays: an empty fleet in its place would refuse every request.
- * Thread-safe.
+ * <p>While the service does not answer, the latest version remains in use: with an empty list the daemon would refuse
+ * every request. Thread-safe.
  */
 final class TargetDirectory {
 
     private static final Logger log = LoggerFactory.getLogger(TargetDirectory.class);
 
-    private final InstanceList source;
+    private final InstanceList instanceList;
     private final TimeSource time;
-    private final long pollMillis;
+    private final long pollIntervalMillis;
     private final List<Consumer<List<ListedInstance>>> listeners = new CopyOnWriteArrayList<>();
-    private volatile List<ListedInstance> latest = List.of();
-    private volatile boolean answered;
+    private volatile List<ListedInstance> latestInstances = List.of();
+    private volatile boolean listReceived;
     private volatile boolean stopped;
     private volatile Cancellable timer = () -> {};
 
     /**
-     * Creates a directory.
+     * Creates an empty directory. It reads nothing until {@link #start()} is called.
      *
-     * @param source the platform's list, not null
-     * @param time runs the readings, not null
-     * @param pollMillis time between readings, in milliseconds
+     * @param instanceList the client of the platform's instance list, not null
+     * @param time schedules the polls, not null
+     * @param pollIntervalMillis the delay between the end of a poll and the next, in milliseconds
      */
-    TargetDirectory(InstanceList source, TimeSource time, long pollMillis) {
-        this.source = Objects.requireNonNull(source, "source");
+    TargetDirectory(InstanceList instanceList, TimeSource time, long pollIntervalMillis) {
+        this.instanceList = Objects.requireNonNull(instanceList, "instanceList");
         this.time = Objects.requireNonNull(time, "time");
-        this.pollMillis = pollMillis;
+        this.pollIntervalMillis = pollIntervalMillis;
     }
 
     /**
-     * Calls back with each answer of the list.
+     * Adds a listener that is called with each list that is read, whether or not it differs from the previous one.
      *
-     * @param listener takes the list, not null
+     * @param listener receives the list, not null
      */
-    void onRead(Consumer<List<ListedInstance>> listener) {
+    void addListener(Consumer<List<ListedInstance>> listener) {
         listeners.add(listener);
     }
 
-    /** Begins to read. */
+    /** Starts polling. */
     void start() {
-        source.read().whenComplete((list, _error) -> {
+        instanceList.read().whenComplete((list, _error) -> {
             if (stopped) {
                 return;
             }
             if (list != null) {
-                list.ifPresent(this::take);
+                list.ifPresent(this::onInstanceList);
             }
-            timer = time.schedule(pollMillis, this::start);
+            timer = time.schedule(pollIntervalMillis, this::start);
         });
     }
 
-    /** Ends reading. */
+    /** Stops polling. */
     void stop() {
         stopped = true;
         timer.cancel();
     }
 
     /**
-     * Says whether the list has answered at least once.
+     * Returns whether the instance list has been read at least once.
      *
-     * @return true from the first answer on
+     * @return true after the first successful poll
      */
-    boolean hasAnswered() {
-        return answered;
+    boolean hasInstanceList() {
+        return listReceived;
     }
 
     /**
-     * Returns the last answer.
+     * Returns the latest version of the list.
      *
-     * @return the lines; empty before the first answer
+     * @return the listed instances; empty before the first successful poll
      */
-    List<ListedInstance> latest() {
-        return latest;
+    List<ListedInstance> latestInstances() {
+        return latestInstances;
     }
 
     /**
-     * Finds a target.
+     * Finds a target by name.
      *
-     * @param name its name, not null
-     * @return the target, or empty where the list has none of that name
+     * @param name the target's name, not null
+     * @return the target, or empty if none of that name is listed
      */
     Optional<Target> find(String name) {
-        return latest.stream()
-                .filter(line -> line.name().equals(name) && line.kind() != ListedInstance.Kind.ENTRY)
+        return latestInstances.stream()
+                .filter(listed -> listed.name().equals(name) && listed.kind() != ListedInstance.Kind.ENTRY)
                 .map(TargetDirectory::toTarget)
                 .findFirst();
     }
 
     /**
-     * Counts the instances of our own that stay.
+     * Returns the number of daemon instances that are not about to be removed.
      *
-     * @return the count, one or more: this instance counts itself before the list shows it
+     * @return the count, at least one, because this instance counts before the list contains it
      */
-    int liveEntries() {
+    int activeInstanceCount() {
         return (int) Math.max(
                 1,
-                latest.stream()
-                        .filter(line -> line.kind() == ListedInstance.Kind.ENTRY && !line.leaving())
+                latestInstances.stream()
+                        .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY && !listed.leaving())
                         .count());
     }
 
     /**
-     * Says whether an instance is among the first of our own, in order of name.
+     * Returns whether an instance is among the first daemon instances in the order of their names. Instances that are
+     * about to be removed do not count.
      *
-     * @param name its name, not null
-     * @param count how many count as the first
-     * @return true where it is
+     * @param name the instance's name, not null
+     * @param count the number of first instances
+     * @return true if the instance is one of them
      */
-    boolean isAmongFirstEntries(String name, int count) {
-        return latest.stream()
-                .filter(line -> line.kind() == ListedInstance.Kind.ENTRY && !line.leaving())
+    boolean isAmongFirstInstances(String name, int count) {
+        return latestInstances.stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY && !listed.leaving())
                 .map(ListedInstance::name)
                 .sorted()
                 .limit(count)
@@ -137,35 +138,35 @@
     }
 
     /**
-     * Names the other instances of our own, those that leave too.
+     * Returns the names of the other daemon instances, including those that are about to be removed.
      *
      * @param ownName this instance's name, not null
-     * @return the names
+     * @return the names of the listed daemon instances without {@code ownName}
      */
-    Set<String> otherEntries(String ownName) {
-        return latest.stream()
-                .filter(line -> line.kind() == ListedInstance.Kind.ENTRY)
+    Set<String> otherInstanceNames(String ownName) {
+        return latestInstances.stream()
+                .filter(listed -> listed.kind() == ListedInstance.Kind.ENTRY)
                 .map(ListedInstance::name)
                 .filter(name -> !name.equals(ownName))
                 .collect(Collectors.toSet());
     }
 
     /**
-     * Makes the target of a line.
+     * Converts an entry of the instance list to a target.
      *
-     * @param line the line, not null
+     * @param listed the entry, not null
      * @return the target
      */
-    static Target toTarget(ListedInstance line) {
-        return new Target(line.name(), line.host(), line.port(), line.dataCentre(), line.group());
+    static Target toTarget(ListedInstance listed) {
+        return new Target(listed.name(), listed.host(), listed.port(), listed.dataCentre(), listed.group());
     }
 
-    private void take(List<ListedInstance> list) {
-        if (!list.equals(latest)) {
+    private void onInstanceList(List<ListedInstance> list) {
+        if (!list.equals(latestInstances)) {
             LogEvent.of("instance_list_changed").with("lines", list.size()).info(log);
         }
-        latest = List.copyOf(list);
-        answered = true;
-        listeners.forEach(listener -> listener.accept(latest));
+        latestInstances = List.copyOf(list);
+        listReceived = true;
+        listeners.forEach(listener -> listener.accept(latestInstances));
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StopSignalsTest.java
@@ -8,13 +8,15 @@
 
 class StopSignalsTest {
 
-    /** An operator stops the instance, and then, tired of the drain, once more: the second signal ends it at once. */
+    /**
+     * An operator who does not want to wait for the drain sends a second signal, which ends the process immediately.
+     */
     @Test
-    void theFirstSignalDrainsAndTheSecondEnds() {
-        List<String> heard = new ArrayList<>();
-        StopSignals signals = new StopSignals(() -> heard.add("drain"), () -> heard.add("end"));
-        signals.received("SIGTERM");
-        signals.received("SIGINT");
-        assertEquals(List.of("drain", "end"), heard);
+    void firstSignalDrainsAndSecondExits() {
+        List<String> actions = new ArrayList<>();
+        StopSignals signals = new StopSignals(() -> actions.add("drain"), () -> actions.add("end"));
+        signals.onSignal("SIGTERM");
+        signals.onSignal("SIGINT");
+        assertEquals(List.of("drain", "end"), actions);
     }
 }
--- a/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/WarmStartTest.java
@@ -6,95 +6,105 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Instances that start while the platform turns them away know what their neighbours know. */
+/** Instances that start while the store rejects their calls receive the state of their peers. */
 class WarmStartTest {
 
-    private static final int RECORDS = 5;
+    private static final int RECORD_COUNT = 5;
 
-    /** A relay gives a sign of life every 300 ms: the first one finds the new process, and all follows it. */
-    private static final long WARM_MILLIS = 700;
+    /**
+     * Covers the 300 ms between the heartbeats of a relay: the first one reaches the new process, and the state
+     * follows.
+     */
+    private static final long WARM_START_MILLIS = 700;
 
-    /** Nine tenths of the least time in which a configuration or a leaving target has to be heeded everywhere. */
-    private static final long BOUND_MILLIS = 1_800;
+    /**
+     * Nine tenths of the shortest time within which all instances must apply a configuration or stop using a draining
+     * target.
+     */
+    private static final long MAX_DELAY_MILLIS = 1_800;
 
-    private static RelayFleet settled(int members, int centres, int seed) {
-        RelayFleet fleet = new RelayFleet(members, centres, seed);
+    private static SimulatedFleet createSettledFleet(int memberCount, int dataCentreCount, int seed) {
+        SimulatedFleet fleet = new SimulatedFleet(memberCount, dataCentreCount, seed);
         fleet.time.advanceMillis(3_000);
-        for (int i = 0; i < RECORDS; i++) {
-            fleet.write();
+        for (int i = 0; i < RECORD_COUNT; i++) {
+            fleet.writeRecord();
         }
         fleet.time.advanceMillis(2_000);
         return fleet;
     }
 
-    private static List<RelayFleet.Member> of(RelayFleet fleet, String dataCentre) {
+    private static List<SimulatedFleet.Member> membersOf(SimulatedFleet fleet, String dataCentre) {
         return fleet.members.stream()
                 .filter(member -> member.dataCentre.equals(dataCentre))
                 .toList();
     }
 
     /**
-     * An instance starts while the store turns it away, and knows no address but its own. Callers that reach it are refused
-     * for as long, since it has no configuration and no targets, though each neighbour has both. A neighbour that connects
-     * to it anew tells it everything at once.
+     * Failure: an instance started while the store rejected its calls and knew no peer address; it refused callers for
+     * lack of configuration and targets, although its peers had both. A peer that connects to it must send it all
+     * state.
      */
     @Test
-    void anInstanceThatIsTurnedAwayKnowsWhatItsNeighboursKnow() {
-        RelayFleet fleet = settled(24, 3, 11);
-        RelayFleet.Member started = fleet.members.stream()
+    void instanceRejectedByStoreReceivesStateFromPeers() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 11);
+        SimulatedFleet.Member restarted = fleet.members.stream()
                 .filter(member -> !member.exchange.isRelay())
                 .findFirst()
                 .orElseThrow();
-        started.storeCut = true;
-        started.knowsOthers = false;
-        started.restart();
-        fleet.time.advanceMillis(WARM_MILLIS);
-        assertEquals(RECORDS, started.appliedAtMillis.size());
+        restarted.storeUnreachable = true;
+        restarted.knowsMembers = false;
+        restarted.restart();
+        fleet.time.advanceMillis(WARM_START_MILLIS);
+        assertEquals(RECORD_COUNT, restarted.appliedAtMillis.size());
     }
 
     /**
-     * A whole data centre loses power, and the store turns all of it away for ten seconds. Its callers have nobody else
-     * near them. The reader of another data centre tells its first instance, which tells the others; what is written
-     * meanwhile reaches them by the same way in time.
+     * Failure: a whole data centre loses power, the store rejects all of its calls for ten seconds, and its callers
+     * have no other instance nearby. The reader of another data centre must send its state and later records.
      */
     @Test
-    void aDataCentreThatIsTurnedAwayLivesOnTheWordOfAnother() {
-        RelayFleet fleet = settled(24, 3, 12);
-        List<RelayFleet.Member> turnedAway = of(fleet, "dc0");
-        turnedAway.forEach(member -> member.storeCut = true);
-        turnedAway.forEach(RelayFleet.Member::restart);
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        turnedAway.forEach(member -> assertEquals(RECORDS, member.appliedAtMillis.size(), member.name));
+    void dataCentreRejectedByStoreReceivesStateFromAnother() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 12);
+        List<SimulatedFleet.Member> rejected = membersOf(fleet, "dc0");
+        rejected.forEach(member -> member.storeUnreachable = true);
+        rejected.forEach(SimulatedFleet.Member::restart);
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        rejected.forEach(member -> assertEquals(RECORD_COUNT, member.appliedAtMillis.size(), member.name));
         fleet.time.advanceMillis(2_000);
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        turnedAway.forEach(member -> assertEquals(RECORDS + 1, member.appliedAtMillis.size(), member.name));
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        rejected.forEach(member -> assertEquals(RECORD_COUNT + 1, member.appliedAtMillis.size(), member.name));
     }
 
-    /** All lose power at once, and the store answers one instance in six: the others serve by what these have read. */
+    /**
+     * All instances restart, and the store responds to one in six: the others must serve from the state that these have
+     * read.
+     */
     @Test
-    void whereAllStartAtOnceThoseThatReadTellTheOthers() {
-        RelayFleet fleet = settled(24, 3, 13);
+    void instancesThatReadStoreUpdateOthersAfterFullRestart() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 13);
         for (int i = 0; i < fleet.members.size(); i++) {
-            fleet.members.get(i).storeCut = i % 6 != 0;
+            fleet.members.get(i).storeUnreachable = i % 6 != 0;
         }
-        fleet.members.forEach(RelayFleet.Member::restart);
+        fleet.members.forEach(SimulatedFleet.Member::restart);
         fleet.time.advanceMillis(3_000);
-        fleet.members.forEach(member -> assertEquals(RECORDS, member.appliedAtMillis.size(), member.name));
+        fleet.members.forEach(member -> assertEquals(RECORD_COUNT, member.appliedAtMillis.size(), member.name));
     }
 
-    /** What it was told is no older than what the relay has, and the store's own word comes on top of it. */
+    /**
+     * State received from peers is as recent as the relay's, and records read from the store later are applied on top.
+     */
     @Test
-    void theStoresWordGoesOnWhereTheNeighboursEnded() {
-        RelayFleet fleet = settled(24, 3, 14);
-        RelayFleet.Member started = of(fleet, "dc1").get(0);
-        started.storeCut = true;
-        started.restart();
-        fleet.time.advanceMillis(WARM_MILLIS);
-        started.storeCut = false;
-        fleet.write();
-        fleet.time.advanceMillis(BOUND_MILLIS);
-        assertEquals(RECORDS + 1, started.appliedAtMillis.size());
-        assertTrue(started.appliedAtMillis.get((long) RECORDS) >= started.appliedAtMillis.get(0L));
+    void storeReadsContinueAfterStateFromPeers() {
+        SimulatedFleet fleet = createSettledFleet(24, 3, 14);
+        SimulatedFleet.Member restarted = membersOf(fleet, "dc1").get(0);
+        restarted.storeUnreachable = true;
+        restarted.restart();
+        fleet.time.advanceMillis(WARM_START_MILLIS);
+        restarted.storeUnreachable = false;
+        fleet.writeRecord();
+        fleet.time.advanceMillis(MAX_DELAY_MILLIS);
+        assertEquals(RECORD_COUNT + 1, restarted.appliedAtMillis.size());
+        assertTrue(restarted.appliedAtMillis.get((long) RECORD_COUNT) >= restarted.appliedAtMillis.get(0L));
     }
 }
