--- a/src/main/java/org/dogwoodwinch/daemon/DaemonComponents.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonComponents.java
@@ -16,8 +16,8 @@
 import org.dogwoodwinch.control.ControlNode;
 import org.dogwoodwinch.control.ControlServices;
 import org.dogwoodwinch.control.ControlSettings;
-import org.dogwoodwinch.control.DrainReportExchange;
 import org.dogwoodwinch.control.DrainAwareRouter;
+import org.dogwoodwinch.control.DrainReportExchange;
 import org.dogwoodwinch.external.LogService;
 import org.dogwoodwinch.external.http.HttpInstanceList;
 import org.dogwoodwinch.external.http.HttpLogService;
@@ -128,7 +128,8 @@
         this.reportedActivity =
                 new ReportedTargetActivity(fleetView, enginePoller, directory, peers.lastSeenTracker(), ownName);
         DrainAwareRouter drainAwareRouter = new DrainAwareRouter(
-                new LeavingTargetReportingRouter(router, peers.leavingTargets()::onRefused), control::outOfServiceTargets);
+                new LeavingTargetReportingRouter(router, peers.leavingTargets()::onRefused),
+                control::outOfServiceTargets);
         this.drainExchange = new DrainReportExchange(
                 peerBus,
                 drainAwareRouter::inFlight,
--- a/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
+++ b/src/main/java/org/dogwoodwinch/daemon/DaemonMain.java
@@ -64,7 +64,7 @@
      * @param args the command line, not null
      */
     public static void main(String[] args) {
-        System.exit(exitCode(args));
+        System.exit(execute(args));
     }
 
     /**
@@ -75,7 +75,7 @@
      * @return the exit code. Any failure is returned as an exit code: if this method threw an exception, other threads
      *     would keep the process and its sockets alive without a working daemon.
      */
-    public static int exitCode(String[] args) {
+    public static int execute(String[] args) {
         if (args.length != 2 || !args[0].equals(SETTINGS_OPTION)) {
             return new CommandLine(new DaemonMain()).execute(args);
         }
@@ -126,7 +126,7 @@
             LogEvent.of("start_failed").with("error", e.getMessage()).warn(log);
             return EXIT_START_FAILED;
         }
-        daemon.watch(file);
+        daemon.watchSettings(file);
         return awaitStop(daemon::stop) == 0 ? 0 : EXIT_REQUESTS_UNFINISHED;
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -147,7 +147,8 @@
         LoadTracker loads = new LoadTracker();
         KvCacheIndex cacheIndex = new KvCacheIndex();
         PrefillRates rates = new PrefillRates(INITIAL_TOKENS_PER_MILLI);
-        ControlCaller caller = new ControlCaller(transport, transport.eventLoopGroup().next(), time, connections);
+        ControlCaller caller =
+                new ControlCaller(transport, transport.eventLoopGroup().next(), time, connections);
         EngineClient engines = new EngineClient(caller, ENGINE_TIMEOUT_MILLIS, ENGINE_LONG_POLL_MILLIS);
         StoreClient store = new StoreClient(
                 caller,
@@ -326,7 +327,7 @@
      *
      * @param file the settings file, not null
      */
-    public void watch(Path file) {
+    public void watchSettings(Path file) {
         SettingsWatch watch = new SettingsWatch(file, time, SETTINGS_CHECK_INTERVAL_MILLIS, this::reload);
         transport.eventLoopGroup().next().execute(watch::start);
         Signals.setHandler("HUP", () -> transport.eventLoopGroup().next().execute(watch::reloadIfChanged));
--- a/src/main/java/org/dogwoodwinch/standin/platform/RehearsalMain.java
+++ b/src/main/java/org/dogwoodwinch/standin/platform/RehearsalMain.java
@@ -71,14 +71,14 @@
                 });
         ForwardingDaemon daemon = new ForwardingDaemon(settings, loop, RandomSource.XO_RO_SHI_RO_128_PP.create());
         daemon.start();
-        daemon.watch(file);
+        daemon.watchSettings(file);
         waitUntilReady(daemon);
         return daemon;
     }
 
     /** Ends with this process: nobody sends it the signal to stop. */
     private static void startProgram(Path file) {
-        Thread program = new Thread(() -> DaemonMain.exitCode(new String[] {"--settings", file.toString()}), "program");
+        Thread program = new Thread(() -> DaemonMain.execute(new String[] {"--settings", file.toString()}), "program");
         program.setDaemon(true);
         program.start();
     }
--- a/src/test/java/org/dogwoodwinch/daemon/DaemonMainTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/DaemonMainTest.java
@@ -18,19 +18,19 @@
     void invalidSettingsExitWithOne() throws IOException {
         Path file = Files.writeString(directory.resolve("node.json"), "{\"instance\": 7}");
 
-        assertEquals(1, DaemonMain.exitCode(new String[] {"--settings", file.toString()}));
-        assertEquals(1, DaemonMain.exitCode(new String[] {"--settings=" + file}));
+        assertEquals(1, DaemonMain.execute(new String[] {"--settings", file.toString()}));
+        assertEquals(1, DaemonMain.execute(new String[] {"--settings=" + file}));
     }
 
     @Test
     void invalidCommandLineExitsWithTwo() {
-        assertEquals(2, DaemonMain.exitCode(new String[] {}));
-        assertEquals(2, DaemonMain.exitCode(new String[] {"--settings", "a", "b"}));
+        assertEquals(2, DaemonMain.execute(new String[] {}));
+        assertEquals(2, DaemonMain.execute(new String[] {"--settings", "a", "b"}));
     }
 
     /** An exception that escaped from the main thread would not end the process, since its event loop keeps running. */
     @Test
     void uncaughtExceptionExitsWithOne() {
-        assertEquals(1, DaemonMain.exitCode(new String[] {"--settings", "no\0path"}));
+        assertEquals(1, DaemonMain.execute(new String[] {"--settings", "no\0path"}));
     }
 }
