--- a/src/main/java/org/dogwoodwinch/relay/OpenCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/ActiveCall.java
@@ -1,20 +1,20 @@
 package org.dogwoodwinch.relay;
 
 /** A call under way, as its caller's connection sees it. */
-interface OpenCall {
+interface ActiveCall {
 
     /** A call that was answered at once. */
-    OpenCall NONE = new OpenCall() {
+    ActiveCall NONE = new ActiveCall() {
         @Override
-        public void callerGone() {}
+        public void onCallerClosed() {}
 
         @Override
-        public void callerReady() {}
+        public void onCallerWritable() {}
     };
 
     /** The caller's connection has closed: all work for it ends at once. */
-    void callerGone();
+    void onCallerClosed();
 
     /** The caller takes bytes again. */
-    void callerReady();
+    void onCallerWritable();
 }
--- a/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
@@ -25,7 +25,7 @@
         OptionalLong idleMillis,
         OptionalDouble limitPerSecond) {
 
-    private static final int OK_CLASS = 2;
+    private static final int SUCCESS_CLASS = 2;
     private static final int CLASS_DIVISOR = 100;
     private static final int MISDIRECTED = 421;
 
@@ -37,17 +37,17 @@
     }
 
     /** Whether another target has the address, or this one is of the wrong stage by now. */
-    boolean misdirected() {
+    boolean isMisdirected() {
         return status == MISDIRECTED;
     }
 
     /** Whether the status is one of success; what else a success needs is not asked here. */
-    boolean success() {
-        return status / CLASS_DIVISOR == OK_CLASS;
+    boolean isSuccess() {
+        return status / CLASS_DIVISOR == SUCCESS_CLASS;
     }
 
     /** Whether the call has not run and never will. */
-    boolean rejected() {
-        return statesNotRun || misdirected();
+    boolean isRejected() {
+        return statesNotRun || isMisdirected();
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/HeldBytes.java
+++ b/src/main/java/org/dogwoodwinch/relay/BodyMemory.java
@@ -6,25 +6,25 @@
  * <p>Failure: many callers send large bodies together, each within its own limit, and the process is killed for its
  * memory with every call in it. A caller that is over the bound is told to come back instead.
  */
-final class HeldBytes {
+final class BodyMemory {
 
     private final long maxBytes;
-    private long heldBytes;
+    private long reservedBytes;
 
-    HeldBytes(long maxBytes) {
+    BodyMemory(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /** Takes room for bytes; false, and nothing is taken, where there is none. */
-    boolean take(int bytes) {
-        if (heldBytes + bytes > maxBytes) {
+    boolean tryReserve(int bytes) {
+        if (reservedBytes + bytes > maxBytes) {
             return false;
         }
-        heldBytes += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
-    void give(int bytes) {
-        heldBytes -= bytes;
+    void release(int bytes) {
+        reservedBytes -= bytes;
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
@@ -37,16 +37,16 @@
     /** The longest pause after questions without an answer: an engine that came back is heard within it. */
     private static final long MAX_BACKOFF_MILLIS = 4_000;
 
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
     private final EngineControl control;
-    private final KvCacheIndex parts;
+    private final KvCacheIndex cacheIndex;
     private final Supplier<List<Incarnation>> engines;
-    private final Predicate<String> ownDuty;
+    private final Predicate<String> polledHere;
     private final CacheListener listener;
     private final TimeSource time;
     private final long roundMillis;
-    private final Map<String, Reading> readings = new HashMap<>();
+    private final Map<String, EngineState> engineStates = new HashMap<>();
 
     /**
      * Creates a watch that does not ask yet.
@@ -69,9 +69,9 @@
             TimeSource time,
             long roundMillis) {
         this.control = Objects.requireNonNull(control, "control");
-        this.parts = Objects.requireNonNull(parts, "parts");
+        this.cacheIndex = Objects.requireNonNull(parts, "parts");
         this.engines = Objects.requireNonNull(engines, "engines");
-        this.ownDuty = Objects.requireNonNull(ownDuty, "ownDuty");
+        this.polledHere = Objects.requireNonNull(ownDuty, "ownDuty");
         this.listener = Objects.requireNonNull(listener, "listener");
         this.time = Objects.requireNonNull(time, "time");
         this.roundMillis = roundMillis;
@@ -79,123 +79,123 @@
 
     /** Asks from now on. */
     public void start() {
-        round();
+        pollAll();
     }
 
-    private void round() {
+    private void pollAll() {
         Set<String> ids = new HashSet<>();
         for (Incarnation engine : engines.get()) {
             ids.add(engine.id());
-            if (ownDuty.test(engine.id())) {
-                ask(engine);
-            } else if (readings.remove(engine.id()) != null) {
+            if (polledHere.test(engine.id())) {
+                poll(engine);
+            } else if (engineStates.remove(engine.id()) != null) {
                 listener.unwatched(engine.id());
             }
         }
-        readings.keySet().removeIf(id -> {
+        engineStates.keySet().removeIf(id -> {
             boolean gone = !ids.contains(id);
             if (gone) {
                 listener.unwatched(id);
             }
             return gone;
         });
-        parts.retainEngines(ids);
-        time.schedule(roundMillis, this::round);
+        cacheIndex.retainEngines(ids);
+        time.schedule(roundMillis, this::pollAll);
     }
 
-    private void ask(Incarnation engine) {
-        Reading reading = readings.get(engine.id());
-        if (reading != null && reading.bornMillis != engine.startedMillis()) {
+    private void poll(Incarnation engine) {
+        EngineState state = engineStates.get(engine.id());
+        if (state != null && state.startedMillis != engine.startedMillis()) {
             // What an earlier start said, or still says, is of no use; nor is the number it was asked up to.
-            readings.remove(engine.id());
-            parts.removeEngine(engine.id());
+            engineStates.remove(engine.id());
+            cacheIndex.removeEngine(engine.id());
             listener.listed(engine.id());
-            reading = null;
+            state = null;
         }
-        if (reading == null) {
-            reading = new Reading(engine.startedMillis());
-            readings.put(engine.id(), reading);
+        if (state == null) {
+            state = new EngineState(engine.startedMillis());
+            engineStates.put(engine.id(), state);
         }
-        ask(engine, reading);
+        poll(engine, state);
     }
 
-    private void ask(Incarnation engine, Reading reading) {
-        if (reading.asking || time.monotonicMillis() < reading.askAtMillis) {
+    private void poll(Incarnation engine, EngineState state) {
+        if (state.requestPending || time.monotonicMillis() < state.nextPollMillis) {
             return;
         }
-        reading.asking = true;
-        control.cacheChanges(engine, reading.nextNumber).thenAccept(changes -> {
-            reading.asking = false;
-            if (readings.get(engine.id()) != reading) {
+        state.requestPending = true;
+        control.cacheChanges(engine, state.nextNumber).thenAccept(changes -> {
+            state.requestPending = false;
+            if (engineStates.get(engine.id()) != state) {
                 return;
             }
             if (changes.isEmpty()) {
-                backOff(reading);
+                backOff(state);
             } else {
-                reading.failuresInARow = 0;
-                take(engine, reading, changes.get());
+                state.failuresInARow = 0;
+                applyChanges(engine, state, changes.get());
             }
         });
     }
 
     /** An engine answers a few such questions at once and refuses the others, and each refusal costs it work. */
-    private void backOff(Reading reading) {
-        long doubled = roundMillis << Math.min(reading.failuresInARow, MOST_DOUBLINGS);
-        reading.failuresInARow++;
-        reading.askAtMillis = time.monotonicMillis() + Math.min(MAX_BACKOFF_MILLIS, doubled);
+    private void backOff(EngineState state) {
+        long doubled = roundMillis << Math.min(state.failuresInARow, MAX_DOUBLINGS);
+        state.failuresInARow++;
+        state.nextPollMillis = time.monotonicMillis() + Math.min(MAX_BACKOFF_MILLIS, doubled);
     }
 
-    private void take(Incarnation engine, Reading reading, CacheChanges told) {
-        if (reading.epoch.isPresent() && !reading.epoch.get().equals(told.epoch())) {
-            parts.removeEngine(engine.id());
+    private void applyChanges(Incarnation engine, EngineState state, CacheChanges received) {
+        if (state.epoch.isPresent() && !state.epoch.get().equals(received.epoch())) {
+            cacheIndex.removeEngine(engine.id());
             listener.listed(engine.id());
         }
-        reading.epoch = Optional.of(told.epoch());
-        reading.nextNumber = told.nextNumber();
-        for (CacheChanges.CacheChange change : told.changes()) {
-            parts.setCachedTokens(engine.id(), change.partId(), change.keptTokens());
+        state.epoch = Optional.of(received.epoch());
+        state.nextNumber = received.nextNumber();
+        for (CacheChanges.CacheChange change : received.changes()) {
+            cacheIndex.setCachedTokens(engine.id(), change.partId(), change.keptTokens());
             listener.changed(engine.id(), change.partId(), change.keptTokens());
         }
-        if (told.gap() && time.monotonicMillis() >= reading.listAtMillis) {
-            reading.listAtMillis = time.monotonicMillis() + LIST_PAUSE_MILLIS;
-            askList(engine, reading);
+        if (received.gap() && time.monotonicMillis() >= state.nextListMillis) {
+            state.nextListMillis = time.monotonicMillis() + LIST_PAUSE_MILLIS;
+            requestList(engine, state);
         }
     }
 
     /** The next question waits for the list: changes that come after it are told from its number on. */
-    private void askList(Incarnation engine, Reading reading) {
-        reading.asking = true;
+    private void requestList(Incarnation engine, EngineState state) {
+        state.requestPending = true;
         control.cacheList(engine).thenAccept(list -> {
-            reading.asking = false;
+            state.requestPending = false;
             LogEvent.of("engine_cache_listed")
                     .with("target", engine.id())
-                    .with("parts", list.map(told -> told.parts().size()).orElse(-1))
+                    .with("parts", list.map(received -> received.parts().size()).orElse(-1))
                     .info(log);
-            if (readings.get(engine.id()) == reading) {
-                list.ifPresent(told -> takeList(engine.id(), reading, told));
+            if (engineStates.get(engine.id()) == state) {
+                list.ifPresent(received -> applyList(engine.id(), state, received));
             }
         });
     }
 
-    private void takeList(String engineId, Reading reading, CacheList told) {
-        parts.removeEngine(engineId);
-        reading.epoch = Optional.of(told.epoch());
-        reading.nextNumber = told.nextNumber();
-        told.parts().forEach(part -> parts.setCachedTokens(engineId, part.partId(), part.keptTokens()));
+    private void applyList(String engineId, EngineState state, CacheList received) {
+        cacheIndex.removeEngine(engineId);
+        state.epoch = Optional.of(received.epoch());
+        state.nextNumber = received.nextNumber();
+        received.parts().forEach(part -> cacheIndex.setCachedTokens(engineId, part.partId(), part.keptTokens()));
         listener.listed(engineId);
     }
 
-    private static final class Reading {
-        private final long bornMillis;
-        private boolean asking;
+    private static final class EngineState {
+        private final long startedMillis;
+        private boolean requestPending;
         private long nextNumber;
-        private long askAtMillis = Long.MIN_VALUE;
+        private long nextPollMillis = Long.MIN_VALUE;
         private int failuresInARow;
-        private long listAtMillis = Long.MIN_VALUE;
+        private long nextListMillis = Long.MIN_VALUE;
         private Optional<String> epoch = Optional.empty();
 
-        Reading(long bornMillis) {
-            this.bornMillis = bornMillis;
+        EngineState(long bornMillis) {
+            this.startedMillis = bornMillis;
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -22,13 +22,13 @@
  * The life of one call: sends it, judges what comes back, sends it again where that is safe, and gives the caller
  * exactly one answer. Used on one event loop alone.
  */
-final class CallRelay implements AnswerSink, OpenCall {
+final class CallRelay implements ResponseSink, ActiveCall {
 
     /** A plain answer up to this size is held until it is whole, so that a cut one can still become another answer. */
-    private static final int HELD_BODY_BYTES = 262_144;
+    private static final int MAX_BUFFERED_BODY_BYTES = 262_144;
 
     /** Readers that could not be reached before the one that runs the call reads it: each costs a connection's time. */
-    private static final int MOST_UNSENT_READINGS = 2;
+    private static final int MAX_UNSENT_PREFILLS = 2;
 
     private enum State {
         SENDING,
@@ -36,30 +36,30 @@
         DONE
     }
 
-    private final RelayParts parts;
+    private final RelayContext context;
     private final IncomingCall call;
     private final CallFacts facts;
     private final ServiceRoute route;
     private final ServiceEntry service;
-    private final CallerSide caller;
-    private final long limitMillis;
+    private final CallerResponse caller;
+    private final long deadlineMillis;
     private final long fingerprint;
     private final Runnable onDone;
     private final Set<String> triedIds = new HashSet<>();
     private State state = State.SENDING;
-    private Cancellable limit;
+    private Cancellable deadlineTimer;
     private ForwardingPlan plan;
     private TargetConnection connection;
-    private Optional<SendAccount> account = Optional.empty();
-    private ReceivedAnswer answer;
-    private EventFramer events;
+    private Optional<InFlightSend> inFlight = Optional.empty();
+    private TargetResponse response;
+    private EventFramer eventFramer;
     private int runsCount;
     private int rejectionsCount;
     private int failedConnectsCount;
-    private boolean readApart;
-    private Optional<PromptReading> reading = Optional.empty();
-    private Optional<PromptMemory> memory = Optional.empty();
-    private Incarnation memoryReader;
+    private boolean remotePrefillUsed;
+    private Optional<RemotePrefill> remotePrefill = Optional.empty();
+    private Optional<PromptMemory> cacheHandle = Optional.empty();
+    private Incarnation cacheHolder;
 
     /**
      * Creates a relay that does nothing yet.
@@ -73,59 +73,59 @@
      * @param onDone told once when the call has ended in any way, not null
      */
     CallRelay(
-            RelayParts parts,
+            RelayContext parts,
             IncomingCall call,
             CallFacts facts,
             ServiceRoute route,
             ServiceEntry service,
-            CallerSide caller,
+            CallerResponse caller,
             Runnable onDone) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+        this.context = Objects.requireNonNull(parts, "parts");
         this.call = Objects.requireNonNull(call, "call");
         this.facts = Objects.requireNonNull(facts, "facts");
         this.route = Objects.requireNonNull(route, "route");
         this.service = Objects.requireNonNull(service, "service");
         this.caller = Objects.requireNonNull(caller, "caller");
         this.onDone = Objects.requireNonNull(onDone, "onDone");
-        this.limitMillis = call.arrivalMillis()
+        this.deadlineMillis = call.arrivalMillis()
                 + Math.min(route.timeoutMillis(), facts.deadlineMillis().orElse(Long.MAX_VALUE));
-        this.events = new EventFramer(facts.lastEventId());
+        this.eventFramer = new EventFramer(facts.lastEventId());
         this.fingerprint = Suspicions.fingerprint(call);
     }
 
     /** Begins. */
     void start() {
-        parts.budget().countRequest(service.name(), nowMillis());
+        context.budget().countRequest(service.name(), nowMillis());
         // Once a call: seen again with each send, its own last part would pass for a session's.
-        facts.prompt().ifPresent(parts.parts().sharedSegments()::recordPrompt);
-        if (parts.suspicions().quarantined(fingerprint)) {
-            parts.report().quarantined(this);
-            OwnAnswers.refuse(
+        facts.prompt().ifPresent(context.cacheIndex().sharedSegments()::recordPrompt);
+        if (context.suspicions().isQuarantined(fingerprint)) {
+            context.report().quarantined(this);
+            LocalResponses.sendRetryable(
                     caller,
-                    OwnAnswers.UNAVAILABLE,
+                    LocalResponses.UNAVAILABLE,
                     "quarantined",
-                    parts.retryPolicy().retryAfterMillis());
+                    context.retryPolicy().retryAfterMillis());
             state = State.DONE;
             onDone.run();
             return;
         }
-        limit = parts.time().schedule(remainingMillis(), this::limitReached);
-        attempt();
+        deadlineTimer = context.time().schedule(remainingMillis(), this::handleDeadline);
+        chooseAndSend();
     }
 
     @Override
-    public void callerGone() {
+    public void onCallerClosed() {
         if (state == State.DONE) {
             return;
         }
-        parts.report().callerGone(this);
-        done();
+        context.report().callerDisconnected(this);
+        finish();
     }
 
     @Override
-    public void callerReady() {
+    public void onCallerWritable() {
         if (connection != null) {
-            connection.reading(true);
+            connection.setReading(true);
         }
     }
 
@@ -147,10 +147,10 @@
 
     /** Where the call is, for whoever reads the logs. */
     String stage() {
-        if (reading.isPresent()) {
-            return "prompt_read_by_" + reading.get().reader().id();
+        if (remotePrefill.isPresent()) {
+            return "prompt_read_by_" + remotePrefill.get().engine().id();
         }
-        if (account.isEmpty()) {
+        if (inFlight.isEmpty()) {
             return "not_sent";
         }
         return state == State.STREAMING ? "answering" : "sent";
@@ -158,7 +158,7 @@
 
     /** How long the call has been with the target that has it now; -1 where none has it. */
     long sentMillis() {
-        return account.map(SendAccount::ageMillis).orElse(-1L);
+        return inFlight.map(InFlightSend::ageMillis).orElse(-1L);
     }
 
     int sendsCount() {
@@ -170,14 +170,14 @@
     }
 
     private long nowMillis() {
-        return parts.time().monotonicMillis();
+        return context.time().monotonicMillis();
     }
 
     private long remainingMillis() {
-        return limitMillis - nowMillis();
+        return deadlineMillis - nowMillis();
     }
 
-    private long objectiveLeftMillis() {
+    private long remainingObjectiveMillis() {
         return route.latencyObjectiveMillis() <= 0
                 ? Long.MAX_VALUE
                 : call.arrivalMillis() + route.latencyObjectiveMillis() - nowMillis();
@@ -192,79 +192,83 @@
                 service,
                 facts.prompt(),
                 route.priority(),
-                objectiveLeftMillis(),
+                remainingObjectiveMillis(),
                 route.maxEventGapMillis(),
                 avoided,
-                !readApart);
+                !remotePrefillUsed);
     }
 
     /** A suspect is kept away from other suspects; where it has no other place, it runs beside them. */
     private Optional<ForwardingPlan> choose() {
-        Set<String> suspectsTargets = parts.suspicions().avoided(fingerprint);
+        Set<String> suspectsTargets = context.suspicions().targetsToAvoid(fingerprint);
         if (suspectsTargets.isEmpty()) {
-            return parts.chooser().choose(query());
+            return context.chooser().choose(query());
         }
         Set<String> avoided = new HashSet<>(triedIds);
         avoided.addAll(suspectsTargets);
-        return parts.chooser().choose(query(avoided)).or(() -> parts.chooser().choose(query()));
+        return context.chooser()
+                .choose(query(avoided))
+                .or(() -> context.chooser().choose(query()));
     }
 
-    private void attempt() {
+    private void chooseAndSend() {
         Optional<ForwardingPlan> chosen = choose();
         if (chosen.isEmpty()) {
-            noTarget();
+            handleNoTarget();
             return;
         }
         plan = chosen.get();
         if (plan.prefillTarget().isPresent()) {
-            readPrompt(plan.prefillTarget().get());
+            startRemotePrefill(plan.prefillTarget().get());
         } else {
             connect();
         }
     }
 
-    private void noTarget() {
-        parts.report().noTarget(this);
-        long roomMillis = parts.chooser().millisUntilCapacity(query());
-        follow(new SendOutcome.NotSent("no_target"), parts.retryPolicy().giveUp(progress(), roomMillis));
+    private void handleNoTarget() {
+        context.report().noTarget(this);
+        long roomMillis = context.chooser().millisUntilCapacity(query());
+        execute(new SendOutcome.NotSent("no_target"), context.retryPolicy().giveUp(progress(), roomMillis));
     }
 
     /** Reading apart again would be one more arrival; the second time the target reads the prompt itself. */
-    private void readPrompt(Incarnation reader) {
-        readApart = true;
-        PromptReading started = new PromptReading(
-                parts, service, reader, facts.prompt().orElseThrow(), plan.prefillWork(), this::promptWasRead);
-        reading = Optional.of(started);
+    private void startRemotePrefill(Incarnation reader) {
+        remotePrefillUsed = true;
+        RemotePrefill started = new RemotePrefill(
+                context, service, reader, facts.prompt().orElseThrow(), plan.prefillWork(), this::handlePrefillOutcome);
+        remotePrefill = Optional.of(started);
         started.start(call.arrivalMillis(), () -> outbound(reader, true));
     }
 
     /** Where nothing came of it, the call has not run: a target that reads the prompt itself gets it. */
-    private void promptWasRead(ReadingOutcome outcome) {
-        Incarnation reader = reading.orElseThrow().reader();
-        reading = Optional.empty();
-        if (outcome instanceof ReadingOutcome.Read read) {
-            memory = Optional.of(read.memory());
-            memoryReader = reader;
-            runElsewhere(reader);
-        } else if (outcome instanceof ReadingOutcome.NotSent notSent) {
+    private void handlePrefillOutcome(PrefillOutcome outcome) {
+        Incarnation reader = remotePrefill.orElseThrow().engine();
+        remotePrefill = Optional.empty();
+        if (outcome instanceof PrefillOutcome.Completed read) {
+            cacheHandle = Optional.of(read.cacheHandle());
+            cacheHolder = reader;
+            sendAfterPrefill(reader);
+        } else if (outcome instanceof PrefillOutcome.NotSent notSent) {
             // The reader never saw it: another one may read it as if it were the first.
             failedConnectsCount++;
             triedIds.add(reader.id());
-            readApart = failedConnectsCount > MOST_UNSENT_READINGS;
-            parts.report().promptNotRead(this, reader, notSent.reason(), new NextStep.SendAgain(), budgetLeft());
-            attempt();
-        } else if (outcome instanceof ReadingOutcome.NoMemory noMemory) {
-            parts.report().promptNotRead(this, reader, noMemory.reason(), new NextStep.SendAgain(), budgetLeft());
-            attempt();
+            remotePrefillUsed = failedConnectsCount > MAX_UNSENT_PREFILLS;
+            context.report()
+                    .prefillFailed(this, reader, notSent.reason(), new NextStep.SendAgain(), remainingRetries());
+            chooseAndSend();
+        } else if (outcome instanceof PrefillOutcome.NoCacheHandle noMemory) {
+            context.report()
+                    .prefillFailed(this, reader, noMemory.reason(), new NextStep.SendAgain(), remainingRetries());
+            chooseAndSend();
         } else {
-            readingFailed(reader, ((ReadingOutcome.Failed) outcome).reason());
+            handlePrefillFailure(reader, ((PrefillOutcome.Failed) outcome).reason());
         }
     }
 
-    private void runElsewhere(Incarnation reader) {
-        Optional<Incarnation> runner = parts.chooser().chooseDecodeTarget(query(), reader);
+    private void sendAfterPrefill(Incarnation reader) {
+        Optional<Incarnation> runner = context.chooser().chooseDecodeTarget(query(), reader);
         if (runner.isEmpty()) {
-            noTarget();
+            handleNoTarget();
             return;
         }
         plan = new ForwardingPlan(
@@ -278,71 +282,75 @@
      * <p>Failure: readers break off, each of their calls goes on to be run, and no quota holds that back. The service gets
      * twice its calls just when a part of it is broken.
      */
-    private void readingFailed(Incarnation reader, String reason) {
+    private void handlePrefillFailure(Incarnation reader, String reason) {
         rejectionsCount++;
         triedIds.add(reader.id());
         SendOutcome outcome = new SendOutcome.NotPrefilled(reason);
-        NextStep step = parts.retryPolicy().nextStep(outcome, progress(), this::takeRepeat);
-        parts.report().promptNotRead(this, reader, reason, step, budgetLeft());
-        follow(outcome, step);
+        NextStep step = context.retryPolicy().nextStep(outcome, progress(), this::tryTakeRetry);
+        context.report().prefillFailed(this, reader, reason, step, remainingRetries());
+        execute(outcome, step);
     }
 
     private void connect() {
-        parts.connections().take(plan.target(), parts.connectionsPerTarget(service), new TargetConnections.Taker() {
-            @Override
-            public void took(TargetConnection taken) {
-                parts.onceCallersAreHeard(call.arrivalMillis(), () -> send(taken));
-            }
-
-            @Override
-            public void failed(String reason) {
-                failedConnectsCount++;
-                triedIds.add(plan.target().id());
-                ended(new SendOutcome.NotSent(reason));
-            }
-        });
+        context.connections()
+                .acquire(
+                        plan.target(),
+                        context.connectionsPerTarget(service),
+                        new TargetConnectionPool.AcquireCallback() {
+                            @Override
+                            public void acquired(TargetConnection taken) {
+                                context.afterCallerReads(call.arrivalMillis(), () -> send(taken));
+                            }
+
+                            @Override
+                            public void notAcquired(String reason) {
+                                failedConnectsCount++;
+                                triedIds.add(plan.target().id());
+                                onEnd(new SendOutcome.NotSent(reason));
+                            }
+                        });
     }
 
     private void send(TargetConnection taken) {
         if (state == State.DONE) {
-            parts.connections().giveBack(taken);
+            context.connections().release(taken);
             return;
         }
         if (remainingMillis() <= 0) {
-            parts.connections().giveBack(taken);
-            limitReached();
+            context.connections().release(taken);
+            handleDeadline();
             return;
         }
-        if (!parts.chooser().isCurrent(plan.target())) {
-            parts.connections().giveBack(taken);
-            parts.report().leftBeforeSend(requestId(), plan.target());
+        if (!context.chooser().isCurrent(plan.target())) {
+            context.connections().release(taken);
+            context.report().targetLeftBeforeSend(requestId(), plan.target());
             chooseAgain();
             return;
         }
         connection = taken;
         triedIds.add(plan.target().id());
-        answer = null;
-        Optional<Prompt> unread = memory.isPresent() ? Optional.empty() : facts.prompt();
-        SendAccount opened = SendAccount.begin(parts, plan.target(), unread, plan.prefillWork());
-        account = Optional.of(opened);
-        parts.report().sent(requestId(), plan.target(), plan.prefillWork(), opened.aheadTokens(), purpose());
-        parts.suspicions().sending(fingerprint, requestId(), plan.target().id());
+        response = null;
+        Optional<Prompt> unread = cacheHandle.isPresent() ? Optional.empty() : facts.prompt();
+        InFlightSend opened = InFlightSend.start(context, plan.target(), unread, plan.prefillWork());
+        inFlight = Optional.of(opened);
+        context.report().sent(requestId(), plan.target(), plan.prefillWork(), opened.aheadTokens(), sendPurpose());
+        context.suspicions().recordSend(fingerprint, requestId(), plan.target().id());
         OutboundCall outbound = outbound(plan.target(), false);
         // A handle can be taken once.
-        memory = Optional.empty();
+        cacheHandle = Optional.empty();
         taken.send(outbound, this);
     }
 
     /** Nothing was sent: no quota is asked. */
     private void chooseAgain() {
-        if (memory.isPresent()) {
-            runElsewhere(memoryReader);
+        if (cacheHandle.isPresent()) {
+            sendAfterPrefill(cacheHolder);
         } else {
-            attempt();
+            chooseAndSend();
         }
     }
 
-    private SendPurpose purpose() {
+    private SendPurpose sendPurpose() {
         return sendsCount() > 0 ? SendPurpose.REPEAT : SendPurpose.RUN;
     }
 
@@ -352,119 +360,120 @@
                 Math.max(1, remainingMillis()),
                 facts.prompt().map(_prompt -> plan.prefillWork().level()),
                 prefillOnly,
-                memory,
+                cacheHandle,
                 plan.prefillWork().cacheSource(),
-                events.lastEventId());
-        HttpHeaders headers = parts.callHeaders().forSend(call.headers(), sending);
+                eventFramer.lastEventId());
+        HttpHeaders headers = context.callHeaders().forSend(call.headers(), sending);
         return new OutboundCall(requestId(), call.method(), call.uri(), headers, call.body(), call.framed());
     }
 
     @Override
-    public void head(AnswerFacts answerFacts, HttpHeaders headers) {
-        answer = new ReceivedAnswer(answerFacts, headers);
-        account.ifPresent(opened -> opened.answered(answerFacts));
+    public void onHead(AnswerFacts answerFacts, HttpHeaders headers) {
+        response = new TargetResponse(answerFacts, headers);
+        inFlight.ifPresent(opened -> opened.recordResponseHead(answerFacts));
     }
 
     @Override
-    public void body(ByteBuf piece) {
+    public void onBody(ByteBuf piece) {
         if (state == State.DONE) {
             return;
         }
-        if (!answer.success()) {
-            holdFailure(piece);
+        if (!response.isSuccess()) {
+            bufferFailure(piece);
             return;
         }
-        account.ifPresent(SendAccount::promptRead);
+        inFlight.ifPresent(InFlightSend::recordPrefillDone);
         if (route.kind() == RouteKind.STREAM) {
-            stream(piece);
+            relayEvents(piece);
         } else if (state == State.STREAMING) {
-            relay(piece.retain());
-        } else if (answer.hold(piece) > HELD_BODY_BYTES) {
-            beginAnswer();
-            relay(parts.copy(answer.takeHeld()));
+            relayBody(piece.retain());
+        } else if (response.buffer(piece) > MAX_BUFFERED_BODY_BYTES) {
+            beginCallerResponse();
+            relayBody(context.copy(response.takeBuffered()));
         }
     }
 
-    private void holdFailure(ByteBuf piece) {
-        if (answer.hold(piece) > HELD_BODY_BYTES) {
+    private void bufferFailure(ByteBuf piece) {
+        if (response.buffer(piece) > MAX_BUFFERED_BODY_BYTES) {
             abandonSend();
-            ended(new SendOutcome.Unknown("failure_too_long"));
+            onEnd(new SendOutcome.Unknown("failure_too_long"));
         }
     }
 
-    private void stream(ByteBuf piece) {
+    private void relayEvents(ByteBuf piece) {
         if (!route.resumable()) {
-            beginAnswer();
-            relay(piece.retain());
+            beginCallerResponse();
+            relayBody(piece.retain());
             return;
         }
         // What may be followed by the rest of another run must end with a whole event.
-        byte[] whole = events.take(piece);
+        byte[] whole = eventFramer.append(piece);
         if (whole.length > 0) {
-            beginAnswer();
-            relay(parts.copy(whole));
+            beginCallerResponse();
+            relayBody(context.copy(whole));
         }
     }
 
-    private void beginAnswer() {
+    private void beginCallerResponse() {
         if (state == State.SENDING) {
             state = State.STREAMING;
-            parts.report().firstByte(this);
-            caller.begin(answer.status(), parts.callHeaders().forCaller(answer.headers()));
+            context.report().firstByte(this);
+            caller.beginResponse(response.status(), context.callHeaders().forCaller(response.headers()));
         }
     }
 
-    private void relay(ByteBuf piece) {
-        caller.piece(piece);
-        if (!caller.ready()) {
-            connection.reading(false);
+    private void relayBody(ByteBuf piece) {
+        caller.writeBody(piece);
+        if (!caller.isWritable()) {
+            connection.setReading(false);
         }
     }
 
     @Override
-    public void ended() {
-        parts.answered(plan.target().id(), answer.misdirected());
-        sendEnded();
+    public void onEnd() {
+        context.recordResponse(plan.target().id(), response.isMisdirected());
+        releaseSend();
         if (state == State.DONE) {
             return;
         }
-        if (answer.success()) {
-            succeeded();
+        if (response.isSuccess()) {
+            handleSuccess();
         } else {
-            parts.suspicions().ended(fingerprint, requestId(), false);
-            ended(answer.failure());
+            context.suspicions().recordEnd(fingerprint, requestId(), false);
+            onEnd(response.failure());
         }
     }
 
-    private void succeeded() {
-        if (route.kind() == RouteKind.STREAM && route.resumable() && events.partial()) {
+    private void handleSuccess() {
+        if (route.kind() == RouteKind.STREAM && route.resumable() && eventFramer.hasPartialEvent()) {
             // An orderly end in the midst of an event: the rest of the event is missing.
-            ended(new SendOutcome.Unknown("cut_event"));
+            onEnd(new SendOutcome.Unknown("cut_event"));
             return;
         }
-        parts.suspicions().ended(fingerprint, requestId(), true);
-        parts.report().succeeded(this);
+        context.suspicions().recordEnd(fingerprint, requestId(), true);
+        context.report().succeeded(this);
         if (state == State.STREAMING) {
-            caller.complete();
-            done();
+            caller.endResponse();
+            finish();
         } else {
-            relayWhole();
+            relayBuffered();
         }
     }
 
     @Override
-    public void lost(String reason, boolean brokenOff) {
-        sendEnded();
+    public void onLost(String reason, boolean brokenOff) {
+        releaseSend();
         if (brokenOff) {
-            parts.brokenOff(plan.target().id());
+            context.recordAbort(plan.target().id());
         }
         if (state != State.DONE) {
-            parts.suspicions().lost(fingerprint, requestId(), plan.target().id());
-            ended(new SendOutcome.Unknown(reason));
+            context.suspicions()
+                    .recordLostCall(fingerprint, requestId(), plan.target().id());
+            onEnd(new SendOutcome.Unknown(reason));
         }
     }
 
-    private void ended(SendOutcome outcome) {
+    private void onEnd(SendOutcome outcome) {
         if (state == State.DONE) {
             return;
         }
@@ -473,20 +482,23 @@
         } else if (!(outcome instanceof SendOutcome.NotSent)) {
             runsCount++;
         }
-        events.dropPartial();
-        NextStep step = parts.retryPolicy().nextStep(outcome, progress(), this::takeRepeat);
-        parts.report().sendFailed(this, outcome, step, budgetLeft());
-        follow(outcome, step);
+        eventFramer.discardPartial();
+        NextStep step = context.retryPolicy().nextStep(outcome, progress(), this::tryTakeRetry);
+        context.report().sendFailed(this, outcome, step, remainingRetries());
+        execute(outcome, step);
     }
 
-    private boolean takeRepeat() {
-        boolean taken = parts.budget().tryTakeRetry(service.name(), nowMillis());
-        parts.report().repeat(service.name(), taken ? RelayReport.Repeat.TAKEN : RelayReport.Repeat.NOT_GRANTED);
+    private boolean tryTakeRetry() {
+        boolean taken = context.budget().tryTakeRetry(service.name(), nowMillis());
+        context.report()
+                .retryDecided(
+                        service.name(),
+                        taken ? RelayReport.RetryDecision.TAKEN : RelayReport.RetryDecision.NOT_GRANTED);
         return taken;
     }
 
-    private double budgetLeft() {
-        return parts.budget().remaining(service.name(), nowMillis());
+    private double remainingRetries() {
+        return context.budget().remaining(service.name(), nowMillis());
     }
 
     private CallProgress progress() {
@@ -499,71 +511,71 @@
                 remainingMillis());
     }
 
-    private void follow(SendOutcome outcome, NextStep step) {
+    private void execute(SendOutcome outcome, NextStep step) {
         if (step instanceof NextStep.SendAgain) {
-            attempt();
+            chooseAndSend();
         } else if (state == State.STREAMING) {
-            caller.breakOff();
-            done();
+            caller.abortResponse();
+            finish();
         } else if (step instanceof NextStep.Refuse refuse) {
-            OwnAnswers.refuse(caller, OwnAnswers.UNAVAILABLE, "not run", refuse.retryAfterMillis());
-            done();
+            LocalResponses.sendRetryable(caller, LocalResponses.UNAVAILABLE, "not run", refuse.retryAfterMillis());
+            finish();
         } else if (step instanceof NextStep.RelayFailure && outcome instanceof SendOutcome.RanAndFailed) {
-            relayWhole();
+            relayBuffered();
         } else {
-            OwnAnswers.write(caller, OwnAnswers.BAD_GATEWAY, "may have run");
-            done();
+            LocalResponses.sendError(caller, LocalResponses.BAD_GATEWAY, "may have run");
+            finish();
         }
     }
 
-    private void relayWhole() {
-        caller.answer(answer.status(), parts.callHeaders().forCaller(answer.headers()), answer.body());
-        done();
+    private void relayBuffered() {
+        caller.sendResponse(response.status(), context.callHeaders().forCaller(response.headers()), response.body());
+        finish();
     }
 
-    private void limitReached() {
+    private void handleDeadline() {
         if (state == State.DONE) {
             return;
         }
-        boolean unknown = runsCount > 0 || account.isPresent();
-        parts.report().limitReached(this, unknown);
+        boolean unknown = runsCount > 0 || inFlight.isPresent();
+        context.report().deadlineExceeded(this, unknown);
         if (state == State.STREAMING) {
-            caller.breakOff();
+            caller.abortResponse();
         } else if (unknown) {
-            OwnAnswers.write(caller, OwnAnswers.GATEWAY_TIMEOUT, "may have run");
+            LocalResponses.sendError(caller, LocalResponses.GATEWAY_TIMEOUT, "may have run");
         } else {
-            OwnAnswers.refuse(
+            LocalResponses.sendRetryable(
                     caller,
-                    OwnAnswers.UNAVAILABLE,
+                    LocalResponses.UNAVAILABLE,
                     "not run",
-                    parts.retryPolicy().retryAfterMillis());
+                    context.retryPolicy().retryAfterMillis());
         }
-        done();
+        finish();
     }
 
-    private void sendEnded() {
-        account.ifPresent(SendAccount::end);
-        account = Optional.empty();
+    private void releaseSend() {
+        inFlight.ifPresent(InFlightSend::end);
+        inFlight = Optional.empty();
         connection = null;
     }
 
     private void abandonSend() {
-        if (account.isPresent()) {
+        if (inFlight.isPresent()) {
             connection.abort();
-            sendEnded();
+            releaseSend();
         }
     }
 
-    private void done() {
+    private void finish() {
         if (state == State.DONE) {
             return;
         }
         state = State.DONE;
-        limit.cancel();
+        deadlineTimer.cancel();
         abandonSend();
-        reading.ifPresent(PromptReading::cancel);
+        remotePrefill.ifPresent(RemotePrefill::cancel);
         // Memory that nobody takes would be held until it lapses.
-        memory.ifPresent(untaken -> parts.control().release(memoryReader, untaken));
+        cacheHandle.ifPresent(untaken -> context.control().release(cacheHolder, untaken));
         onDone.run();
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
@@ -43,7 +43,7 @@
  *
  * <p>It goes on reading while a call is under way, as only so it sees that the caller has left.
  */
-final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerSide {
+final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerResponse {
 
     private static final Logger log = LoggerFactory.getLogger(CallerConnection.class);
 
@@ -51,47 +51,47 @@
     private static final int MAX_QUEUED = 8;
 
     /** How often the times of a connection are looked at; both are seconds, so a tenth of the shortest suffices. */
-    private static final long CHECK_MILLIS = 250;
+    private static final long TIMEOUT_CHECK_MILLIS = 250;
 
     /** What reads on one connection: a request, or the reason for which reading ended. */
     private sealed interface Received {
-        record Whole(IncomingCall call, boolean keepAlive, boolean http10) implements Received {}
+        record Request(IncomingCall call, boolean keepAlive, boolean http10) implements Received {}
 
         record Unreadable(int status, String reason) implements Received {}
     }
 
-    private final CallerIntake intake;
+    private final RequestHandler handler;
     private final TimeSource time;
     private final CallerLimits limits;
     private final Deque<Received> queue = new ArrayDeque<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private ChannelHandlerContext context;
     private Channel channel;
-    private Cancellable check;
-    private HttpRequest reading;
-    private long readingSinceMillis = -1;
+    private Cancellable timeoutCheck;
+    private HttpRequest pendingHead;
+    private long requestStartMillis = -1;
     private long idleSinceMillis;
     private boolean unreadable;
-    private int heldHere;
-    private Received.Whole current;
-    private OpenCall open = OpenCall.NONE;
+    private int reservedBytes;
+    private Received.Request current;
+    private ActiveCall activeCall = ActiveCall.NONE;
     private boolean closing;
 
-    CallerConnection(CallerIntake intake, TimeSource time, CallerLimits limits) {
-        this.intake = Objects.requireNonNull(intake, "intake");
+    CallerConnection(RequestHandler intake, TimeSource time, CallerLimits limits) {
+        this.handler = Objects.requireNonNull(intake, "intake");
         this.time = Objects.requireNonNull(time, "time");
         this.limits = Objects.requireNonNull(limits, "limits");
     }
 
     /** Whether no request is being read, waiting or under way. */
-    boolean idle() {
-        return current == null && queue.isEmpty() && readingSinceMillis < 0;
+    boolean isIdle() {
+        return current == null && queue.isEmpty() && requestStartMillis < 0;
     }
 
     /** Closes so that an answer on its way arrives. */
     void close() {
         if (!closing) {
-            closeInOrder();
+            closeGracefully();
         }
     }
 
@@ -104,13 +104,13 @@
     @Override
     public void channelActive(ChannelHandlerContext _context) {
         idleSinceMillis = time.monotonicMillis();
-        check = time.schedule(CHECK_MILLIS, this::checkTimes);
+        timeoutCheck = time.schedule(TIMEOUT_CHECK_MILLIS, this::checkTimeouts);
     }
 
     /** Bytes arrived, before they are decoded. */
     void bytesArrived() {
-        if (readingSinceMillis < 0) {
-            readingSinceMillis = time.monotonicMillis();
+        if (requestStartMillis < 0) {
+            requestStartMillis = time.monotonicMillis();
         }
     }
 
@@ -121,10 +121,10 @@
                 return;
             }
             if (message instanceof HttpRequest request) {
-                head(request);
+                handleHead(request);
             }
             if (message instanceof HttpContent content && !unreadable) {
-                content(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -134,32 +134,32 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext _context) {
         // Bytes that were whole requests to their last one leave nothing to wait for.
-        if (reading == null && !unreadable && decoderIdle()) {
-            readingSinceMillis = -1;
+        if (pendingHead == null && !unreadable && isDecoderEmpty()) {
+            requestStartMillis = -1;
         }
     }
 
-    private boolean decoderIdle() {
+    private boolean isDecoderEmpty() {
         StrictRequestDecoder decoder = context.pipeline().get(StrictRequestDecoder.class);
-        return decoder == null || !decoder.holdsBytes();
+        return decoder == null || !decoder.hasBufferedBytes();
     }
 
-    private void head(HttpRequest request) {
+    private void handleHead(HttpRequest request) {
         if (request.decoderResult().isFailure()) {
             Throwable cause = request.decoderResult().cause();
             boolean tooLong = cause instanceof TooLongFrameException;
-            unreadable(tooLong ? OwnAnswers.HEADERS_TOO_LARGE : OwnAnswers.BAD_REQUEST, "malformed head");
+            unreadable(tooLong ? LocalResponses.HEADERS_TOO_LARGE : LocalResponses.BAD_REQUEST, "malformed head");
             return;
         }
-        if (!RequestChecks.wellFormed(request)) {
-            unreadable(OwnAnswers.BAD_REQUEST, "malformed request");
+        if (!RequestValidator.isWellFormed(request)) {
+            unreadable(LocalResponses.BAD_REQUEST, "malformed request");
             return;
         }
         if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
-            unreadable(OwnAnswers.TOO_LARGE, "body too large");
+            unreadable(LocalResponses.TOO_LARGE, "body too large");
             return;
         }
-        reading = request;
+        pendingHead = request;
         body.reset();
         if (HttpUtil.is100ContinueExpected(request) && current == null) {
             Channels.writeAndFlush(
@@ -169,52 +169,52 @@
         }
     }
 
-    private void content(HttpContent content) {
+    private void handleContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            unreadable(OwnAnswers.BAD_REQUEST, "malformed body");
+            unreadable(LocalResponses.BAD_REQUEST, "malformed body");
             return;
         }
         ByteBuf bytes = content.content();
         if (body.size() + bytes.readableBytes() > limits.maxBodyBytes()) {
-            unreadable(OwnAnswers.TOO_LARGE, "body too large");
+            unreadable(LocalResponses.TOO_LARGE, "body too large");
             return;
         }
-        if (!intake.heldBytes().take(bytes.readableBytes())) {
-            unreadable(OwnAnswers.UNAVAILABLE, "too many large requests");
+        if (!handler.bodyMemory().tryReserve(bytes.readableBytes())) {
+            unreadable(LocalResponses.UNAVAILABLE, "too many large requests");
             return;
         }
-        heldHere += bytes.readableBytes();
+        reservedBytes += bytes.readableBytes();
         try {
             bytes.getBytes(bytes.readerIndex(), body, bytes.readableBytes());
         } catch (IOException e) {
             throw new IllegalStateException("memory cannot fail to take bytes", e);
         }
         if (content instanceof LastHttpContent) {
-            whole();
+            completeRequest();
         }
     }
 
-    private void whole() {
-        HttpRequest request = reading;
-        reading = null;
+    private void completeRequest() {
+        HttpRequest request = pendingHead;
+        pendingHead = null;
         IncomingCall call = new IncomingCall(
                 request.method(),
                 request.uri(),
                 request.headers(),
                 Bytes.of(body.toByteArray()),
                 HttpUtil.isContentLengthSet(request) || HttpUtil.isTransferEncodingChunked(request),
-                readingSinceMillis);
+                requestStartMillis);
         body.reset();
-        readingSinceMillis = time.monotonicMillis();
-        received(new Received.Whole(
+        requestStartMillis = time.monotonicMillis();
+        received(new Received.Request(
                 call, HttpUtil.isKeepAlive(request), request.protocolVersion().equals(HttpVersion.HTTP_1_0)));
     }
 
     /** After a malformed request the rest of the connection has no meaning: it is answered in its turn and closed. */
     private void unreadable(int status, String reason) {
         unreadable = true;
-        reading = null;
-        intake.refused(status, reason);
+        pendingHead = null;
+        handler.recordRefusal(status, reason);
         received(new Received.Unreadable(status, reason));
     }
 
@@ -238,10 +238,10 @@
             answerUnreadable(problem);
             return;
         }
-        current = (Received.Whole) next;
-        OpenCall taken = intake.take(current.call(), this, this::callDone);
+        current = (Received.Request) next;
+        ActiveCall taken = handler.handle(current.call(), this, this::callDone);
         if (current != null) {
-            open = taken;
+            activeCall = taken;
         }
     }
 
@@ -254,16 +254,16 @@
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         HttpUtil.setContentLength(response, response.content().readableBytes());
         Channels.write(channel, response);
-        closeInOrder();
+        closeGracefully();
     }
 
-    private void closeInOrder() {
+    private void closeGracefully() {
         closing = true;
         LingeringClose.afterWrites(context, time);
     }
 
     private void callDone() {
-        open = OpenCall.NONE;
+        activeCall = ActiveCall.NONE;
         release(current.call().body().length());
         current = null;
         idleSinceMillis = time.monotonicMillis();
@@ -274,16 +274,16 @@
     }
 
     private void release(int bytes) {
-        heldHere -= bytes;
-        intake.heldBytes().give(bytes);
+        reservedBytes -= bytes;
+        handler.bodyMemory().release(bytes);
     }
 
     private boolean closesAfterAnswer() {
-        return !current.keepAlive() || current.http10() || intake.leaving();
+        return !current.keepAlive() || current.http10() || handler.draining();
     }
 
     @Override
-    public void answer(int status, HttpHeaders headers, Bytes content) {
+    public void sendResponse(int status, HttpHeaders headers, Bytes content) {
         boolean close = closesAfterAnswer();
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
@@ -302,12 +302,12 @@
         }
         Channels.writeAndFlush(channel, response);
         if (close) {
-            closeInOrder();
+            closeGracefully();
         }
     }
 
     @Override
-    public void begin(int status, HttpHeaders headers) {
+    public void beginResponse(int status, HttpHeaders headers) {
         HttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
         if (!current.http10()) {
@@ -321,46 +321,46 @@
     }
 
     @Override
-    public void piece(ByteBuf piece) {
+    public void writeBody(ByteBuf piece) {
         Channels.writeAndFlush(channel, new DefaultHttpContent(piece));
     }
 
     @Override
-    public void complete() {
+    public void endResponse() {
         Channels.writeAndFlush(channel, LastHttpContent.EMPTY_LAST_CONTENT);
         if (closing) {
-            closeInOrder();
+            closeGracefully();
         }
     }
 
     @Override
-    public void breakOff() {
+    public void abortResponse() {
         closing = true;
         Channels.close(channel);
     }
 
     @Override
-    public boolean ready() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext _context) {
         if (channel.isWritable()) {
-            open.callerReady();
+            activeCall.onCallerWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext _context) {
-        check.cancel();
+        timeoutCheck.cancel();
         queue.clear();
-        OpenCall gone = open;
-        open = OpenCall.NONE;
+        ActiveCall gone = activeCall;
+        activeCall = ActiveCall.NONE;
         closing = true;
-        gone.callerGone();
+        gone.onCallerClosed();
         // What the call held was given back as it ended; the rest were requests that waited or were being read.
-        release(heldHere);
+        release(reservedBytes);
     }
 
     @Override
@@ -371,22 +371,22 @@
         Channels.close(channel);
     }
 
-    private void checkTimes() {
+    private void checkTimeouts() {
         if (!channel.isActive()) {
             return;
         }
         long nowMillis = time.monotonicMillis();
-        boolean headLate = reading == null
-                && readingSinceMillis >= 0
+        boolean headLate = pendingHead == null
+                && requestStartMillis >= 0
                 && current == null
                 && queue.isEmpty()
-                && nowMillis - readingSinceMillis > limits.headerTimeoutMillis();
-        boolean idleLate = idle() && nowMillis - idleSinceMillis > limits.idleTimeoutMillis();
+                && nowMillis - requestStartMillis > limits.headerTimeoutMillis();
+        boolean idleLate = isIdle() && nowMillis - idleSinceMillis > limits.idleTimeoutMillis();
         if (headLate && !unreadable) {
-            unreadable(OwnAnswers.REQUEST_TIMEOUT, "head took too long");
+            unreadable(LocalResponses.REQUEST_TIMEOUT, "head took too long");
         } else if (idleLate) {
             close();
         }
-        check = time.schedule(CHECK_MILLIS, this::checkTimes);
+        timeoutCheck = time.schedule(TIMEOUT_CHECK_MILLIS, this::checkTimeouts);
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/FrontListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerListener.java
@@ -17,18 +17,18 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /** The listener of forwarded calls. */
-final class FrontListener {
+final class CallerListener {
 
     /** The queue of connections that wait to be accepted: one that is dropped there comes back after a second. */
     private static final int BACKLOG = 1_024;
 
     private final Transport transport;
-    private final CallerIntake intake;
+    private final RequestHandler intake;
     private final TimeSource time;
     private final Map<ChannelId, CallerConnection> connections = new HashMap<>();
     private Channel listener;
 
-    FrontListener(Transport transport, CallerIntake intake, TimeSource time) {
+    CallerListener(Transport transport, RequestHandler intake, TimeSource time) {
         this.transport = Objects.requireNonNull(transport, "transport");
         this.intake = Objects.requireNonNull(intake, "intake");
         this.time = Objects.requireNonNull(time, "time");
@@ -76,7 +76,7 @@
     /** Closes the connections on which nothing is under way. */
     void closeIdle() {
         for (CallerConnection connection : List.copyOf(connections.values())) {
-            if (connection.idle()) {
+            if (connection.isIdle()) {
                 connection.close();
             }
         }
--- a/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
@@ -20,20 +20,20 @@
      * @param time the clock and timers, not null
      * @return the last handler
      */
-    static CallerConnection install(Channel channel, CallerIntake intake, TimeSource time) {
+    static CallerConnection install(Channel channel, RequestHandler intake, TimeSource time) {
         CallerLimits limits = intake.limits();
         CallerConnection connection = new CallerConnection(intake, time, limits);
         channel.pipeline()
-                .addLast(new ArrivalNote(connection))
+                .addLast(new ArrivalRecorder(connection))
                 .addLast(new HttpResponseEncoder(), new StrictRequestDecoder(limits), connection);
         return connection;
     }
 
     /** Notes when the first byte of a request arrives: its deadline runs from there, not from the end of its body. */
-    private static final class ArrivalNote extends ChannelInboundHandlerAdapter {
+    private static final class ArrivalRecorder extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
-        ArrivalNote(CallerConnection connection) {
+        ArrivalRecorder(CallerConnection connection) {
             this.connection = connection;
         }
 
--- a/src/main/java/org/dogwoodwinch/relay/CallerSide.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
@@ -5,7 +5,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /** Writes the answer of one call to its caller; used on the event loop alone. */
-interface CallerSide {
+interface CallerResponse {
 
     /**
      * Writes a whole answer.
@@ -14,7 +14,7 @@
      * @param headers without a length, not null
      * @param body the whole body, not null
      */
-    void answer(int status, HttpHeaders headers, Bytes body);
+    void sendResponse(int status, HttpHeaders headers, Bytes body);
 
     /**
      * Begins an answer whose body follows in pieces.
@@ -22,25 +22,25 @@
      * @param status the HTTP status
      * @param headers without a length, not null
      */
-    void begin(int status, HttpHeaders headers);
+    void beginResponse(int status, HttpHeaders headers);
 
     /**
      * Writes a piece of the body.
      *
      * @param piece the bytes; ownership passes over, not null
      */
-    void piece(ByteBuf piece);
+    void writeBody(ByteBuf piece);
 
     /** Ends the body as complete. */
-    void complete();
+    void endResponse();
 
     /** Closes the connection without an end of the body, so that the answer cannot look complete. */
-    void breakOff();
+    void abortResponse();
 
     /**
-     * Whether the caller takes more bytes now; {@link CallRelay#callerReady} tells when it does again.
+     * Whether the caller takes more bytes now; {@link CallRelay#onCallerWritable} tells when it does again.
      *
      * @return false while too many bytes wait for the caller
      */
-    boolean ready();
+    boolean isWritable();
 }
--- a/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
@@ -44,7 +44,7 @@
     private final EventLoop loop;
     private final TimeSource time;
     private final ConnectionPolicy policy;
-    private final Map<InetSocketAddress, Deque<Line>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, Deque<PooledConnection>> idle = new HashMap<>();
 
     /**
      * Creates a caller without connections.
@@ -71,8 +71,8 @@
      */
     public CompletionStage<ControlReply> call(InetSocketAddress address, ControlCall call, long timeoutMillis) {
         Exchange exchange = new Exchange(call, time);
-        exchange.bound(timeoutMillis);
-        Line kept = takeIdle(address);
+        exchange.timeout(timeoutMillis);
+        PooledConnection kept = pollIdle(address);
         if (kept != null) {
             kept.send(exchange);
         } else {
@@ -81,23 +81,23 @@
         return exchange.reply;
     }
 
-    private Line takeIdle(InetSocketAddress address) {
-        Deque<Line> lines = idle.get(address);
-        if (lines == null) {
+    private PooledConnection pollIdle(InetSocketAddress address) {
+        Deque<PooledConnection> connections = idle.get(address);
+        if (connections == null) {
             return null;
         }
-        Line line = lines.pollFirst();
-        while (line != null && !line.channel.isActive()) {
-            line = lines.pollFirst();
+        PooledConnection connection = connections.pollFirst();
+        while (connection != null && !connection.channel.isActive()) {
+            connection = connections.pollFirst();
         }
-        if (lines.isEmpty()) {
+        if (connections.isEmpty()) {
             idle.remove(address);
         }
-        return line;
+        return connection;
     }
 
     private void open(InetSocketAddress address, Exchange exchange) {
-        Line line = new Line(address);
+        PooledConnection connection = new PooledConnection(address);
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(transport.channel())
@@ -106,7 +106,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES), line);
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES), connection);
                     }
                 });
         transport.setUnacknowledgedTimeout(bootstrap, policy.unacknowledgedMillis());
@@ -115,16 +115,17 @@
             if (!connecting.isSuccess()) {
                 exchange.end(new ControlReply.Lost("connect_failed"));
             } else if (exchange.reply.isDone()) {
-                keep(line);
+                returnToPool(connection);
             } else {
-                line.send(exchange);
+                connection.send(exchange);
             }
         });
     }
 
-    private void keep(Line line) {
-        if (line.channel.isActive()) {
-            idle.computeIfAbsent(line.address, _address -> new ArrayDeque<>()).addFirst(line);
+    private void returnToPool(PooledConnection connection) {
+        if (connection.channel.isActive()) {
+            idle.computeIfAbsent(connection.address, _address -> new ArrayDeque<>())
+                    .addFirst(connection);
         }
     }
 
@@ -132,35 +133,35 @@
         private final ControlCall call;
         private final TimeSource time;
         private final CompletableFuture<ControlReply> reply = new CompletableFuture<>();
-        private Line line;
-        private Cancellable bound;
+        private PooledConnection connection;
+        private Cancellable timeout;
 
         Exchange(ControlCall call, TimeSource time) {
             this.call = call;
             this.time = time;
         }
 
-        void bound(long timeoutMillis) {
-            bound = time.schedule(timeoutMillis, () -> {
-                if (line != null) {
-                    Channels.close(line.channel);
+        void timeout(long timeoutMillis) {
+            timeout = time.schedule(timeoutMillis, () -> {
+                if (connection != null) {
+                    Channels.close(connection.channel);
                 }
                 end(new ControlReply.Lost("timeout"));
             });
         }
 
         void end(ControlReply outcome) {
-            bound.cancel();
+            timeout.cancel();
             reply.complete(outcome);
         }
     }
 
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class PooledConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final InetSocketAddress address;
         private Channel channel;
         private Exchange current;
 
-        Line(InetSocketAddress address) {
+        PooledConnection(InetSocketAddress address) {
             this.address = address;
         }
 
@@ -171,7 +172,7 @@
 
         void send(Exchange exchange) {
             current = exchange;
-            exchange.line = this;
+            exchange.connection = this;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     exchange.call.method(),
@@ -189,7 +190,7 @@
             current = null;
             boolean usable = done != null && response.decoderResult().isSuccess();
             if (usable && HttpUtil.isKeepAlive(response)) {
-                keep(this);
+                returnToPool(this);
             } else {
                 Channels.close(channel);
             }
@@ -203,16 +204,16 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext _context) {
-            lose("connection_closed");
+            failExchange("connection_closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext _context, Throwable cause) {
-            lose("connection_failed: " + cause);
+            failExchange("connection_failed: " + cause);
             Channels.close(channel);
         }
 
-        private void lose(String reason) {
+        private void failExchange(String reason) {
             Exchange lost = current;
             current = null;
             if (lost != null) {
--- a/src/main/java/org/dogwoodwinch/relay/EventFramer.java
+++ b/src/main/java/org/dogwoodwinch/relay/EventFramer.java
@@ -29,11 +29,11 @@
     }
 
     /** Whether bytes of an event came without its end. */
-    boolean partial() {
+    boolean hasPartialEvent() {
         return pending.length > 0;
     }
 
-    void dropPartial() {
+    void discardPartial() {
         pending = new byte[0];
     }
 
@@ -43,7 +43,7 @@
      * @param piece the next bytes, not null; not consumed
      * @return whole events, empty where none ended
      */
-    byte[] take(ByteBuf piece) {
+    byte[] append(ByteBuf piece) {
         byte[] all = Arrays.copyOf(pending, pending.length + piece.readableBytes());
         piece.getBytes(piece.readerIndex(), all, pending.length, piece.readableBytes());
         int end = 0;
@@ -59,7 +59,7 @@
                 lastEventId = idOfEvent.isPresent() ? idOfEvent : lastEventId;
                 idOfEvent = Optional.empty();
             } else {
-                Optional<String> id = idIn(all, lineStart, lineEnd);
+                Optional<String> id = parseId(all, lineStart, lineEnd);
                 idOfEvent = id.isPresent() ? id : idOfEvent;
             }
             lineStart = i + 1;
@@ -69,7 +69,7 @@
         return whole;
     }
 
-    private static Optional<String> idIn(byte[] all, int start, int end) {
+    private static Optional<String> parseId(byte[] all, int start, int end) {
         if (end - start < ID_FIELD.length
                 || !Arrays.equals(all, start, start + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
             return Optional.empty();
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
@@ -24,20 +24,20 @@
     private final Counter answers;
     private final Counter refusals;
     private final Counter failedSends;
-    private final Counter callersGone;
+    private final Counter callerDisconnects;
     private final Counter connections;
-    private final Counter repeats;
+    private final Counter retries;
     private final Counter sends;
     private final Counter peerBytes;
     private final Counter peerDropped;
-    private final Gauge peerWay;
-    private final Gauge instancesSeen;
+    private final Gauge peerDelay;
+    private final Gauge instances;
     private final Gauge configurationVersion;
     private final Gauge targets;
-    private final Gauge limited;
+    private final Gauge rateLimitedTargets;
     private final Gauge storeReachable;
     private final Histogram firstByte;
-    private final Histogram whole;
+    private final Histogram complete;
 
     /**
      * Registers the metrics.
@@ -59,10 +59,10 @@
                 "known",
                 "reason",
                 "next");
-        this.callersGone = counter(
+        this.callerDisconnects = counter(
                 "dogwoodwinch_forwarded_callers_gone_total", "Callers that left before their answer's end.", "kind");
         this.connections = counter("dogwoodwinch_target_connections_opened_total", "Connections opened to targets.");
-        this.repeats = counter(
+        this.retries = counter(
                 "dogwoodwinch_forwarded_repeats_total",
                 "Repeats by service: taken from its quota, or not granted.",
                 "service",
@@ -77,16 +77,16 @@
                 "dogwoodwinch_peer_words_dropped_total",
                 "Words to other instances that the link's share for them had no room for.",
                 "topic");
-        this.peerWay =
+        this.peerDelay =
                 gauge("dogwoodwinch_peer_way_seconds", "How long the last message of a relay was on its way, or more.");
-        this.instancesSeen = gauge("dogwoodwinch_instances_seen", "Instances that common bounds are dealt out to.");
+        this.instances = gauge("dogwoodwinch_instances_seen", "Instances that common bounds are dealt out to.");
         this.configurationVersion =
                 gauge("dogwoodwinch_configuration_version", "The configuration in force here; -1 without one.");
         this.targets = gauge("dogwoodwinch_targets_ready", "Targets that may get new work.");
-        this.limited = gauge("dogwoodwinch_targets_limited", "Targets that name a limit in their answers.");
+        this.rateLimitedTargets = gauge("dogwoodwinch_targets_limited", "Targets that name a limit in their answers.");
         this.storeReachable = gauge("dogwoodwinch_store_reachable", "1 while the platform's store answers.");
         this.firstByte = histogram("dogwoodwinch_forwarded_first_byte_seconds", "Arrival to the answer's first byte.");
-        this.whole = histogram("dogwoodwinch_forwarded_whole_seconds", "Arrival to the answer's end.");
+        this.complete = histogram("dogwoodwinch_forwarded_whole_seconds", "Arrival to the answer's end.");
         configurationVersion.set(-1);
     }
 
@@ -158,7 +158,7 @@
      * @param wayMillis milliseconds
      */
     public void showPeerWay(long wayMillis) {
-        peerWay.set(wayMillis / MILLIS_PER_SECOND);
+        peerDelay.set(wayMillis / MILLIS_PER_SECOND);
     }
 
     /**
@@ -167,7 +167,7 @@
      * @param count the instances
      */
     public void showInstances(int count) {
-        instancesSeen.set(count);
+        instances.set(count);
     }
 
     /**
@@ -176,20 +176,20 @@
      * @param count the targets
      */
     public void showLimited(int count) {
-        limited.set(count);
+        rateLimitedTargets.set(count);
     }
 
     void sent(String purpose, boolean limitedTarget) {
         sends.labelValues(purpose, Boolean.toString(limitedTarget)).inc();
     }
 
-    void repeat(String service, String decision) {
-        repeats.labelValues(service, decision).inc();
+    void retryDecided(String service, String decision) {
+        retries.labelValues(service, decision).inc();
     }
 
     void answered(String kind, long millis) {
         answers.labelValues(kind).inc();
-        whole.observe(millis / MILLIS_PER_SECOND);
+        complete.observe(millis / MILLIS_PER_SECOND);
     }
 
     void firstByte(long millis) {
@@ -204,8 +204,8 @@
         failedSends.labelValues(known, reason, next).inc();
     }
 
-    void callerGone(String kind) {
-        callersGone.labelValues(kind).inc();
+    void callerDisconnected(String kind) {
+        callerDisconnects.labelValues(kind).inc();
     }
 
     void connectionOpened() {
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -30,25 +30,25 @@
 import org.slf4j.LoggerFactory;
 
 /** Forwards calls by the configuration in force. Used on one event loop alone. */
-public final class ForwardingService implements CallerIntake {
+public final class ForwardingService implements RequestHandler {
 
     private static final Logger log = LoggerFactory.getLogger(ForwardingService.class);
 
     /** A sixth of the smallest heap that the deploy file gives: a body is there twice while it is sent. */
-    private static final long MAX_HELD_BODY_BYTES = 16_777_216;
+    private static final long MAX_BODY_MEMORY_BYTES = 16_777_216;
 
     private final CallHeaders callHeaders;
     private final UniformRandomProvider random;
     private final TimeSource time;
-    private final RelayParts parts;
+    private final RelayContext context;
     private final RelayReport report;
     private final TargetHealth health;
-    private Optional<FrontListener> listener = Optional.empty();
-    private final HeldBytes heldBytes = new HeldBytes(MAX_HELD_BODY_BYTES);
+    private Optional<CallerListener> listener = Optional.empty();
+    private final BodyMemory bodyMemory = new BodyMemory(MAX_BODY_MEMORY_BYTES);
     private int openCount;
-    private Optional<RouteTable> table = Optional.empty();
-    private boolean leaving;
-    private boolean taking = true;
+    private Optional<RouteTable> routeTable = Optional.empty();
+    private boolean draining;
+    private boolean accepting = true;
 
     /**
      * Creates a service that does not listen yet.
@@ -76,10 +76,10 @@
         this.time = Objects.requireNonNull(time, "time");
         this.report = new LoggingReport(metrics, decisions.limits());
         this.health = decisions.health();
-        this.parts = new RelayParts(
+        this.context = new RelayContext(
                 time,
                 callHeaders,
-                new TargetConnections(
+                new TargetConnectionPool(
                         connector,
                         callHeaders,
                         time,
@@ -90,16 +90,16 @@
                 decisions.chooser(),
                 control,
                 decisions.loads(),
-                decisions.parts(),
-                decisions.rates(),
+                decisions.cacheIndex(),
+                decisions.prefillRates(),
                 decisions.retryPolicy(),
                 decisions.budget(),
                 new Suspicions(decisions.quarantine(), time),
                 health,
                 decisions.statedLimits(),
-                decisions.breakOffs(),
+                decisions.connectionAborts(),
                 report,
-                decisions.sharersCount());
+                decisions.sharingInstancesCount());
     }
 
     /**
@@ -107,30 +107,30 @@
      *
      * @param chooser chooses targets, not null
      * @param loads what is under way at targets, not null
-     * @param parts which parts of prompts engines keep, not null
-     * @param rates how fast engines read, not null
+     * @param cacheIndex which parts of prompts engines keep, not null
+     * @param prefillRates how fast engines read, not null
      * @param retryPolicy decides what follows on a failed send, not null
      * @param budget bounds repeats, not null
      * @param quarantine knows the calls that crash targets, not null
      * @param health knows the targets that could not be reached of late, not null
      * @param limits knows the targets that name a limit, not null
      * @param statedLimits hears of them, not null
-     * @param breakOffs judges the targets that break off calls, not null
-     * @param sharersCount the instances that share a target's connections, asked each time, not null
+     * @param connectionAborts judges the targets that break off calls, not null
+     * @param sharingInstancesCount the instances that share a target's connections, asked each time, not null
      */
     public record Decisions(
             TargetChooser chooser,
             LoadTracker loads,
-            KvCacheIndex parts,
-            PrefillRates rates,
+            KvCacheIndex cacheIndex,
+            PrefillRates prefillRates,
             RetryPolicy retryPolicy,
             RetryBudget budget,
             Quarantine quarantine,
             TargetHealth health,
             TargetRateLimits limits,
             StatedLimits statedLimits,
-            BreakOffs breakOffs,
-            IntSupplier sharersCount) {}
+            BreakOffs connectionAborts,
+            IntSupplier sharingInstancesCount) {}
 
     /**
      * Listens for callers.
@@ -140,7 +140,7 @@
      * @throws IOException if the address cannot be bound
      */
     public void listen(Transport transport, InetSocketAddress address) throws IOException {
-        FrontListener bound = new FrontListener(transport, this, time);
+        CallerListener bound = new CallerListener(transport, this, time);
         bound.bind(address);
         listener = Optional.of(bound);
     }
@@ -151,7 +151,7 @@
      * @return the port; zero where it does not listen
      */
     public int port() {
-        return listener.map(FrontListener::port).orElse(0);
+        return listener.map(CallerListener::port).orElse(0);
     }
 
     /**
@@ -165,10 +165,10 @@
      */
     public static Channel listenReady(Transport transport, InetSocketAddress address, Supplier<Boolean> ready)
             throws IOException {
-        return ReadyListener.bind(transport, address, _path -> {
+        return PageListener.bind(transport, address, _path -> {
             boolean now = ready.get();
-            return new ReadyListener.Page(
-                    now ? 200 : OwnAnswers.UNAVAILABLE, "text/plain", now ? "ready" : "not ready");
+            return new PageListener.Page(
+                    now ? 200 : LocalResponses.UNAVAILABLE, "text/plain", now ? "ready" : "not ready");
         });
     }
 
@@ -183,8 +183,8 @@
      */
     public static Channel listenMetrics(Transport transport, InetSocketAddress address, ForwardingMetrics metrics)
             throws IOException {
-        return ReadyListener.bind(
-                transport, address, _path -> new ReadyListener.Page(200, "text/plain; version=0.0.4", metrics.text()));
+        return PageListener.bind(
+                transport, address, _path -> new PageListener.Page(200, "text/plain; version=0.0.4", metrics.text()));
     }
 
     /**
@@ -194,10 +194,10 @@
      * @return whether it was put in force
      */
     public boolean configure(RouteTable fresh) {
-        if (table.isPresent() && table.get().version() >= fresh.version()) {
+        if (routeTable.isPresent() && routeTable.get().version() >= fresh.version()) {
             return false;
         }
-        table = Optional.of(fresh);
+        routeTable = Optional.of(fresh);
         return true;
     }
 
@@ -208,7 +208,8 @@
      * @return false for plain services and unknown ones
      */
     public boolean servesModel(String serviceName) {
-        return table.flatMap(current -> current.service(serviceName))
+        return routeTable
+                .flatMap(current -> current.service(serviceName))
                 .flatMap(ServiceEntry::engine)
                 .isPresent();
     }
@@ -219,7 +220,7 @@
      * @return their names by the configuration in force
      */
     public Set<String> modelServices() {
-        return table.map(RouteTable::modelServices).orElseGet(Set::of);
+        return routeTable.map(RouteTable::modelServices).orElseGet(Set::of);
     }
 
     /**
@@ -229,7 +230,8 @@
      * @return milliseconds by the configuration in force; zero where none is stated
      */
     public long switchMillis(String serviceName) {
-        return table.flatMap(current -> current.service(serviceName))
+        return routeTable
+                .flatMap(current -> current.service(serviceName))
                 .flatMap(ServiceEntry::engine)
                 .map(EngineTraits::stageChangeMillis)
                 .orElse(0L);
@@ -241,7 +243,7 @@
      * @return false before the first one
      */
     public boolean configured() {
-        return table.isPresent();
+        return routeTable.isPresent();
     }
 
     /**
@@ -250,9 +252,9 @@
      * @param targetId its id, not null
      */
     public void targetFoundGone(String targetId) {
-        parts.breakOffs().forget(targetId);
-        parts.statedLimits().forget(targetId);
-        parts.suspicions().foundGone(targetId);
+        context.connectionAborts().forget(targetId);
+        context.statedLimits().forget(targetId);
+        context.suspicions().handleTargetLost(targetId);
     }
 
     /**
@@ -276,17 +278,17 @@
     public void targetStartedAgain(String targetId) {
         targetFoundGone(targetId);
         forgetTarget(targetId);
-        parts.parts().removeEngine(targetId);
+        context.cacheIndex().removeEngine(targetId);
     }
 
     private void targetUnreachable(String targetId) {
-        report.unreachable(targetId, health.recordUnreachable(targetId), "connect_failed");
-        parts.suspicions().foundGone(targetId);
+        report.targetUnreachable(targetId, health.recordUnreachable(targetId), "connect_failed");
+        context.suspicions().handleTargetLost(targetId);
     }
 
     /** Closes all kept connections to targets: after a suspension nobody knows how long they were idle. */
     public void dropKeptConnections() {
-        parts.connections().dropKept();
+        context.connections().closeIdle();
     }
 
     /**
@@ -295,12 +297,12 @@
      * @param targetId its id, not null
      */
     public void forgetTarget(String targetId) {
-        parts.connections().forget(targetId);
+        context.connections().removeTarget(targetId);
     }
 
     /** From now on answers ask callers to use other connections. */
     public void leave() {
-        leaving = true;
+        draining = true;
     }
 
     /**
@@ -311,16 +313,16 @@
      * connections. A call taken shortly before the process has to end would be cut in the middle of its run.
      */
     public void stopTaking() {
-        if (taking) {
-            taking = false;
+        if (accepting) {
+            accepting = false;
             logState("stopped_taking");
-            listener.ifPresent(FrontListener::stopAccepting);
+            listener.ifPresent(CallerListener::stopAccepting);
         }
         closeIdle();
     }
 
     private void closeIdle() {
-        listener.ifPresent(FrontListener::closeIdle);
+        listener.ifPresent(CallerListener::closeIdle);
     }
 
     /**
@@ -338,62 +340,62 @@
      * @return how many are open
      */
     public int callersCount() {
-        return listener.map(FrontListener::connectionsCount).orElse(0);
+        return listener.map(CallerListener::connectionsCount).orElse(0);
     }
 
     @Override
     public CallerLimits limits() {
-        return table.map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
+        return routeTable.map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
     }
 
     @Override
-    public boolean leaving() {
-        return leaving;
+    public boolean draining() {
+        return draining;
     }
 
     @Override
-    public HeldBytes heldBytes() {
-        return heldBytes;
+    public BodyMemory bodyMemory() {
+        return bodyMemory;
     }
 
     @Override
-    public void refused(int status, String reason) {
-        report.refusedEarly("", status, reason);
+    public void recordRefusal(int status, String reason) {
+        report.refusedBeforeRouting("", status, reason);
     }
 
     @Override
-    public OpenCall take(IncomingCall call, CallerSide caller, Runnable onDone) {
+    public ActiveCall handle(IncomingCall call, CallerResponse caller, Runnable onDone) {
         CallFacts facts = callHeaders.readCall(call.headers());
-        if (!taking) {
-            return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "stopping");
+        if (!accepting) {
+            return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "stopping");
         }
-        if (table.isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "no configuration yet");
+        if (routeTable.isEmpty()) {
+            return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "no configuration yet");
         }
-        RouteTable current = table.get();
+        RouteTable current = routeTable.get();
         Optional<ServiceRoute> route = current.findRoute(call.headers().get("host"), call.uri());
         if (route.isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.NOT_FOUND, "no route");
+            return refuse(facts, caller, onDone, LocalResponses.NOT_FOUND, "no route");
         }
         if (facts.requestId().isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.BAD_REQUEST, "one request id is needed");
+            return refuse(facts, caller, onDone, LocalResponses.BAD_REQUEST, "one request id is needed");
         }
         String serviceName = route.get().chooseService(random.nextDouble());
         Optional<ServiceEntry> service = current.service(serviceName);
         if (service.isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "unknown service");
+            return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "unknown service");
         }
         return begin(call, facts, route.get(), service.get(), caller, onDone);
     }
 
-    private OpenCall begin(
+    private ActiveCall begin(
             IncomingCall call,
             CallFacts facts,
             ServiceRoute route,
             ServiceEntry service,
-            CallerSide caller,
+            CallerResponse caller,
             Runnable onDone) {
-        CallRelay relay = new CallRelay(parts, call, facts, route, service, caller, () -> {
+        CallRelay relay = new CallRelay(context, call, facts, route, service, caller, () -> {
             openCount--;
             onDone.run();
         });
@@ -402,15 +404,16 @@
         return relay;
     }
 
-    private OpenCall refuse(CallFacts facts, CallerSide caller, Runnable onDone, int status, String reason) {
-        report.refusedEarly(facts.requestId().orElse(""), status, reason);
-        if (OwnAnswers.promisesNotRun(status)) {
-            OwnAnswers.refuse(caller, status, reason, parts.retryPolicy().retryAfterMillis());
+    private ActiveCall refuse(CallFacts facts, CallerResponse caller, Runnable onDone, int status, String reason) {
+        report.refusedBeforeRouting(facts.requestId().orElse(""), status, reason);
+        if (LocalResponses.guaranteesNotRun(status)) {
+            LocalResponses.sendRetryable(
+                    caller, status, reason, context.retryPolicy().retryAfterMillis());
         } else {
-            OwnAnswers.write(caller, status, reason);
+            LocalResponses.sendError(caller, status, reason);
         }
         onDone.run();
-        return OpenCall.NONE;
+        return ActiveCall.NONE;
     }
 
     /**
@@ -422,7 +425,7 @@
         LogEvent.of(event)
                 .with("open", openCount)
                 .with("callers", callersCount())
-                .with("version", table.map(RouteTable::version).orElse(-1L))
+                .with("version", routeTable.map(RouteTable::version).orElse(-1L))
                 .info(log);
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/SendAccount.java
+++ b/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
@@ -7,23 +7,23 @@
 import org.dogwoodwinch.forwarding.Prompt;
 
 /** What one send puts on a target, from its first byte until its prompt is read and until it ends. */
-final class SendAccount {
+final class InFlightSend {
 
-    private final RelayParts parts;
+    private final RelayContext context;
     private final Incarnation target;
     private final Optional<Prompt> prompt;
-    private final ForwardingPlan.PrefillWork reading;
+    private final ForwardingPlan.PrefillWork prefillWork;
     private final long aheadTokens;
     private final long sentMillis;
-    private boolean unread = true;
+    private boolean prefillPending = true;
     private boolean open = true;
 
-    private SendAccount(
-            RelayParts parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
-        this.parts = parts;
+    private InFlightSend(
+            RelayContext parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
+        this.context = parts;
         this.target = target;
         this.prompt = prompt;
-        this.reading = reading;
+        this.prefillWork = reading;
         this.aheadTokens = parts.loads().totalAt(target.id()).prefillQueue().tokensAheadOf(reading.level());
         this.sentMillis = parts.time().monotonicMillis();
         parts.loads().recordSend(target.id(), reading.level(), reading.prefillTokens());
@@ -38,10 +38,10 @@
      * @param reading how it is read, not null
      * @return the account
      */
-    static SendAccount begin(
-            RelayParts parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
+    static InFlightSend start(
+            RelayContext parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
         Objects.requireNonNull(target, "target");
-        return new SendAccount(parts, target, prompt, reading);
+        return new InFlightSend(parts, target, prompt, reading);
     }
 
     Incarnation target() {
@@ -49,7 +49,7 @@
     }
 
     long ageMillis() {
-        return parts.time().monotonicMillis() - sentMillis;
+        return context.time().monotonicMillis() - sentMillis;
     }
 
     long aheadTokens() {
@@ -57,20 +57,21 @@
     }
 
     /** The head of the answer came: what it states of the target is believed. */
-    void answered(AnswerFacts facts) {
-        parts.answerBegan(target, facts, sentMillis);
+    void recordResponseHead(AnswerFacts facts) {
+        context.recordResponseHead(target, facts, sentMillis);
     }
 
     /** The prompt was read: its parts are kept there, and the time that it took tells how fast the target reads. */
-    void promptRead() {
-        if (!unread) {
+    void recordPrefillDone() {
+        if (!prefillPending) {
             return;
         }
-        settlePrompt();
+        settlePrefill();
         prompt.ifPresent(read -> {
             long millis = ageMillis();
-            parts.rates().observe(target.service(), target.stage(), aheadTokens + reading.prefillTokens(), millis);
-            parts.parts().recordPrefill(target.id(), read);
+            context.prefillRates()
+                    .observe(target.service(), target.stage(), aheadTokens + prefillWork.prefillTokens(), millis);
+            context.cacheIndex().recordPrefill(target.id(), read);
         });
     }
 
@@ -80,14 +81,14 @@
             return;
         }
         open = false;
-        settlePrompt();
-        parts.loads().recordEnd(target.id());
+        settlePrefill();
+        context.loads().recordEnd(target.id());
     }
 
-    private void settlePrompt() {
-        if (unread) {
-            unread = false;
-            parts.loads().recordPrefill(target.id(), reading.level(), reading.prefillTokens());
+    private void settlePrefill() {
+        if (prefillPending) {
+            prefillPending = false;
+            context.loads().recordPrefill(target.id(), prefillWork.level(), prefillWork.prefillTokens());
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/OwnAnswers.java
+++ b/src/main/java/org/dogwoodwinch/relay/LocalResponses.java
@@ -7,7 +7,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /** Answers that this system makes itself. */
-final class OwnAnswers {
+final class LocalResponses {
 
     static final int BAD_REQUEST = 400;
     static final int NOT_FOUND = 404;
@@ -20,23 +20,23 @@
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
-    private OwnAnswers() {}
+    private LocalResponses() {}
 
     /** Says whether a status promises that the call did not run and never will. */
-    static boolean promisesNotRun(int status) {
+    static boolean guaranteesNotRun(int status) {
         return status == UNAVAILABLE || status == REQUEST_TIMEOUT;
     }
 
-    static void write(CallerSide caller, int status, String reason) {
-        caller.answer(status, textHeaders(), Bytes.ofUtf8(reason));
+    static void sendError(CallerResponse caller, int status, String reason) {
+        caller.sendResponse(status, textHeaders(), Bytes.ofUtf8(reason));
     }
 
     /** Refuses a call that did not run, and tells when to come back. */
-    static void refuse(CallerSide caller, int status, String reason, long retryAfterMillis) {
+    static void sendRetryable(CallerResponse caller, int status, String reason, long retryAfterMillis) {
         HttpHeaders headers = textHeaders();
         headers.set(
                 HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterMillis / MILLIS_PER_SECOND));
-        caller.answer(status, headers, Bytes.ofUtf8(reason));
+        caller.sendResponse(status, headers, Bytes.ofUtf8(reason));
     }
 
     private static HttpHeaders textHeaders() {
--- a/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void refusedEarly(String requestId, int status, String reason) {
+    public void refusedBeforeRouting(String requestId, int status, String reason) {
         metrics.refused(status, reason);
         LogEvent.of("call_refused")
                 .with("request", requestId)
@@ -36,20 +36,20 @@
 
     @Override
     public void quarantined(CallRelay call) {
-        metrics.refused(OwnAnswers.UNAVAILABLE, "quarantined");
-        about("call_quarantined", call).info(log);
+        metrics.refused(LocalResponses.UNAVAILABLE, "quarantined");
+        callEvent("call_quarantined", call).info(log);
     }
 
     @Override
     public void noTarget(CallRelay call) {
-        metrics.refused(OwnAnswers.UNAVAILABLE, "no_target");
-        about("no_target", call)
+        metrics.refused(LocalResponses.UNAVAILABLE, "no_target");
+        callEvent("no_target", call)
                 .with("limitUsedUp", limits.exhaustedTargetIds())
                 .info(log);
     }
 
     @Override
-    public void unreachable(String targetId, long pauseMillis, String reason) {
+    public void targetUnreachable(String targetId, long pauseMillis, String reason) {
         LogEvent.of("target_unreachable")
                 .with("target", targetId)
                 .with("reason", reason)
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void promptNotRead(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft) {
+    public void prefillFailed(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft) {
         String next = step.getClass().getSimpleName();
         metrics.sendFailed("not_run", "prompt_" + reason, next);
         LogEvent.of("prompt_not_read")
@@ -71,17 +71,17 @@
     }
 
     @Override
-    public void repeat(String service, Repeat what) {
-        metrics.repeat(service, lower(what));
+    public void retryDecided(String service, RetryDecision what) {
+        metrics.retryDecided(service, lowerCaseName(what));
     }
 
     @Override
     public void sendFailed(CallRelay call, SendOutcome outcome, NextStep step, double budgetLeft) {
-        String known = known(outcome);
-        String reason = reason(outcome);
+        String known = knowledgeOf(outcome);
+        String reason = reasonOf(outcome);
         String next = step.getClass().getSimpleName();
         metrics.sendFailed(known, reason, next);
-        about("send_failed", call)
+        callEvent("send_failed", call)
                 .with("known", known)
                 .with("reason", reason)
                 .with("next", next)
@@ -90,9 +90,9 @@
     }
 
     @Override
-    public void limitReached(CallRelay call, boolean mayHaveRun) {
-        metrics.refused(mayHaveRun ? OwnAnswers.GATEWAY_TIMEOUT : OwnAnswers.UNAVAILABLE, "time_limit");
-        about("time_limit", call).with("mayHaveRun", mayHaveRun).info(log);
+    public void deadlineExceeded(CallRelay call, boolean mayHaveRun) {
+        metrics.refused(mayHaveRun ? LocalResponses.GATEWAY_TIMEOUT : LocalResponses.UNAVAILABLE, "time_limit");
+        callEvent("time_limit", call).with("mayHaveRun", mayHaveRun).info(log);
     }
 
     @Override
@@ -102,7 +102,7 @@
             ForwardingPlan.PrefillWork reading,
             long aheadTokens,
             SendPurpose purpose) {
-        metrics.sent(lower(purpose), limits.isRateLimited(target.id()));
+        metrics.sent(lowerCaseName(purpose), limits.isRateLimited(target.id()));
         if (log.isDebugEnabled()) {
             LogEvent.of("call_sent")
                     .with("request", requestId)
@@ -112,14 +112,14 @@
                     .with("unreadTokens", reading.prefillTokens())
                     .with("aheadTokens", aheadTokens)
                     .with("keeper", reading.cacheSource().map(Incarnation::id).orElse(""))
-                    .with("purpose", lower(purpose))
+                    .with("purpose", lowerCaseName(purpose))
                     .with("limitUsedUp", limits.exhaustedTargetIds())
                     .debug(log);
         }
     }
 
     @Override
-    public void leftBeforeSend(String requestId, Incarnation target) {
+    public void targetLeftBeforeSend(String requestId, Incarnation target) {
         LogEvent.of("target_left_before_send")
                 .with("request", requestId)
                 .with("target", target.id())
@@ -131,22 +131,22 @@
     public void firstByte(CallRelay call) {
         metrics.firstByte(call.ageMillis());
         if (log.isDebugEnabled()) {
-            about("first_byte", call).debug(log);
+            callEvent("first_byte", call).debug(log);
         }
     }
 
     @Override
     public void succeeded(CallRelay call) {
-        metrics.answered(kind(call), call.ageMillis());
+        metrics.answered(routeKind(call), call.ageMillis());
     }
 
     @Override
-    public void callerGone(CallRelay call) {
-        metrics.callerGone(kind(call));
-        about("caller_gone", call).info(log);
+    public void callerDisconnected(CallRelay call) {
+        metrics.callerDisconnected(routeKind(call));
+        callEvent("caller_gone", call).info(log);
     }
 
-    private static LogEvent about(String event, CallRelay call) {
+    private static LogEvent callEvent(String event, CallRelay call) {
         return LogEvent.of(event)
                 .with("request", call.requestId())
                 .with("route", call.route().name())
@@ -158,15 +158,15 @@
                 .with("ageMillis", call.ageMillis());
     }
 
-    private static String lower(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String kind(CallRelay call) {
-        return lower(call.route().kind());
+    private static String routeKind(CallRelay call) {
+        return lowerCaseName(call.route().kind());
     }
 
-    private static String known(SendOutcome outcome) {
+    private static String knowledgeOf(SendOutcome outcome) {
         if (outcome instanceof SendOutcome.NotSent) {
             return "not_sent";
         }
@@ -176,7 +176,7 @@
         return outcome instanceof SendOutcome.Unknown ? "unknown" : "ran";
     }
 
-    private static String reason(SendOutcome outcome) {
+    private static String reasonOf(SendOutcome outcome) {
         if (outcome instanceof SendOutcome.NotSent notSent) {
             return notSent.reason();
         }
--- a/src/main/java/org/dogwoodwinch/relay/ReadyListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/PageListener.java
@@ -24,11 +24,11 @@
 import org.dogwoodwinch.net.Transport;
 
 /** A listener for short questions without a body, such as the balancer's whether the instance is ready. */
-final class ReadyListener {
+final class PageListener {
 
     private static final int MAX_BODY_BYTES = 1_024;
 
-    private ReadyListener() {}
+    private PageListener() {}
 
     /**
      * One short answer.
--- a/src/main/java/org/dogwoodwinch/relay/RelayParts.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayContext.java
@@ -24,54 +24,54 @@
  * @param chooser chooses targets, not null
  * @param control asks engines, not null
  * @param loads what is under way at targets, not null
- * @param parts which parts of prompts engines keep, not null
- * @param rates how fast engines read, not null
+ * @param cacheIndex which parts of prompts engines keep, not null
+ * @param prefillRates how fast engines read, not null
  * @param retryPolicy decides what follows on a failed send, not null
  * @param budget bounds repeats, not null
  * @param suspicions which calls crash targets, not null
  * @param health which targets could not be reached of late, not null
  * @param statedLimits hears of the limits that targets name, not null
- * @param breakOffs hears of targets that break off calls, not null
+ * @param connectionAborts hears of targets that break off calls, not null
  * @param report counts and logs, not null
- * @param sharersCount the instances that share a target's connections, asked each time, not null
+ * @param sharingInstancesCount the instances that share a target's connections, asked each time, not null
  */
-record RelayParts(
+record RelayContext(
         TimeSource time,
         CallHeaders callHeaders,
-        TargetConnections connections,
+        TargetConnectionPool connections,
         TargetChooser chooser,
         EngineControl control,
         LoadTracker loads,
-        KvCacheIndex parts,
-        PrefillRates rates,
+        KvCacheIndex cacheIndex,
+        PrefillRates prefillRates,
         RetryPolicy retryPolicy,
         RetryBudget budget,
         Suspicions suspicions,
         TargetHealth health,
         StatedLimits statedLimits,
-        BreakOffs breakOffs,
+        BreakOffs connectionAborts,
         RelayReport report,
-        IntSupplier sharersCount) {
+        IntSupplier sharingInstancesCount) {
 
-    private static final long HEARD_AGE_MILLIS = 100;
+    private static final long MIN_DEFERRED_AGE_MILLIS = 100;
 
-    RelayParts {
+    RelayContext {
         Objects.requireNonNull(time, "time");
         Objects.requireNonNull(callHeaders, "callHeaders");
         Objects.requireNonNull(connections, "connections");
         Objects.requireNonNull(chooser, "chooser");
         Objects.requireNonNull(control, "control");
         Objects.requireNonNull(loads, "loads");
-        Objects.requireNonNull(parts, "parts");
-        Objects.requireNonNull(rates, "rates");
+        Objects.requireNonNull(cacheIndex, "parts");
+        Objects.requireNonNull(prefillRates, "rates");
         Objects.requireNonNull(retryPolicy, "retryPolicy");
         Objects.requireNonNull(budget, "budget");
         Objects.requireNonNull(suspicions, "suspicions");
         Objects.requireNonNull(health, "health");
         Objects.requireNonNull(statedLimits, "statedLimits");
-        Objects.requireNonNull(breakOffs, "breakOffs");
+        Objects.requireNonNull(connectionAborts, "breakOffs");
         Objects.requireNonNull(report, "report");
-        Objects.requireNonNull(sharersCount, "sharersCount");
+        Objects.requireNonNull(sharingInstancesCount, "sharersCount");
     }
 
     /**
@@ -81,7 +81,7 @@
      * shares to all instances that may exist, the sum cannot exceed the bound.
      */
     int connectionsPerTarget(ServiceEntry service) {
-        return Math.max(1, service.maxConnectionsCount() / sharersCount.getAsInt());
+        return Math.max(1, service.maxConnectionsCount() / sharingInstancesCount.getAsInt());
     }
 
     /**
@@ -92,8 +92,8 @@
      * it: the call was sent on for nobody. What waits on the sockets is read before a task that is put off. Callers leave
      * after two seconds and more, or where they are in a hurry within half of an objective; a younger call is not delayed.
      */
-    void onceCallersAreHeard(long arrivalMillis, Runnable next) {
-        if (time.monotonicMillis() - arrivalMillis < HEARD_AGE_MILLIS) {
+    void afterCallerReads(long arrivalMillis, Runnable next) {
+        if (time.monotonicMillis() - arrivalMillis < MIN_DEFERRED_AGE_MILLIS) {
             next.run();
         } else {
             time.schedule(0, next);
@@ -101,25 +101,25 @@
     }
 
     /** A target answered: at this address is the one that was meant, or it is not. */
-    void answered(String targetId, boolean otherTargets) {
+    void recordResponse(String targetId, boolean otherTargets) {
         if (otherTargets) {
-            report.unreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
+            report.targetUnreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
         } else {
-            breakOffs.answered(targetId);
+            connectionAborts.answered(targetId);
         }
     }
 
     /** A target opened a connection and broke off the call on it. */
-    void brokenOff(String targetId) {
-        report.unreachable(targetId, breakOffs.brokeOff(targetId), "broke_off");
+    void recordAbort(String targetId) {
+        report.targetUnreachable(targetId, connectionAborts.brokeOff(targetId), "broke_off");
     }
 
     /**
      * The head of a target's answer came to a call that was sent then. Another target at its address says nothing of it, and
      * that it names no limit counts in a success alone.
      */
-    void answerBegan(Incarnation target, AnswerFacts facts, long sentMillis) {
-        if (!facts.misdirected() && (facts.limitPerSecond().isPresent() || facts.success())) {
+    void recordResponseHead(Incarnation target, AnswerFacts facts, long sentMillis) {
+        if (!facts.isMisdirected() && (facts.limitPerSecond().isPresent() || facts.isSuccess())) {
             statedLimits.answered(target, facts.limitPerSecond(), sentMillis);
         }
     }
--- a/src/main/java/org/dogwoodwinch/relay/RelayReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayReport.java
@@ -9,7 +9,7 @@
 interface RelayReport {
 
     /** A call was refused before it had a route; {@code status} is the answer. */
-    void refusedEarly(String requestId, int status, String reason);
+    void refusedBeforeRouting(String requestId, int status, String reason);
 
     /** A call that crashes targets was refused. */
     void quarantined(CallRelay call);
@@ -18,16 +18,16 @@
     void noTarget(CallRelay call);
 
     /** A target is left out for a while. */
-    void unreachable(String targetId, long pauseMillis, String reason);
+    void targetUnreachable(String targetId, long pauseMillis, String reason);
 
     /** An engine did not read a prompt that another would have run, and that follows. */
-    void promptNotRead(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft);
+    void prefillFailed(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft);
 
     /** One repeat was taken from a service's quota, or not granted. */
-    void repeat(String service, Repeat what);
+    void retryDecided(String service, RetryDecision what);
 
     /** What became of a repeat. */
-    enum Repeat {
+    enum RetryDecision {
         TAKEN,
         NOT_GRANTED
     }
@@ -36,7 +36,7 @@
     void sendFailed(CallRelay call, SendOutcome outcome, NextStep step, double budgetLeft);
 
     /** The time limit came before the answer's end. */
-    void limitReached(CallRelay call, boolean mayHaveRun);
+    void deadlineExceeded(CallRelay call, boolean mayHaveRun);
 
     /** A call or the reading of its prompt goes to a target. */
     void sent(
@@ -50,11 +50,11 @@
     void firstByte(CallRelay call);
 
     /** A target that was chosen left, or became another one, before a byte was written to it: another one is chosen. */
-    void leftBeforeSend(String requestId, Incarnation target);
+    void targetLeftBeforeSend(String requestId, Incarnation target);
 
     /** The answer is whole. */
     void succeeded(CallRelay call);
 
     /** The caller left before the answer's end. */
-    void callerGone(CallRelay call);
+    void callerDisconnected(CallRelay call);
 }
--- /dev/null
+++ b/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
@@ -0,0 +1,168 @@
+package org.dogwoodwinch.relay;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.HttpHeaders;
+import java.io.ByteArrayOutputStream;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.dogwoodwinch.bytes.Bytes;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
+import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.forwarding.Prompt;
+import org.dogwoodwinch.forwarding.ServiceEntry;
+
+/**
+ * Lets one engine read the prompt of a call that another will run. The call does not run here, so whatever goes wrong
+ * leaves it free to run elsewhere. Used on one event loop alone.
+ */
+final class RemotePrefill implements ResponseSink {
+
+    private static final int MAX_BODY_BYTES = 65_536;
+
+    private final RelayContext context;
+    private final ServiceEntry service;
+    private final Incarnation engine;
+    private final Prompt prompt;
+    private final ForwardingPlan.PrefillWork prefillWork;
+    private final Consumer<PrefillOutcome> onOutcome;
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private Optional<TargetConnection> connection = Optional.empty();
+    private Optional<InFlightSend> inFlight = Optional.empty();
+    private AnswerFacts responseHead;
+    private boolean ended;
+
+    /**
+     * Creates a reading that does nothing yet.
+     *
+     * @param parts what all relays share, not null
+     * @param service the engine's service, not null
+     * @param reader the engine, not null
+     * @param prompt the prompt, not null
+     * @param reading how it is read, not null
+     * @param onEnd gets the outcome; not told after {@link #cancel}
+     */
+    RemotePrefill(
+            RelayContext parts,
+            ServiceEntry service,
+            Incarnation reader,
+            Prompt prompt,
+            ForwardingPlan.PrefillWork reading,
+            Consumer<PrefillOutcome> onEnd) {
+        this.context = Objects.requireNonNull(parts, "parts");
+        this.service = Objects.requireNonNull(service, "service");
+        this.engine = Objects.requireNonNull(reader, "reader");
+        this.prompt = Objects.requireNonNull(prompt, "prompt");
+        this.prefillWork = Objects.requireNonNull(reading, "reading");
+        this.onOutcome = Objects.requireNonNull(onEnd, "onEnd");
+    }
+
+    Incarnation engine() {
+        return engine;
+    }
+
+    /**
+     * Sends the call.
+     *
+     * @param arrivalMillis when the call came, in milliseconds of the steady clock
+     * @param outbound the call as it is written to the reader, made when it is sent, not null
+     */
+    void start(long arrivalMillis, Supplier<OutboundCall> outbound) {
+        context.connections()
+                .acquire(engine, context.connectionsPerTarget(service), new TargetConnectionPool.AcquireCallback() {
+                    @Override
+                    public void acquired(TargetConnection taken) {
+                        context.afterCallerReads(arrivalMillis, () -> send(taken, outbound));
+                    }
+
+                    @Override
+                    public void notAcquired(String reason) {
+                        finish(new PrefillOutcome.NotSent(reason));
+                    }
+                });
+    }
+
+    private void send(TargetConnection taken, Supplier<OutboundCall> call) {
+        if (ended) {
+            context.connections().release(taken);
+            return;
+        }
+        OutboundCall outbound = call.get();
+        if (!context.chooser().isCurrent(engine)) {
+            context.connections().release(taken);
+            context.report().targetLeftBeforeSend(outbound.requestId(), engine);
+            finish(new PrefillOutcome.NotSent("target_left"));
+            return;
+        }
+        connection = Optional.of(taken);
+        InFlightSend opened = InFlightSend.start(context, engine, Optional.of(prompt), prefillWork);
+        inFlight = Optional.of(opened);
+        context.report().sent(outbound.requestId(), engine, prefillWork, opened.aheadTokens(), SendPurpose.READING);
+        taken.send(outbound, this);
+    }
+
+    /** The call has ended otherwise: the engine drops the work with its connection. */
+    void cancel() {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        connection.ifPresent(open -> {
+            open.abort();
+            releaseSend();
+        });
+    }
+
+    @Override
+    public void onHead(AnswerFacts facts, HttpHeaders _headers) {
+        responseHead = facts;
+        inFlight.ifPresent(opened -> opened.recordResponseHead(facts));
+    }
+
+    @Override
+    public void onBody(ByteBuf piece) {
+        if (body.size() + piece.readableBytes() <= MAX_BODY_BYTES) {
+            body.writeBytes(ByteBufUtil.getBytes(piece));
+        }
+    }
+
+    @Override
+    public void onEnd() {
+        context.recordResponse(engine.id(), responseHead.isMisdirected());
+        if (responseHead.status() == 200) {
+            inFlight.ifPresent(InFlightSend::recordPrefillDone);
+        }
+        releaseSend();
+        if (responseHead.status() != 200) {
+            finish(new PrefillOutcome.Failed("status_" + responseHead.status()));
+            return;
+        }
+        Optional<PromptMemory> memory = context.control().readMemory(engine, Bytes.of(body.toByteArray()));
+        finish(memory.<PrefillOutcome>map(PrefillOutcome.Completed::new)
+                .orElseGet(() -> new PrefillOutcome.NoCacheHandle("no_handle")));
+    }
+
+    @Override
+    public void onLost(String reason, boolean brokenOff) {
+        releaseSend();
+        if (brokenOff) {
+            context.recordAbort(engine.id());
+        }
+        finish(new PrefillOutcome.Failed(reason));
+    }
+
+    private void releaseSend() {
+        connection = Optional.empty();
+        inFlight.ifPresent(InFlightSend::end);
+        inFlight = Optional.empty();
+    }
+
+    private void finish(PrefillOutcome outcome) {
+        if (!ended) {
+            ended = true;
+            onOutcome.accept(outcome);
+        }
+    }
+}
--- a/src/main/java/org/dogwoodwinch/relay/CallerIntake.java
+++ b/src/main/java/org/dogwoodwinch/relay/RequestHandler.java
@@ -3,7 +3,7 @@
 import org.dogwoodwinch.forwarding.CallerLimits;
 
 /** What callers' connections ask of the process. */
-interface CallerIntake {
+interface RequestHandler {
 
     /**
      * Returns the limits of a new connection.
@@ -17,14 +17,14 @@
      *
      * @return whether the process stops
      */
-    boolean leaving();
+    boolean draining();
 
     /**
      * Returns the bound of all bodies held at once.
      *
      * @return the bound, the same for all connections
      */
-    HeldBytes heldBytes();
+    BodyMemory bodyMemory();
 
     /**
      * Takes a request.
@@ -32,9 +32,9 @@
      * @param call the request, read whole, not null
      * @param caller gets the answer, not null
      * @param onDone told once when the call has ended in any way, not null
-     * @return the call's life, for what its caller does meanwhile; {@link OpenCall#NONE} where it was answered at once
+     * @return the call's life, for what its caller does meanwhile; {@link ActiveCall#NONE} where it was answered at once
      */
-    OpenCall take(IncomingCall call, CallerSide caller, Runnable onDone);
+    ActiveCall handle(IncomingCall call, CallerResponse caller, Runnable onDone);
 
     /**
      * A request was refused while it was read.
@@ -42,5 +42,5 @@
      * @param status the answer's status
      * @param reason why, not null
      */
-    void refused(int status, String reason);
+    void recordRefusal(int status, String reason);
 }
--- a/src/main/java/org/dogwoodwinch/relay/RequestChecks.java
+++ b/src/main/java/org/dogwoodwinch/relay/RequestValidator.java
@@ -10,11 +10,11 @@
 import java.util.regex.Pattern;
 
 /** Refuses requests that could be read in two ways, beside what the decoder refuses itself. */
-final class RequestChecks {
+final class RequestValidator {
 
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
 
-    private RequestChecks() {}
+    private RequestValidator() {}
 
     /**
      * Checks a request's head.
@@ -22,17 +22,20 @@
      * @param request the head as decoded, not null
      * @return whether it has one meaning
      */
-    static boolean wellFormed(HttpRequest request) {
-        return versionKnown(request) && targetPlain(request) && oneHost(request) && framedOnce(request.headers());
+    static boolean isWellFormed(HttpRequest request) {
+        return isSupportedVersion(request)
+                && isOriginFormTarget(request)
+                && hasSingleHost(request)
+                && hasUnambiguousFraming(request.headers());
     }
 
-    private static boolean versionKnown(HttpRequest request) {
+    private static boolean isSupportedVersion(HttpRequest request) {
         HttpVersion version = request.protocolVersion();
         boolean known = version.equals(HttpVersion.HTTP_1_1) || version.equals(HttpVersion.HTTP_1_0);
         return known && !request.method().equals(HttpMethod.CONNECT);
     }
 
-    private static boolean targetPlain(HttpRequest request) {
+    private static boolean isOriginFormTarget(HttpRequest request) {
         String uri = request.uri();
         if (!uri.startsWith("/")) {
             return false;
@@ -40,11 +43,11 @@
         return uri.chars().allMatch(character -> character > ' ' && character < 0x7f);
     }
 
-    private static boolean oneHost(HttpRequest request) {
+    private static boolean hasSingleHost(HttpRequest request) {
         return request.headers().getAll(HttpHeaderNames.HOST).size() == 1;
     }
 
-    private static boolean framedOnce(HttpHeaders headers) {
+    private static boolean hasUnambiguousFraming(HttpHeaders headers) {
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (lengths.size() + encodings.size() > 1) {
--- a/src/main/java/org/dogwoodwinch/relay/AnswerSink.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Takes the answer of one send as it arrives. After {@link #ended} or {@link #lost} nothing more comes. */
-public interface AnswerSink {
+/** Takes the answer of one send as it arrives. After {@link #onEnd} or {@link #onLost} nothing more comes. */
+public interface ResponseSink {
 
     /**
      * The head arrived, and it answers this call.
@@ -12,17 +12,17 @@
      * @param facts what it states, not null
      * @param headers its headers, not null
      */
-    void head(AnswerFacts facts, HttpHeaders headers);
+    void onHead(AnswerFacts facts, HttpHeaders headers);
 
     /**
      * A piece of the body arrived.
      *
      * @param piece the bytes, not null; valid only during the call unless retained
      */
-    void body(ByteBuf piece);
+    void onBody(ByteBuf piece);
 
     /** The answer is whole: its length was met, its last chunk seen, or its connection closed in order. */
-    void ended();
+    void onEnd();
 
     /**
      * The answer will not come, or not its rest.
@@ -31,5 +31,5 @@
      * @param brokenOff whether the connection was opened for this call and ended before an answer began; on a kept one the
      *     target may have closed it for its rest, which says nothing of the target
      */
-    void lost(String reason, boolean brokenOff);
+    void onLost(String reason, boolean brokenOff);
 }
--- a/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
@@ -18,11 +18,11 @@
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
-    private static final int MAX_PIECE_BYTES = 65_536;
+    private static final int MAX_CHUNK_BYTES = 65_536;
 
     private boolean inHead = true;
-    private boolean afterLine;
-    private boolean folded;
+    private boolean atLineStart;
+    private boolean hasFoldedLine;
     private final StringBuilder firstLine = new StringBuilder();
     private boolean firstLineDone;
 
@@ -30,7 +30,7 @@
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(limits.maxHeaderBytes())
                 .setMaxHeaderSize(limits.maxHeaderBytes())
-                .setMaxChunkSize(MAX_PIECE_BYTES)
+                .setMaxChunkSize(MAX_CHUNK_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setStrictLineParsing(true)
                 .setUseRfc9112TransferEncoding(true));
@@ -46,24 +46,24 @@
         int known = out.size();
         super.decode(context, buffer, out);
         if (wasInHead) {
-            look(buffer, from, buffer.readerIndex());
+            scanHead(buffer, from, buffer.readerIndex());
         }
         for (Object decoded : out.subList(known, out.size())) {
-            note(decoded);
+            checkDecoded(decoded);
         }
     }
 
-    private void look(ByteBuf buffer, int from, int to) {
+    private void scanHead(ByteBuf buffer, int from, int to) {
         for (int i = from; i < to; i++) {
             byte next = buffer.getByte(i);
-            noteFirstLine(next);
-            folded |= afterLine && (next == ' ' || next == '\t');
-            afterLine = next == '\n';
+            recordFirstLine(next);
+            hasFoldedLine |= atLineStart && (next == ' ' || next == '\t');
+            atLineStart = next == '\n';
         }
     }
 
     /** Empty lines before a request are passed over, as other servers do. */
-    private void noteFirstLine(byte next) {
+    private void recordFirstLine(byte next) {
         if (firstLineDone) {
             return;
         }
@@ -75,20 +75,20 @@
     }
 
     /** The decoder takes several spaces and control characters where one space stands; others may not. */
-    private boolean readAsWritten(HttpRequest request) {
+    private boolean requestLineMatches(HttpRequest request) {
         String expected = request.method().name() + " " + request.uri() + " "
                 + request.protocolVersion().text();
         return expected.contentEquals(firstLine);
     }
 
-    private void note(Object decoded) {
+    private void checkDecoded(Object decoded) {
         if (decoded instanceof HttpRequest request) {
             inHead = false;
-            if (request.decoderResult().isSuccess() && (folded || !readAsWritten(request))) {
+            if (request.decoderResult().isSuccess() && (hasFoldedLine || !requestLineMatches(request))) {
                 request.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("ambiguous head")));
             }
-            folded = false;
-            afterLine = false;
+            hasFoldedLine = false;
+            atLineStart = false;
             firstLine.setLength(0);
             firstLineDone = false;
         }
@@ -98,7 +98,7 @@
     }
 
     /** Whether bytes wait that are no whole head yet. */
-    boolean holdsBytes() {
+    boolean hasBufferedBytes() {
         return actualReadableBytes() > 0;
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/Suspicions.java
+++ b/src/main/java/org/dogwoodwinch/relay/Suspicions.java
@@ -27,11 +27,11 @@
     private static final Logger log = LoggerFactory.getLogger(Suspicions.class);
 
     /** A target's entry lapses some seconds after its last word; a loss longer ago had another cause. */
-    private static final long EVIDENCE_MILLIS = 6_000;
+    private static final long CORRELATION_WINDOW_MILLIS = 6_000;
 
     private final Quarantine quarantine;
     private final TimeSource time;
-    private final CrashCorrelator evidence = new CrashCorrelator(EVIDENCE_MILLIS);
+    private final CrashCorrelator crashCorrelator = new CrashCorrelator(CORRELATION_WINDOW_MILLIS);
 
     Suspicions(Quarantine quarantine, TimeSource time) {
         this.quarantine = Objects.requireNonNull(quarantine, "quarantine");
@@ -47,34 +47,34 @@
         return hasher.hash().asLong();
     }
 
-    boolean quarantined(long fingerprint) {
+    boolean isQuarantined(long fingerprint) {
         return quarantine.statusOf(fingerprint) == Status.QUARANTINED;
     }
 
     /** The targets that a call should not go to: a suspect not to where another one runs. */
-    Set<String> avoided(long fingerprint) {
+    Set<String> targetsToAvoid(long fingerprint) {
         return quarantine.statusOf(fingerprint) == Status.CLEAR ? Set.of() : quarantine.trialTargets();
     }
 
-    void sending(long fingerprint, String attemptId, String targetId) {
+    void recordSend(long fingerprint, String attemptId, String targetId) {
         if (quarantine.statusOf(fingerprint) != Status.CLEAR) {
             quarantine.onTrialStarted(fingerprint, attemptId, targetId);
         }
     }
 
-    void ended(long fingerprint, String attemptId, boolean completed) {
+    void recordEnd(long fingerprint, String attemptId, boolean completed) {
         quarantine.onAttemptEnded(fingerprint, attemptId, completed);
     }
 
     /** An answer was lost with its connection: that alone proves nothing of the target. */
-    void lost(long fingerprint, String attemptId, String targetId) {
+    void recordLostCall(long fingerprint, String attemptId, String targetId) {
         long nowMillis = time.monotonicMillis();
-        evidence.expire(nowMillis);
-        evidence.recordLostCall(targetId, new LostCall(fingerprint, attemptId, nowMillis));
+        crashCorrelator.expire(nowMillis);
+        crashCorrelator.recordLostCall(targetId, new LostCall(fingerprint, attemptId, nowMillis));
     }
 
-    void foundGone(String targetId) {
-        for (LostCall call : evidence.takeCrashedCalls(targetId, time.monotonicMillis())) {
+    void handleTargetLost(String targetId) {
+        for (LostCall call : crashCorrelator.takeCrashedCalls(targetId, time.monotonicMillis())) {
             quarantine.onCrash(call.fingerprint(), call.attemptId(), targetId);
             LogEvent.of("crash_suspect")
                     .with("request", call.attemptId())
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
@@ -35,11 +35,11 @@
     private static final Logger log = LoggerFactory.getLogger(TargetConnection.class);
 
     /** Strangers' answers on one call after which the connection is given up: a target gives one second answer a call. */
-    private static final int MAX_PASSED_OVER = 3;
+    private static final int MAX_SKIPPED_RESPONSES = 3;
 
     private static final String TIMED_OUT = "timed out";
-    private static final int LEAST_STATUS = 100;
-    private static final int MOST_STATUS = 599;
+    private static final int MIN_STATUS = 100;
+    private static final int MAX_STATUS = 599;
 
     private enum State {
         IDLE,
@@ -52,17 +52,17 @@
 
     private final Incarnation target;
     private final CallHeaders callHeaders;
-    private final AnswerDecoder decoder;
+    private final TargetResponseDecoder decoder;
     private final Consumer<TargetConnection> onIdle;
     private final Consumer<TargetConnection> onClosed;
     private Channel channel;
     private State state = State.IDLE;
-    private AnswerSink sink;
+    private ResponseSink sink;
     private String requestId = "";
-    private ChannelFuture written;
+    private ChannelFuture writeFuture;
     private boolean keepAlive;
-    private boolean broken;
-    private int passedOver;
+    private boolean failed;
+    private int skippedCount;
     private long idleLimitMillis = Long.MAX_VALUE;
     private long idleSinceMillis;
     private int callsCount;
@@ -70,7 +70,7 @@
     TargetConnection(
             Incarnation target,
             CallHeaders callHeaders,
-            AnswerDecoder decoder,
+            TargetResponseDecoder decoder,
             Consumer<TargetConnection> onIdle,
             Consumer<TargetConnection> onClosed) {
         this.target = Objects.requireNonNull(target, "target");
@@ -84,16 +84,16 @@
         return target;
     }
 
-    boolean open() {
+    boolean isOpen() {
         return state != State.CLOSED && channel != null && channel.isActive();
     }
 
-    void idleSince(long nowMillis) {
+    void markIdle(long nowMillis) {
         idleSinceMillis = nowMillis;
     }
 
     /** Whether the target may have closed it by now, or is about to while a call is under way to it. */
-    boolean stale(long nowMillis, long marginMillis) {
+    boolean isStale(long nowMillis, long marginMillis) {
         return nowMillis - idleSinceMillis > idleLimitMillis - marginMillis;
     }
 
@@ -103,16 +103,16 @@
      * @param call the call, not null
      * @param answerSink takes its answer, not null
      */
-    void send(OutboundCall call, AnswerSink answerSink) {
+    void send(OutboundCall call, ResponseSink answerSink) {
         if (state != State.IDLE) {
             throw new IllegalStateException("a call is under way: " + state);
         }
         sink = Objects.requireNonNull(answerSink, "answerSink");
         requestId = call.requestId();
-        passedOver = 0;
+        skippedCount = 0;
         state = State.WAITING;
         callsCount++;
-        decoder.expect(call.method().equals(HttpMethod.HEAD));
+        decoder.expectWithoutBody(call.method().equals(HttpMethod.HEAD));
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 call.method(),
@@ -123,7 +123,7 @@
         if (call.body().length() > 0 || call.lengthStated()) {
             HttpUtil.setContentLength(request, call.body().length());
         }
-        written = channel.writeAndFlush(request);
+        writeFuture = channel.writeAndFlush(request);
     }
 
     /** Gives the call up: the target sees its connection close and drops the work. */
@@ -138,7 +138,7 @@
         }
     }
 
-    void reading(boolean wanted) {
+    void setReading(boolean wanted) {
         channel.config().setAutoRead(wanted);
     }
 
@@ -150,28 +150,28 @@
     @Override
     protected void channelRead0(ChannelHandlerContext _context, HttpObject message) {
         if (message.decoderResult().isFailure()) {
-            lose("garbled");
+            failCall("garbled");
             return;
         }
         if (message instanceof HttpResponse response) {
-            head(response);
+            handleHead(response);
         }
         if (message instanceof HttpContent content) {
-            content(content);
+            handleContent(content);
         }
     }
 
-    private void head(HttpResponse response) {
+    private void handleHead(HttpResponse response) {
         if (state != State.WAITING) {
             LogEvent.of("stray_answer")
                     .with("target", target.id())
                     .with("state", state)
                     .info(log);
-            lose("stray_bytes");
+            failCall("stray_bytes");
             return;
         }
-        if (response.status().code() < LEAST_STATUS || response.status().code() > MOST_STATUS) {
-            lose("garbled");
+        if (response.status().code() < MIN_STATUS || response.status().code() > MAX_STATUS) {
+            failCall("garbled");
             return;
         }
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
@@ -182,42 +182,42 @@
                 && (HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response));
         idleLimitMillis = facts.idleMillis().orElse(Long.MAX_VALUE);
         if (facts.requestId().isPresent() && !facts.requestId().get().equals(requestId)) {
-            passOver(facts);
+            skipResponse(facts);
             return;
         }
         state = State.RECEIVING;
-        sink.head(facts, response.headers());
+        sink.onHead(facts, response.headers());
     }
 
-    private void passOver(AnswerFacts facts) {
-        passedOver++;
+    private void skipResponse(AnswerFacts facts) {
+        skippedCount++;
         LogEvent.of("stranger_answer_passed_over")
                 .with("target", target.id())
                 .with("request", requestId)
                 .with("answers", facts.requestId().orElse(""))
                 .info(log);
-        if (passedOver > MAX_PASSED_OVER || !keepAlive) {
-            lose("answers_of_others");
+        if (skippedCount > MAX_SKIPPED_RESPONSES || !keepAlive) {
+            failCall("answers_of_others");
             return;
         }
         state = State.PASSING_OVER;
     }
 
-    private void content(HttpContent content) {
+    private void handleContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
         if (state == State.PASSING_OVER) {
             state = last ? State.WAITING : state;
             return;
         }
-        if (state != State.RECEIVING || broken) {
+        if (state != State.RECEIVING || failed) {
             return;
         }
         if (content.content().isReadable()) {
-            sink.body(content.content());
+            sink.onBody(content.content());
         }
         // The sink may have given the call up while it took the piece.
         if (last && state == State.RECEIVING && sink != null) {
-            end();
+            completeCall();
         }
     }
 
@@ -225,15 +225,15 @@
      * A target may answer before it has read a long body. What it reads later must be the rest of that body, so the
      * connection is only kept where all of it was written.
      */
-    private void end() {
-        AnswerSink done = sink;
+    private void completeCall() {
+        ResponseSink done = sink;
         sink = null;
         state = State.SETTLING;
-        boolean reusable = keepAlive && written.isDone() && written.isSuccess();
+        boolean reusable = keepAlive && writeFuture.isDone() && writeFuture.isSuccess();
         if (!reusable) {
             close();
         }
-        done.ended();
+        done.onEnd();
     }
 
     /** Only after all bytes that had arrived were looked at: some may follow the answer and belong to nobody. */
@@ -247,26 +247,26 @@
         context.fireChannelReadComplete();
     }
 
-    private void lose(String reason) {
-        lose(reason, false);
+    private void failCall(String reason) {
+        failCall(reason, false);
     }
 
-    private void lose(String reason, boolean brokenOff) {
-        AnswerSink waiting = sink;
+    private void failCall(String reason, boolean brokenOff) {
+        ResponseSink waiting = sink;
         sink = null;
-        broken = true;
+        failed = true;
         close();
         if (waiting != null) {
-            waiting.lost(reason, brokenOff);
+            waiting.onLost(reason, brokenOff);
         }
     }
 
     /** Silence may be the fault of the link here; transports name it by their message alone. */
-    private static boolean timedOut(Throwable cause) {
+    private static boolean isTimeout(Throwable cause) {
         return cause.getMessage() != null && cause.getMessage().contains(TIMED_OUT);
     }
 
-    private boolean newAndUnanswered() {
+    private boolean isFirstCallUnanswered() {
         return state == State.WAITING && callsCount == 1;
     }
 
@@ -281,14 +281,14 @@
                     .with("error", cause)
                     .info(log);
         }
-        lose("connection_failed", newAndUnanswered() && !timedOut(cause));
+        failCall("connection_failed", isFirstCallUnanswered() && !isTimeout(cause));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        boolean brokenOff = newAndUnanswered();
+        boolean brokenOff = isFirstCallUnanswered();
         state = State.CLOSED;
-        lose("connection_closed", brokenOff);
+        failCall("connection_closed", brokenOff);
         onClosed.accept(this);
         context.fireChannelInactive();
     }
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnections.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
@@ -20,36 +20,36 @@
  *
  * <p>Kept by incarnation, never by address: an address may be another target's after the first one's end.
  */
-final class TargetConnections {
+final class TargetConnectionPool {
 
     /** Takes a connection, or learns that none could be had and that no byte was written. */
-    interface Taker {
+    interface AcquireCallback {
 
         /**
          * A connection is there, for this call alone.
          *
          * @param connection the connection, not null
          */
-        void took(TargetConnection connection);
+        void acquired(TargetConnection connection);
 
         /**
          * There is none.
          *
          * @param reason why, for logs and counters, not null
          */
-        void failed(String reason);
+        void notAcquired(String reason);
     }
 
     private final TargetConnector connector;
     private final CallHeaders callHeaders;
     private final TimeSource time;
     private final ConnectionPolicy policy;
-    private final Predicate<String> mayArrive;
+    private final Predicate<String> rateLimit;
     private final Runnable onOpened;
     private final Consumer<String> onUnreachable;
-    private final Map<String, Lane> lanes = new HashMap<>();
+    private final Map<String, TargetPool> pools = new HashMap<>();
 
-    TargetConnections(
+    TargetConnectionPool(
             TargetConnector connector,
             CallHeaders callHeaders,
             TimeSource time,
@@ -61,7 +61,7 @@
         this.callHeaders = Objects.requireNonNull(callHeaders, "callHeaders");
         this.time = Objects.requireNonNull(time, "time");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.mayArrive = Objects.requireNonNull(mayArrive, "mayArrive");
+        this.rateLimit = Objects.requireNonNull(mayArrive, "mayArrive");
         this.onOpened = Objects.requireNonNull(onOpened, "onOpened");
         this.onUnreachable = Objects.requireNonNull(onUnreachable, "onUnreachable");
     }
@@ -70,31 +70,31 @@
      * Hands out a kept connection, or opens one. Whatever is sent to a target passes here, and is asked for here once.
      *
      * @param target whose connection, not null
-     * @param mostCount the most connections to it from here
-     * @param taker gets the outcome, at once or later, on the event loop, not null
+     * @param maxConnections the most connections to it from here
+     * @param callback gets the outcome, at once or later, on the event loop, not null
      */
-    void take(Incarnation target, int mostCount, Taker taker) {
-        Lane lane = lanes.computeIfAbsent(target.id(), _id -> new Lane());
-        Optional<TargetConnection> kept = kept(lane);
-        if (kept.isEmpty() && lane.openCount >= mostCount) {
-            taker.failed("connections_in_use");
-        } else if (!mayArrive.test(target.id())) {
-            kept.ifPresent(lane.idle::addFirst);
-            dropIfEmpty(target.id(), lane);
-            taker.failed("limit_used_up");
+    void acquire(Incarnation target, int maxConnections, AcquireCallback callback) {
+        TargetPool pool = pools.computeIfAbsent(target.id(), _id -> new TargetPool());
+        Optional<TargetConnection> kept = pollUsable(pool);
+        if (kept.isEmpty() && pool.openCount >= maxConnections) {
+            callback.notAcquired("connections_in_use");
+        } else if (!rateLimit.test(target.id())) {
+            kept.ifPresent(pool.idle::addFirst);
+            removeIfEmpty(target.id(), pool);
+            callback.notAcquired("limit_used_up");
         } else if (kept.isPresent()) {
-            taker.took(kept.get());
+            callback.acquired(kept.get());
         } else {
-            open(target, lane, taker);
+            open(target, pool, callback);
         }
     }
 
-    private Optional<TargetConnection> kept(Lane lane) {
+    private Optional<TargetConnection> pollUsable(TargetPool pool) {
         long nowMillis = time.monotonicMillis();
-        TargetConnection kept = lane.idle.pollFirst();
-        while (kept != null && (!kept.open() || kept.stale(nowMillis, policy.idleMarginMillis()))) {
+        TargetConnection kept = pool.idle.pollFirst();
+        while (kept != null && (!kept.isOpen() || kept.isStale(nowMillis, policy.idleMarginMillis()))) {
             kept.close();
-            kept = lane.idle.pollFirst();
+            kept = pool.idle.pollFirst();
         }
         return Optional.ofNullable(kept);
     }
@@ -104,8 +104,8 @@
      *
      * @param connection the connection, not null
      */
-    void giveBack(TargetConnection connection) {
-        keep(connection);
+    void release(TargetConnection connection) {
+        returnToPool(connection);
     }
 
     /**
@@ -113,82 +113,82 @@
      *
      * @param id the target's id, not null
      */
-    void forget(String id) {
-        Lane lane = lanes.get(id);
-        if (lane == null) {
+    void removeTarget(String id) {
+        TargetPool pool = pools.get(id);
+        if (pool == null) {
             return;
         }
-        lane.forgotten = true;
-        List<TargetConnection> kept = List.copyOf(lane.idle);
-        lane.idle.clear();
+        pool.removed = true;
+        List<TargetConnection> kept = List.copyOf(pool.idle);
+        pool.idle.clear();
         kept.forEach(TargetConnection::close);
-        dropIfEmpty(id, lane);
+        removeIfEmpty(id, pool);
     }
 
     /** Closes all kept connections; calls under way go on. */
-    void dropKept() {
-        for (Lane lane : List.copyOf(lanes.values())) {
-            List<TargetConnection> kept = List.copyOf(lane.idle);
-            lane.idle.clear();
+    void closeIdle() {
+        for (TargetPool pool : List.copyOf(pools.values())) {
+            List<TargetConnection> kept = List.copyOf(pool.idle);
+            pool.idle.clear();
             kept.forEach(TargetConnection::close);
         }
     }
 
-    private void open(Incarnation target, Lane lane, Taker taker) {
-        lane.openCount++;
-        lane.forgotten = false;
-        AnswerDecoder decoder = new AnswerDecoder();
-        TargetConnection connection =
-                new TargetConnection(target, callHeaders, decoder, this::keep, closed -> closed(closed.target(), lane));
+    private void open(Incarnation target, TargetPool pool, AcquireCallback callback) {
+        pool.openCount++;
+        pool.removed = false;
+        TargetResponseDecoder decoder = new TargetResponseDecoder();
+        TargetConnection connection = new TargetConnection(
+                target, callHeaders, decoder, this::returnToPool, closed -> closed(closed.target(), pool));
         connector.connect(target, new Pipeline(decoder, connection), new TargetConnector.Outcome() {
             @Override
             public void connected() {
                 onOpened.run();
-                taker.took(connection);
+                callback.acquired(connection);
             }
 
             @Override
             public void failed() {
-                closed(target, lane);
+                closed(target, pool);
                 onUnreachable.accept(target.id());
-                taker.failed("connect_failed");
+                callback.notAcquired("connect_failed");
             }
         });
     }
 
-    private void keep(TargetConnection connection) {
-        Lane lane = lanes.get(connection.target().id());
-        if (lane == null || lane.forgotten || !connection.open()) {
+    private void returnToPool(TargetConnection connection) {
+        TargetPool pool = pools.get(connection.target().id());
+        if (pool == null || pool.removed || !connection.isOpen()) {
             connection.close();
             return;
         }
-        connection.idleSince(time.monotonicMillis());
-        lane.idle.addFirst(connection);
+        connection.markIdle(time.monotonicMillis());
+        pool.idle.addFirst(connection);
     }
 
-    private void closed(Incarnation target, Lane lane) {
-        lane.openCount--;
-        lane.idle.removeIf(connection -> !connection.open());
-        dropIfEmpty(target.id(), lane);
+    private void closed(Incarnation target, TargetPool pool) {
+        pool.openCount--;
+        pool.idle.removeIf(connection -> !connection.isOpen());
+        removeIfEmpty(target.id(), pool);
     }
 
-    private void dropIfEmpty(String id, Lane lane) {
-        if (lane.openCount <= 0) {
-            lanes.remove(id, lane);
+    private void removeIfEmpty(String id, TargetPool pool) {
+        if (pool.openCount <= 0) {
+            pools.remove(id, pool);
         }
     }
 
-    private static final class Lane {
+    private static final class TargetPool {
         private final Deque<TargetConnection> idle = new ArrayDeque<>();
         private int openCount;
-        private boolean forgotten;
+        private boolean removed;
     }
 
     private static final class Pipeline extends ChannelInitializer<Channel> {
-        private final AnswerDecoder decoder;
+        private final TargetResponseDecoder decoder;
         private final TargetConnection connection;
 
-        Pipeline(AnswerDecoder decoder, TargetConnection connection) {
+        Pipeline(TargetResponseDecoder decoder, TargetConnection connection) {
             this.decoder = decoder;
             this.connection = connection;
         }
--- a/src/test/java/org/dogwoodwinch/relay/EventFramerTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/EventFramerTest.java
@@ -20,7 +20,7 @@
             "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nweight: 3\nid:3\ndata: c\n\n";
 
     private static String take(EventFramer framer, String text) {
-        byte[] whole = framer.take(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+        byte[] whole = framer.append(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         return new String(whole, StandardCharsets.UTF_8);
     }
 
@@ -40,7 +40,7 @@
         out.append(take(framer, STREAM.substring(from)));
         assertEquals(STREAM, out.toString());
         assertEquals(Optional.of("3"), framer.lastEventId());
-        assertFalse(framer.partial());
+        assertFalse(framer.hasPartialEvent());
     }
 
     @Test
@@ -49,9 +49,9 @@
 
         assertEquals("", take(framer, "id: 8\ndata: x\n"));
         assertEquals(Optional.of("7"), framer.lastEventId());
-        assertTrue(framer.partial());
+        assertTrue(framer.hasPartialEvent());
 
-        framer.dropPartial();
+        framer.discardPartial();
         assertEquals("id: 8\n\n", take(framer, "id: 8\n\n"));
         assertEquals(Optional.of("8"), framer.lastEventId());
     }
--- a/src/test/java/org/dogwoodwinch/relay/PromptReadingTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/RemotePrefillTest.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.junit.jupiter.api.Test;
 
-class PromptReadingTest {
+class RemotePrefillTest {
 
     /** One engine reads the prompt, another runs the call with that memory; the caller sees one stream. */
     @Test
