--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -64,7 +64,7 @@
     /**
      * Creates a relay that does nothing yet.
      *
-     * @param parts what all relays share, not null
+     * @param context what all relays share, not null
      * @param call the request, not null
      * @param facts what its headers state, with a request id, not null
      * @param route its route, not null
@@ -73,14 +73,14 @@
      * @param onDone told once when the call has ended in any way, not null
      */
     CallRelay(
-            RelayContext parts,
+            RelayContext context,
             IncomingCall call,
             CallFacts facts,
             ServiceRoute route,
             ServiceEntry service,
             CallerResponse caller,
             Runnable onDone) {
-        this.context = Objects.requireNonNull(parts, "parts");
+        this.context = Objects.requireNonNull(context, "context");
         this.call = Objects.requireNonNull(call, "call");
         this.facts = Objects.requireNonNull(facts, "facts");
         this.route = Objects.requireNonNull(route, "route");
@@ -200,12 +200,12 @@
 
     /** A suspect is kept away from other suspects; where it has no other place, it runs beside them. */
     private Optional<ForwardingPlan> choose() {
-        Set<String> suspectsTargets = context.suspicions().targetsToAvoid(fingerprint);
-        if (suspectsTargets.isEmpty()) {
+        Set<String> suspectTargets = context.suspicions().targetsToAvoid(fingerprint);
+        if (suspectTargets.isEmpty()) {
             return context.chooser().choose(query());
         }
         Set<String> avoided = new HashSet<>(triedIds);
-        avoided.addAll(suspectsTargets);
+        avoided.addAll(suspectTargets);
         return context.chooser()
                 .choose(query(avoided))
                 .or(() -> context.chooser().choose(query()));
@@ -227,46 +227,46 @@
 
     private void handleNoTarget() {
         context.report().noTarget(this);
-        long roomMillis = context.chooser().millisUntilCapacity(query());
-        execute(new SendOutcome.NotSent("no_target"), context.retryPolicy().giveUp(progress(), roomMillis));
+        long capacityMillis = context.chooser().millisUntilCapacity(query());
+        execute(new SendOutcome.NotSent("no_target"), context.retryPolicy().giveUp(progress(), capacityMillis));
     }
 
     /** Reading apart again would be one more arrival; the second time the target reads the prompt itself. */
-    private void startRemotePrefill(Incarnation reader) {
+    private void startRemotePrefill(Incarnation prefillTarget) {
         remotePrefillUsed = true;
         RemotePrefill started = new RemotePrefill(
-                context, service, reader, facts.prompt().orElseThrow(), plan.prefillWork(), this::handlePrefillOutcome);
+                context, service, prefillTarget, facts.prompt().orElseThrow(), plan.prefillWork(), this::handlePrefillOutcome);
         remotePrefill = Optional.of(started);
-        started.start(call.arrivalMillis(), () -> outbound(reader, true));
+        started.start(call.arrivalMillis(), () -> outbound(prefillTarget, true));
     }
 
     /** Where nothing came of it, the call has not run: a target that reads the prompt itself gets it. */
     private void handlePrefillOutcome(PrefillOutcome outcome) {
-        Incarnation reader = remotePrefill.orElseThrow().engine();
+        Incarnation prefillTarget = remotePrefill.orElseThrow().engine();
         remotePrefill = Optional.empty();
         if (outcome instanceof PrefillOutcome.Completed read) {
             cacheHandle = Optional.of(read.cacheHandle());
-            cacheHolder = reader;
-            sendAfterPrefill(reader);
+            cacheHolder = prefillTarget;
+            sendAfterPrefill(prefillTarget);
         } else if (outcome instanceof PrefillOutcome.NotSent notSent) {
             // The reader never saw it: another one may read it as if it were the first.
             failedConnectsCount++;
-            triedIds.add(reader.id());
+            triedIds.add(prefillTarget.id());
             remotePrefillUsed = failedConnectsCount > MAX_UNSENT_PREFILLS;
             context.report()
-                    .prefillFailed(this, reader, notSent.reason(), new NextStep.SendAgain(), remainingRetries());
+                    .prefillFailed(this, prefillTarget, notSent.reason(), new NextStep.SendAgain(), remainingRetries());
             chooseAndSend();
-        } else if (outcome instanceof PrefillOutcome.NoCacheHandle noMemory) {
+        } else if (outcome instanceof PrefillOutcome.NoCacheHandle noHandle) {
             context.report()
-                    .prefillFailed(this, reader, noMemory.reason(), new NextStep.SendAgain(), remainingRetries());
+                    .prefillFailed(this, prefillTarget, noHandle.reason(), new NextStep.SendAgain(), remainingRetries());
             chooseAndSend();
         } else {
-            handlePrefillFailure(reader, ((PrefillOutcome.Failed) outcome).reason());
+            handlePrefillFailure(prefillTarget, ((PrefillOutcome.Failed) outcome).reason());
         }
     }
 
-    private void sendAfterPrefill(Incarnation reader) {
-        Optional<Incarnation> runner = context.chooser().chooseDecodeTarget(query(), reader);
+    private void sendAfterPrefill(Incarnation prefillTarget) {
+        Optional<Incarnation> runner = context.chooser().chooseDecodeTarget(query(), prefillTarget);
         if (runner.isEmpty()) {
             handleNoTarget();
             return;
@@ -282,12 +282,12 @@
      * <p>Failure: readers break off, each of their calls goes on to be run, and no quota holds that back. The service gets
      * twice its calls just when a part of it is broken.
      */
-    private void handlePrefillFailure(Incarnation reader, String reason) {
+    private void handlePrefillFailure(Incarnation prefillTarget, String reason) {
         rejectionsCount++;
-        triedIds.add(reader.id());
+        triedIds.add(prefillTarget.id());
         SendOutcome outcome = new SendOutcome.NotPrefilled(reason);
         NextStep step = context.retryPolicy().nextStep(outcome, progress(), this::tryTakeRetry);
-        context.report().prefillFailed(this, reader, reason, step, remainingRetries());
+        context.report().prefillFailed(this, prefillTarget, reason, step, remainingRetries());
         execute(outcome, step);
     }
 
@@ -311,34 +311,34 @@
                         });
     }
 
-    private void send(TargetConnection taken) {
+    private void send(TargetConnection acquired) {
         if (state == State.DONE) {
-            context.connections().release(taken);
+            context.connections().release(acquired);
             return;
         }
         if (remainingMillis() <= 0) {
-            context.connections().release(taken);
+            context.connections().release(acquired);
             handleDeadline();
             return;
         }
         if (!context.chooser().isCurrent(plan.target())) {
-            context.connections().release(taken);
+            context.connections().release(acquired);
             context.report().targetLeftBeforeSend(requestId(), plan.target());
             chooseAgain();
             return;
         }
-        connection = taken;
+        connection = acquired;
         triedIds.add(plan.target().id());
         response = null;
-        Optional<Prompt> unread = cacheHandle.isPresent() ? Optional.empty() : facts.prompt();
-        InFlightSend opened = InFlightSend.start(context, plan.target(), unread, plan.prefillWork());
-        inFlight = Optional.of(opened);
-        context.report().sent(requestId(), plan.target(), plan.prefillWork(), opened.aheadTokens(), sendPurpose());
+        Optional<Prompt> promptToPrefill = cacheHandle.isPresent() ? Optional.empty() : facts.prompt();
+        InFlightSend started = InFlightSend.start(context, plan.target(), promptToPrefill, plan.prefillWork());
+        inFlight = Optional.of(started);
+        context.report().sent(requestId(), plan.target(), plan.prefillWork(), started.aheadTokens(), sendPurpose());
         context.suspicions().recordSend(fingerprint, requestId(), plan.target().id());
         OutboundCall outbound = outbound(plan.target(), false);
         // A handle can be taken once.
         cacheHandle = Optional.empty();
-        taken.send(outbound, this);
+        acquired.send(outbound, this);
     }
 
     /** Nothing was sent: no quota is asked. */
@@ -370,7 +370,7 @@
     @Override
     public void onHead(AnswerFacts answerFacts, HttpHeaders headers) {
         response = new TargetResponse(answerFacts, headers);
-        inFlight.ifPresent(opened -> opened.recordResponseHead(answerFacts));
+        inFlight.ifPresent(started -> started.recordResponseHead(answerFacts));
     }
 
     @Override
@@ -461,9 +461,9 @@
     }
 
     @Override
-    public void onLost(String reason, boolean brokenOff) {
+    public void onLost(String reason, boolean connectionAborted) {
         releaseSend();
-        if (brokenOff) {
+        if (connectionAborted) {
             context.recordAbort(plan.target().id());
         }
         if (state != State.DONE) {
@@ -537,11 +537,11 @@
         if (state == State.DONE) {
             return;
         }
-        boolean unknown = runsCount > 0 || inFlight.isPresent();
-        context.report().deadlineExceeded(this, unknown);
+        boolean mayHaveRun = runsCount > 0 || inFlight.isPresent();
+        context.report().deadlineExceeded(this, mayHaveRun);
         if (state == State.STREAMING) {
             caller.abortResponse();
-        } else if (unknown) {
+        } else if (mayHaveRun) {
             LocalResponses.sendError(caller, LocalResponses.GATEWAY_TIMEOUT, "may have run");
         } else {
             LocalResponses.sendRetryable(
@@ -575,7 +575,7 @@
         abandonSend();
         remotePrefill.ifPresent(RemotePrefill::cancel);
         // Memory that nobody takes would be held until it lapses.
-        cacheHandle.ifPresent(untaken -> context.control().release(cacheHolder, untaken));
+        cacheHandle.ifPresent(unused -> context.control().release(cacheHolder, unused));
         onDone.run();
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
@@ -77,8 +77,8 @@
     private ActiveCall activeCall = ActiveCall.NONE;
     private boolean closing;
 
-    CallerConnection(RequestHandler intake, TimeSource time, CallerLimits limits) {
-        this.handler = Objects.requireNonNull(intake, "intake");
+    CallerConnection(RequestHandler handler, TimeSource time, CallerLimits limits) {
+        this.handler = Objects.requireNonNull(handler, "handler");
         this.time = Objects.requireNonNull(time, "time");
         this.limits = Objects.requireNonNull(limits, "limits");
     }
@@ -355,10 +355,10 @@
     public void channelInactive(ChannelHandlerContext _context) {
         timeoutCheck.cancel();
         queue.clear();
-        ActiveCall gone = activeCall;
+        ActiveCall closedCall = activeCall;
         activeCall = ActiveCall.NONE;
         closing = true;
-        gone.onCallerClosed();
+        closedCall.onCallerClosed();
         // What the call held was given back as it ended; the rest were requests that waited or were being read.
         release(reservedBytes);
     }
--- a/src/main/java/org/dogwoodwinch/relay/CallerListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerListener.java
@@ -23,14 +23,14 @@
     private static final int BACKLOG = 1_024;
 
     private final Transport transport;
-    private final RequestHandler intake;
+    private final RequestHandler handler;
     private final TimeSource time;
     private final Map<ChannelId, CallerConnection> connections = new HashMap<>();
     private Channel listener;
 
-    CallerListener(Transport transport, RequestHandler intake, TimeSource time) {
+    CallerListener(Transport transport, RequestHandler handler, TimeSource time) {
         this.transport = Objects.requireNonNull(transport, "transport");
-        this.intake = Objects.requireNonNull(intake, "intake");
+        this.handler = Objects.requireNonNull(handler, "handler");
         this.time = Objects.requireNonNull(time, "time");
     }
 
@@ -83,7 +83,7 @@
     }
 
     private void accept(Channel channel) {
-        CallerConnection connection = CallerPipeline.install(channel, intake, time);
+        CallerConnection connection = CallerPipeline.install(channel, handler, time);
         connections.put(channel.id(), connection);
         channel.closeFuture().addListener(_closed -> connections.remove(channel.id()));
     }
--- a/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
@@ -16,13 +16,13 @@
      * Adds the handlers.
      *
      * @param channel the connection, not null
-     * @param intake takes its requests, not null
+     * @param handler takes its requests, not null
      * @param time the clock and timers, not null
      * @return the last handler
      */
-    static CallerConnection install(Channel channel, RequestHandler intake, TimeSource time) {
-        CallerLimits limits = intake.limits();
-        CallerConnection connection = new CallerConnection(intake, time, limits);
+    static CallerConnection install(Channel channel, RequestHandler handler, TimeSource time) {
+        CallerLimits limits = handler.limits();
+        CallerConnection connection = new CallerConnection(handler, time, limits);
         channel.pipeline()
                 .addLast(new ArrivalRecorder(connection))
                 .addLast(new HttpResponseEncoder(), new StrictRequestDecoder(limits), connection);
--- a/src/main/java/org/dogwoodwinch/relay/EventFramer.java
+++ b/src/main/java/org/dogwoodwinch/relay/EventFramer.java
@@ -44,37 +44,37 @@
      * @return whole events, empty where none ended
      */
     byte[] append(ByteBuf piece) {
-        byte[] all = Arrays.copyOf(pending, pending.length + piece.readableBytes());
-        piece.getBytes(piece.readerIndex(), all, pending.length, piece.readableBytes());
+        byte[] buffered = Arrays.copyOf(pending, pending.length + piece.readableBytes());
+        piece.getBytes(piece.readerIndex(), buffered, pending.length, piece.readableBytes());
         int end = 0;
         int lineStart = 0;
         Optional<String> idOfEvent = Optional.empty();
-        for (int i = 0; i < all.length; i++) {
-            if (all[i] != '\n') {
+        for (int i = 0; i < buffered.length; i++) {
+            if (buffered[i] != '\n') {
                 continue;
             }
-            int lineEnd = i > lineStart && all[i - 1] == '\r' ? i - 1 : i;
+            int lineEnd = i > lineStart && buffered[i - 1] == '\r' ? i - 1 : i;
             if (lineEnd == lineStart) {
                 end = i + 1;
                 lastEventId = idOfEvent.isPresent() ? idOfEvent : lastEventId;
                 idOfEvent = Optional.empty();
             } else {
-                Optional<String> id = parseId(all, lineStart, lineEnd);
+                Optional<String> id = parseId(buffered, lineStart, lineEnd);
                 idOfEvent = id.isPresent() ? id : idOfEvent;
             }
             lineStart = i + 1;
         }
-        byte[] whole = Arrays.copyOf(all, end);
-        pending = Arrays.copyOfRange(all, end, all.length);
+        byte[] whole = Arrays.copyOf(buffered, end);
+        pending = Arrays.copyOfRange(buffered, end, buffered.length);
         return whole;
     }
 
-    private static Optional<String> parseId(byte[] all, int start, int end) {
+    private static Optional<String> parseId(byte[] buffered, int start, int end) {
         if (end - start < ID_FIELD.length
-                || !Arrays.equals(all, start, start + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
+                || !Arrays.equals(buffered, start, start + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
             return Optional.empty();
         }
         int valueStart = start + ID_FIELD.length;
-        return Optional.of(new String(all, valueStart, end - valueStart, StandardCharsets.UTF_8).strip());
+        return Optional.of(new String(buffered, valueStart, end - valueStart, StandardCharsets.UTF_8).strip());
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -190,14 +190,14 @@
     /**
      * Puts a configuration in force unless it is older than the one in force.
      *
-     * @param fresh the configuration, not null
+     * @param newTable the configuration, not null
      * @return whether it was put in force
      */
-    public boolean configure(RouteTable fresh) {
-        if (routeTable.isPresent() && routeTable.get().version() >= fresh.version()) {
+    public boolean configure(RouteTable newTable) {
+        if (routeTable.isPresent() && routeTable.get().version() >= newTable.version()) {
             return false;
         }
-        routeTable = Optional.of(fresh);
+        routeTable = Optional.of(newTable);
         return true;
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
+++ b/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
@@ -19,29 +19,29 @@
     private boolean open = true;
 
     private InFlightSend(
-            RelayContext parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
-        this.context = parts;
+            RelayContext context, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork prefillWork) {
+        this.context = context;
         this.target = target;
         this.prompt = prompt;
-        this.prefillWork = reading;
-        this.aheadTokens = parts.loads().totalAt(target.id()).prefillQueue().tokensAheadOf(reading.level());
-        this.sentMillis = parts.time().monotonicMillis();
-        parts.loads().recordSend(target.id(), reading.level(), reading.prefillTokens());
+        this.prefillWork = prefillWork;
+        this.aheadTokens = context.loads().totalAt(target.id()).prefillQueue().tokensAheadOf(prefillWork.level());
+        this.sentMillis = context.time().monotonicMillis();
+        context.loads().recordSend(target.id(), prefillWork.level(), prefillWork.prefillTokens());
     }
 
     /**
      * Begins with a send.
      *
-     * @param parts what all relays share, not null
+     * @param context what all relays share, not null
      * @param target where it goes, not null
      * @param prompt what is to be read there, empty where there is none or its memory is brought along, not null
-     * @param reading how it is read, not null
+     * @param prefillWork how it is read, not null
      * @return the account
      */
     static InFlightSend start(
-            RelayContext parts, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork reading) {
+            RelayContext context, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork prefillWork) {
         Objects.requireNonNull(target, "target");
-        return new InFlightSend(parts, target, prompt, reading);
+        return new InFlightSend(context, target, prompt, prefillWork);
     }
 
     Incarnation target() {
--- a/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
@@ -58,12 +58,12 @@
     }
 
     @Override
-    public void prefillFailed(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft) {
+    public void prefillFailed(CallRelay call, Incarnation engine, String reason, NextStep step, double budgetLeft) {
         String next = step.getClass().getSimpleName();
         metrics.sendFailed("not_run", "prompt_" + reason, next);
         LogEvent.of("prompt_not_read")
                 .with("request", call.requestId())
-                .with("target", reader.id())
+                .with("target", engine.id())
                 .with("reason", reason)
                 .with("next", next)
                 .with("budgetLeft", Math.floor(budgetLeft))
@@ -71,18 +71,18 @@
     }
 
     @Override
-    public void retryDecided(String service, RetryDecision what) {
-        metrics.retryDecided(service, lowerCaseName(what));
+    public void retryDecided(String service, RetryDecision decision) {
+        metrics.retryDecided(service, lowerCaseName(decision));
     }
 
     @Override
     public void sendFailed(CallRelay call, SendOutcome outcome, NextStep step, double budgetLeft) {
-        String known = knowledgeOf(outcome);
+        String knowledge = knowledgeOf(outcome);
         String reason = reasonOf(outcome);
         String next = step.getClass().getSimpleName();
-        metrics.sendFailed(known, reason, next);
+        metrics.sendFailed(knowledge, reason, next);
         callEvent("send_failed", call)
-                .with("known", known)
+                .with("known", knowledge)
                 .with("reason", reason)
                 .with("next", next)
                 .with("budgetLeft", Math.floor(budgetLeft))
@@ -99,7 +99,7 @@
     public void sent(
             String requestId,
             Incarnation target,
-            ForwardingPlan.PrefillWork reading,
+            ForwardingPlan.PrefillWork prefillWork,
             long aheadTokens,
             SendPurpose purpose) {
         metrics.sent(lowerCaseName(purpose), limits.isRateLimited(target.id()));
@@ -108,10 +108,10 @@
                     .with("request", requestId)
                     .with("target", target.id())
                     .with("stage", target.stage())
-                    .with("level", reading.level())
-                    .with("unreadTokens", reading.prefillTokens())
+                    .with("level", prefillWork.level())
+                    .with("unreadTokens", prefillWork.prefillTokens())
                     .with("aheadTokens", aheadTokens)
-                    .with("keeper", reading.cacheSource().map(Incarnation::id).orElse(""))
+                    .with("keeper", prefillWork.cacheSource().map(Incarnation::id).orElse(""))
                     .with("purpose", lowerCaseName(purpose))
                     .with("limitUsedUp", limits.exhaustedTargetIds())
                     .debug(log);
@@ -180,8 +180,8 @@
         if (outcome instanceof SendOutcome.NotSent notSent) {
             return notSent.reason();
         }
-        if (outcome instanceof SendOutcome.NotPrefilled notRead) {
-            return notRead.reason();
+        if (outcome instanceof SendOutcome.NotPrefilled notPrefilled) {
+            return notPrefilled.reason();
         }
         if (outcome instanceof SendOutcome.Unknown unknown) {
             return unknown.reason();
--- a/src/main/java/org/dogwoodwinch/relay/RelayContext.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayContext.java
@@ -62,16 +62,16 @@
         Objects.requireNonNull(chooser, "chooser");
         Objects.requireNonNull(control, "control");
         Objects.requireNonNull(loads, "loads");
-        Objects.requireNonNull(cacheIndex, "parts");
-        Objects.requireNonNull(prefillRates, "rates");
+        Objects.requireNonNull(cacheIndex, "cacheIndex");
+        Objects.requireNonNull(prefillRates, "prefillRates");
         Objects.requireNonNull(retryPolicy, "retryPolicy");
         Objects.requireNonNull(budget, "budget");
         Objects.requireNonNull(suspicions, "suspicions");
         Objects.requireNonNull(health, "health");
         Objects.requireNonNull(statedLimits, "statedLimits");
-        Objects.requireNonNull(connectionAborts, "breakOffs");
+        Objects.requireNonNull(connectionAborts, "connectionAborts");
         Objects.requireNonNull(report, "report");
-        Objects.requireNonNull(sharingInstancesCount, "sharersCount");
+        Objects.requireNonNull(sharingInstancesCount, "sharingInstancesCount");
     }
 
     /**
@@ -92,8 +92,8 @@
      * it: the call was sent on for nobody. What waits on the sockets is read before a task that is put off. Callers leave
      * after two seconds and more, or where they are in a hurry within half of an objective; a younger call is not delayed.
      */
-    void afterCallerReads(long arrivalMillis, Runnable next) {
-        if (time.monotonicMillis() - arrivalMillis < MIN_DEFERRED_AGE_MILLIS) {
+    void afterCallerReads(long callArrivalMillis, Runnable next) {
+        if (time.monotonicMillis() - callArrivalMillis < MIN_DEFERRED_AGE_MILLIS) {
             next.run();
         } else {
             time.schedule(0, next);
@@ -101,8 +101,8 @@
     }
 
     /** A target answered: at this address is the one that was meant, or it is not. */
-    void recordResponse(String targetId, boolean otherTargets) {
-        if (otherTargets) {
+    void recordResponse(String targetId, boolean misdirected) {
+        if (misdirected) {
             report.targetUnreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
         } else {
             connectionAborts.answered(targetId);
--- a/src/main/java/org/dogwoodwinch/relay/RelayReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayReport.java
@@ -21,10 +21,10 @@
     void targetUnreachable(String targetId, long pauseMillis, String reason);
 
     /** An engine did not read a prompt that another would have run, and that follows. */
-    void prefillFailed(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft);
+    void prefillFailed(CallRelay call, Incarnation engine, String reason, NextStep step, double budgetLeft);
 
     /** One repeat was taken from a service's quota, or not granted. */
-    void retryDecided(String service, RetryDecision what);
+    void retryDecided(String service, RetryDecision decision);
 
     /** What became of a repeat. */
     enum RetryDecision {
@@ -42,7 +42,7 @@
     void sent(
             String requestId,
             Incarnation target,
-            ForwardingPlan.PrefillWork reading,
+            ForwardingPlan.PrefillWork prefillWork,
             long aheadTokens,
             SendPurpose purpose);
 
--- a/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
+++ b/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
@@ -37,26 +37,26 @@
     /**
      * Creates a reading that does nothing yet.
      *
-     * @param parts what all relays share, not null
+     * @param context what all relays share, not null
      * @param service the engine's service, not null
-     * @param reader the engine, not null
+     * @param engine the engine, not null
      * @param prompt the prompt, not null
-     * @param reading how it is read, not null
-     * @param onEnd gets the outcome; not told after {@link #cancel}
+     * @param prefillWork how it is read, not null
+     * @param onOutcome gets the outcome; not told after {@link #cancel}
      */
     RemotePrefill(
-            RelayContext parts,
+            RelayContext context,
             ServiceEntry service,
-            Incarnation reader,
+            Incarnation engine,
             Prompt prompt,
-            ForwardingPlan.PrefillWork reading,
-            Consumer<PrefillOutcome> onEnd) {
-        this.context = Objects.requireNonNull(parts, "parts");
+            ForwardingPlan.PrefillWork prefillWork,
+            Consumer<PrefillOutcome> onOutcome) {
+        this.context = Objects.requireNonNull(context, "context");
         this.service = Objects.requireNonNull(service, "service");
-        this.engine = Objects.requireNonNull(reader, "reader");
+        this.engine = Objects.requireNonNull(engine, "engine");
         this.prompt = Objects.requireNonNull(prompt, "prompt");
-        this.prefillWork = Objects.requireNonNull(reading, "reading");
-        this.onOutcome = Objects.requireNonNull(onEnd, "onEnd");
+        this.prefillWork = Objects.requireNonNull(prefillWork, "prefillWork");
+        this.onOutcome = Objects.requireNonNull(onOutcome, "onOutcome");
     }
 
     Incarnation engine() {
@@ -73,8 +73,8 @@
         context.connections()
                 .acquire(engine, context.connectionsPerTarget(service), new TargetConnectionPool.AcquireCallback() {
                     @Override
-                    public void acquired(TargetConnection taken) {
-                        context.afterCallerReads(arrivalMillis, () -> send(taken, outbound));
+                    public void acquired(TargetConnection acquired) {
+                        context.afterCallerReads(arrivalMillis, () -> send(acquired, outbound));
                     }
 
                     @Override
@@ -84,23 +84,23 @@
                 });
     }
 
-    private void send(TargetConnection taken, Supplier<OutboundCall> call) {
+    private void send(TargetConnection acquired, Supplier<OutboundCall> call) {
         if (ended) {
-            context.connections().release(taken);
+            context.connections().release(acquired);
             return;
         }
         OutboundCall outbound = call.get();
         if (!context.chooser().isCurrent(engine)) {
-            context.connections().release(taken);
+            context.connections().release(acquired);
             context.report().targetLeftBeforeSend(outbound.requestId(), engine);
             finish(new PrefillOutcome.NotSent("target_left"));
             return;
         }
-        connection = Optional.of(taken);
-        InFlightSend opened = InFlightSend.start(context, engine, Optional.of(prompt), prefillWork);
-        inFlight = Optional.of(opened);
-        context.report().sent(outbound.requestId(), engine, prefillWork, opened.aheadTokens(), SendPurpose.READING);
-        taken.send(outbound, this);
+        connection = Optional.of(acquired);
+        InFlightSend started = InFlightSend.start(context, engine, Optional.of(prompt), prefillWork);
+        inFlight = Optional.of(started);
+        context.report().sent(outbound.requestId(), engine, prefillWork, started.aheadTokens(), SendPurpose.READING);
+        acquired.send(outbound, this);
     }
 
     /** The call has ended otherwise: the engine drops the work with its connection. */
@@ -118,7 +118,7 @@
     @Override
     public void onHead(AnswerFacts facts, HttpHeaders _headers) {
         responseHead = facts;
-        inFlight.ifPresent(opened -> opened.recordResponseHead(facts));
+        inFlight.ifPresent(started -> started.recordResponseHead(facts));
     }
 
     @Override
@@ -145,9 +145,9 @@
     }
 
     @Override
-    public void onLost(String reason, boolean brokenOff) {
+    public void onLost(String reason, boolean connectionAborted) {
         releaseSend();
-        if (brokenOff) {
+        if (connectionAborted) {
             context.recordAbort(engine.id());
         }
         finish(new PrefillOutcome.Failed(reason));
--- a/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
@@ -28,8 +28,8 @@
      * The answer will not come, or not its rest.
      *
      * @param reason what happened, for logs and counters, not null
-     * @param brokenOff whether the connection was opened for this call and ended before an answer began; on a kept one the
+     * @param connectionAborted whether the connection was opened for this call and ended before an answer began; on a kept one the
      *     target may have closed it for its rest, which says nothing of the target
      */
-    void onLost(String reason, boolean brokenOff);
+    void onLost(String reason, boolean connectionAborted);
 }
--- a/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
@@ -42,19 +42,19 @@
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
         boolean wasInHead = inHead;
-        int from = buffer.readerIndex();
-        int known = out.size();
+        int start = buffer.readerIndex();
+        int decodedBefore = out.size();
         super.decode(context, buffer, out);
         if (wasInHead) {
-            scanHead(buffer, from, buffer.readerIndex());
+            scanHead(buffer, start, buffer.readerIndex());
         }
-        for (Object decoded : out.subList(known, out.size())) {
+        for (Object decoded : out.subList(decodedBefore, out.size())) {
             checkDecoded(decoded);
         }
     }
 
-    private void scanHead(ByteBuf buffer, int from, int to) {
-        for (int i = from; i < to; i++) {
+    private void scanHead(ByteBuf buffer, int start, int end) {
+        for (int i = start; i < end; i++) {
             byte next = buffer.getByte(i);
             recordFirstLine(next);
             hasFoldedLine |= atLineStart && (next == ' ' || next == '\t');
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
@@ -101,13 +101,13 @@
      * Writes a call. From here on the target may run it.
      *
      * @param call the call, not null
-     * @param answerSink takes its answer, not null
+     * @param responseSink takes its answer, not null
      */
-    void send(OutboundCall call, ResponseSink answerSink) {
+    void send(OutboundCall call, ResponseSink responseSink) {
         if (state != State.IDLE) {
             throw new IllegalStateException("a call is under way: " + state);
         }
-        sink = Objects.requireNonNull(answerSink, "answerSink");
+        sink = Objects.requireNonNull(responseSink, "responseSink");
         requestId = call.requestId();
         skippedCount = 0;
         state = State.WAITING;
@@ -226,14 +226,14 @@
      * connection is only kept where all of it was written.
      */
     private void completeCall() {
-        ResponseSink done = sink;
+        ResponseSink completed = sink;
         sink = null;
         state = State.SETTLING;
         boolean reusable = keepAlive && writeFuture.isDone() && writeFuture.isSuccess();
         if (!reusable) {
             close();
         }
-        done.onEnd();
+        completed.onEnd();
     }
 
     /** Only after all bytes that had arrived were looked at: some may follow the answer and belong to nobody. */
@@ -251,13 +251,13 @@
         failCall(reason, false);
     }
 
-    private void failCall(String reason, boolean brokenOff) {
-        ResponseSink waiting = sink;
+    private void failCall(String reason, boolean connectionAborted) {
+        ResponseSink waitingSink = sink;
         sink = null;
         failed = true;
         close();
-        if (waiting != null) {
-            waiting.onLost(reason, brokenOff);
+        if (waitingSink != null) {
+            waitingSink.onLost(reason, connectionAborted);
         }
     }
 
@@ -286,9 +286,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        boolean brokenOff = isFirstCallUnanswered();
+        boolean connectionAborted = isFirstCallUnanswered();
         state = State.CLOSED;
-        failCall("connection_closed", brokenOff);
+        failCall("connection_closed", connectionAborted);
         onClosed.accept(this);
         context.fireChannelInactive();
     }
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
@@ -75,15 +75,15 @@
      */
     void acquire(Incarnation target, int maxConnections, AcquireCallback callback) {
         TargetPool pool = pools.computeIfAbsent(target.id(), _id -> new TargetPool());
-        Optional<TargetConnection> kept = pollUsable(pool);
-        if (kept.isEmpty() && pool.openCount >= maxConnections) {
+        Optional<TargetConnection> pooled = pollUsable(pool);
+        if (pooled.isEmpty() && pool.openCount >= maxConnections) {
             callback.notAcquired("connections_in_use");
         } else if (!rateLimit.test(target.id())) {
-            kept.ifPresent(pool.idle::addFirst);
+            pooled.ifPresent(pool.idle::addFirst);
             removeIfEmpty(target.id(), pool);
             callback.notAcquired("limit_used_up");
-        } else if (kept.isPresent()) {
-            callback.acquired(kept.get());
+        } else if (pooled.isPresent()) {
+            callback.acquired(pooled.get());
         } else {
             open(target, pool, callback);
         }
@@ -91,12 +91,12 @@
 
     private Optional<TargetConnection> pollUsable(TargetPool pool) {
         long nowMillis = time.monotonicMillis();
-        TargetConnection kept = pool.idle.pollFirst();
-        while (kept != null && (!kept.isOpen() || kept.isStale(nowMillis, policy.idleMarginMillis()))) {
-            kept.close();
-            kept = pool.idle.pollFirst();
+        TargetConnection pooled = pool.idle.pollFirst();
+        while (pooled != null && (!pooled.isOpen() || pooled.isStale(nowMillis, policy.idleMarginMillis()))) {
+            pooled.close();
+            pooled = pool.idle.pollFirst();
         }
-        return Optional.ofNullable(kept);
+        return Optional.ofNullable(pooled);
     }
 
     /**
@@ -119,18 +119,18 @@
             return;
         }
         pool.removed = true;
-        List<TargetConnection> kept = List.copyOf(pool.idle);
+        List<TargetConnection> pooled = List.copyOf(pool.idle);
         pool.idle.clear();
-        kept.forEach(TargetConnection::close);
+        pooled.forEach(TargetConnection::close);
         removeIfEmpty(id, pool);
     }
 
     /** Closes all kept connections; calls under way go on. */
     void closeIdle() {
         for (TargetPool pool : List.copyOf(pools.values())) {
-            List<TargetConnection> kept = List.copyOf(pool.idle);
+            List<TargetConnection> pooled = List.copyOf(pool.idle);
             pool.idle.clear();
-            kept.forEach(TargetConnection::close);
+            pooled.forEach(TargetConnection::close);
         }
     }
 
