--- a/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
@@ -17,24 +17,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the index of parts by what engines tell of their memory. A question that got no answer is asked again a round
- * later; what is believed meanwhile costs reading time at worst.
+ * Keeps the KV cache index up to date by polling the engines for changes. A poll without a response is repeated after a
+ * back-off; a stale entry meanwhile costs extra prefill time at worst.
  *
- * <p>Failure: engines keep their newest changes alone. An instance that starts, or was away for a while, never hears of
- * the older ones: what engines keep is read a second time, and what they dropped is counted on. The engine says that
- * changes are missing, and its whole list makes up for them.
+ * <p>Failure: engines retain only their latest changes. An instance that starts, or was disconnected for a while, misses
+ * the older ones, so cached segments are prefilled again and evicted segments are expected to be cached. The engine
+ * reports that changes are missing, and the instance then requests its complete list.
  */
 public final class CacheWatch {
 
     private static final Logger log = LoggerFactory.getLogger(CacheWatch.class);
 
     /**
-     * The pause between two questions for a whole list of one engine: the list costs a probe and holds up the engine, and
-     * an instance that hears too little of an engine would ask all the time.
+     * Minimum interval between two requests for the complete list of an engine. The list counts as a probe and delays the
+     * engine's work, and an instance that keeps missing changes would request it all the time.
      */
     private static final long LIST_PAUSE_MILLIS = 5_000;
 
-    /** The longest pause after questions without an answer: an engine that came back is heard within it. */
+    /** Maximum back-off after failed polls, which bounds how long a recovered engine goes without a poll. */
     private static final long MAX_BACKOFF_MILLIS = 4_000;
 
     private static final int MAX_DOUBLINGS = 10;
@@ -49,16 +49,16 @@
     private final Map<String, EngineState> engineStates = new HashMap<>();
 
     /**
-     * Creates a watch that does not ask yet.
+     * Creates a watch that does not poll yet.
      *
-     * @param control asks engines, not null
+     * @param control client of the engines' control interfaces, not null
      * @param parts what it keeps, not null
-     * @param engines the engines in use, looked up each round, not null
+     * @param engines supplies the engines in use, evaluated each round, not null
      * @param ownDuty whether an engine, by its id, is asked from here; for the others the instance that asks tells what it
      *     hears, not null
-     * @param listener hears what the engines tell, not null
-     * @param time schedules the rounds, not null
-     * @param roundMillis the time between two questions to one engine
+     * @param listener receives the changes that engines report, not null
+     * @param time clock and timer of the rounds, not null
+     * @param roundMillis the interval between two polls of an engine, in milliseconds
      */
     public CacheWatch(
             EngineControl control,
@@ -77,7 +77,7 @@
         this.roundMillis = roundMillis;
     }
 
-    /** Asks from now on. */
+    /** Starts polling. */
     public void start() {
         pollAll();
     }
@@ -106,7 +106,7 @@
     private void poll(Incarnation engine) {
         EngineState state = engineStates.get(engine.id());
         if (state != null && state.startedMillis != engine.startedMillis()) {
-            // What an earlier start said, or still says, is of no use; nor is the number it was asked up to.
+            // Changes and the sequence number of the earlier incarnation are invalid, even in a response under way.
             engineStates.remove(engine.id());
             cacheIndex.removeEngine(engine.id());
             listener.listed(engine.id());
@@ -138,7 +138,7 @@
         });
     }
 
-    /** An engine answers a few such questions at once and refuses the others, and each refusal costs it work. */
+    /** Delays the next poll: an engine serves only a few polls at a time, and refusing the others costs it work too. */
     private void backOff(EngineState state) {
         long doubled = roundMillis << Math.min(state.failuresInARow, MAX_DOUBLINGS);
         state.failuresInARow++;
@@ -162,7 +162,7 @@
         }
     }
 
-    /** The next question waits for the list: changes that come after it are told from its number on. */
+    /** Requests the complete list. No poll is sent before its response, since the next one continues from its number. */
     private void requestList(Incarnation engine, EngineState state) {
         state.requestPending = true;
         control.cacheList(engine).thenAccept(list -> {
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -19,15 +19,21 @@
 import org.dogwoodwinch.time.Cancellable;
 
 /**
- * The life of one call: sends it, judges what comes back, sends it again where that is safe, and gives the caller
- * exactly one answer. Used on one event loop alone.
+ * Forwards one call: sends it to a target, evaluates the response, retries where that is safe, and gives the caller
+ * exactly one response. Confined to one event loop.
  */
 final class CallRelay implements ResponseSink, ActiveCall {
 
-    /** A plain answer up to this size is held until it is whole, so that a cut one can still become another answer. */
+    /**
+     * Responses without streaming up to this size are buffered until they are complete, so that a truncated one can still
+     * be replaced by another response.
+     */
     private static final int MAX_BUFFERED_BODY_BYTES = 262_144;
 
-    /** Readers that could not be reached before the one that runs the call reads it: each costs a connection's time. */
+    /**
+     * Maximum number of unreachable prefill targets per call, since each costs the time of a connection attempt. After
+     * that, the target that runs the call also prefills its prompt.
+     */
     private static final int MAX_UNSENT_PREFILLS = 2;
 
     private enum State {
@@ -62,15 +68,15 @@
     private Incarnation cacheHolder;
 
     /**
-     * Creates a relay that does nothing yet.
+     * Creates a relay that sends nothing before {@link #start}.
      *
-     * @param context what all relays share, not null
-     * @param call the request, not null
-     * @param facts what its headers state, with a request id, not null
-     * @param route its route, not null
+     * @param context the services that all relays share, not null
+     * @param call the request as received from the caller, not null
+     * @param facts the attributes from its headers, including a request id, not null
+     * @param route the route that matches the request, not null
      * @param service the service chosen for it, not null
-     * @param caller gets the answer, not null
-     * @param onDone told once when the call has ended in any way, not null
+     * @param caller writes the response to the caller, not null
+     * @param onDone run exactly once, when the call has ended in any way, not null
      */
     CallRelay(
             RelayContext context,
@@ -93,10 +99,10 @@
         this.fingerprint = Suspicions.fingerprint(call);
     }
 
-    /** Begins. */
+    /** Sends the call, or refuses it at once where it is quarantined. */
     void start() {
         context.budget().countRequest(service.name(), nowMillis());
-        // Once a call: seen again with each send, its own last part would pass for a session's.
+        // Recorded once per call: if each send recorded it, the call's own last segment would look like a session's.
         facts.prompt().ifPresent(context.cacheIndex().sharedSegments()::recordPrompt);
         if (context.suspicions().isQuarantined(fingerprint)) {
             context.report().quarantined(this);
@@ -145,7 +151,7 @@
         return Optional.ofNullable(plan).map(chosen -> chosen.target().id());
     }
 
-    /** Where the call is, for whoever reads the logs. */
+    /** Returns the current stage of the call for log lines. */
     String stage() {
         if (remotePrefill.isPresent()) {
             return "prompt_read_by_" + remotePrefill.get().engine().id();
@@ -156,7 +162,7 @@
         return state == State.STREAMING ? "answering" : "sent";
     }
 
-    /** How long the call has been with the target that has it now; -1 where none has it. */
+    /** Returns the time since the call was sent to its current target, in milliseconds; -1 if no send is under way. */
     long sentMillis() {
         return inFlight.map(InFlightSend::ageMillis).orElse(-1L);
     }
@@ -198,7 +204,10 @@
                 !remotePrefillUsed);
     }
 
-    /** A suspect is kept away from other suspects; where it has no other place, it runs beside them. */
+    /**
+     * Chooses a target. A call suspected of crashing targets avoids targets that run other suspects, unless there is no
+     * other target.
+     */
     private Optional<ForwardingPlan> choose() {
         Set<String> suspectTargets = context.suspicions().targetsToAvoid(fingerprint);
         if (suspectTargets.isEmpty()) {
@@ -231,7 +240,10 @@
         execute(new SendOutcome.NotSent("no_target"), context.retryPolicy().giveUp(progress(), capacityMillis));
     }
 
-    /** Reading apart again would be one more arrival; the second time the target reads the prompt itself. */
+    /**
+     * Prefills the prompt on a separate engine. Done once per call, since each remote prefill is one more request to a
+     * target: the next attempt lets the target that runs the call prefill it.
+     */
     private void startRemotePrefill(Incarnation prefillTarget) {
         remotePrefillUsed = true;
         RemotePrefill started = new RemotePrefill(
@@ -240,7 +252,10 @@
         started.start(call.arrivalMillis(), () -> outbound(prefillTarget, true));
     }
 
-    /** Where nothing came of it, the call has not run: a target that reads the prompt itself gets it. */
+    /**
+     * Continues after a remote prefill. If it gave no usable cache handle, the call has not run and is sent to a target
+     * that also prefills the prompt.
+     */
     private void handlePrefillOutcome(PrefillOutcome outcome) {
         Incarnation prefillTarget = remotePrefill.orElseThrow().engine();
         remotePrefill = Optional.empty();
@@ -249,7 +264,7 @@
             cacheHolder = prefillTarget;
             sendAfterPrefill(prefillTarget);
         } else if (outcome instanceof PrefillOutcome.NotSent notSent) {
-            // The reader never saw it: another one may read it as if it were the first.
+            // No byte reached the prefill target: another one may be tried as on the first attempt.
             failedConnectsCount++;
             triedIds.add(prefillTarget.id());
             remotePrefillUsed = failedConnectsCount > MAX_UNSENT_PREFILLS;
@@ -277,10 +292,11 @@
     }
 
     /**
-     * An engine that rejects a reading or breaks it off got an arrival: what follows is a repeat, and asks for it.
+     * Handles a prefill that the engine rejected or that was cut off. The engine received a request, so whatever follows
+     * is a retry and takes from the retry budget.
      *
-     * <p>Failure: readers break off, each of their calls goes on to be run, and no quota holds that back. The service gets
-     * twice its calls just when a part of it is broken.
+     * <p>Failure: prefill engines drop their connections, each of the calls is sent on to another target, and no budget
+     * limits that. The service then receives twice its calls at the moment when a part of it is broken.
      */
     private void handlePrefillFailure(Incarnation prefillTarget, String reason) {
         rejectionsCount++;
@@ -336,12 +352,12 @@
         context.report().sent(requestId(), plan.target(), plan.prefillWork(), started.aheadTokens(), sendPurpose());
         context.suspicions().recordSend(fingerprint, requestId(), plan.target().id());
         OutboundCall outbound = outbound(plan.target(), false);
-        // A handle can be taken once.
+        // A cache handle can be used only once.
         cacheHandle = Optional.empty();
         acquired.send(outbound, this);
     }
 
-    /** Nothing was sent: no quota is asked. */
+    /** Chooses another target. Nothing was sent, so this takes nothing from the retry budget. */
     private void chooseAgain() {
         if (cacheHandle.isPresent()) {
             sendAfterPrefill(cacheHolder);
@@ -406,7 +422,7 @@
             relayBody(piece.retain());
             return;
         }
-        // What may be followed by the rest of another run must end with a whole event.
+        // Another target may resume the stream, so only complete events are passed on.
         byte[] whole = eventFramer.append(piece);
         if (whole.length > 0) {
             beginCallerResponse();
@@ -446,7 +462,7 @@
 
     private void handleSuccess() {
         if (route.kind() == RouteKind.STREAM && route.resumable() && eventFramer.hasPartialEvent()) {
-            // An orderly end in the midst of an event: the rest of the event is missing.
+            // The connection ended in order within an event: the rest of that event is missing.
             onEnd(new SendOutcome.Unknown("cut_event"));
             return;
         }
@@ -574,7 +590,7 @@
         deadlineTimer.cancel();
         abandonSend();
         remotePrefill.ifPresent(RemotePrefill::cancel);
-        // Memory that nobody takes would be held until it lapses.
+        // A KV cache that is never fetched would stay allocated on the prefill target until it expires.
         cacheHandle.ifPresent(unused -> context.control().release(cacheHolder, unused));
         onDone.run();
     }
--- a/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
@@ -39,21 +39,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection of a caller: reads requests whole, hands them on one at a time in their order, and writes each answer.
+ * A connection from a caller. Reads complete requests, passes them to the {@link RequestHandler} one at a time in
+ * order of arrival, and writes the responses.
  *
- * <p>It goes on reading while a call is under way, as only so it sees that the caller has left.
+ * <p>It keeps reading while a call is under way, since that is the only way to detect that the caller has disconnected.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerResponse {
 
     private static final Logger log = LoggerFactory.getLogger(CallerConnection.class);
 
-    /** Requests read ahead of their turn after which reading pauses: callers that pipeline send a few. */
+    /** Queued requests at which reading pauses; callers that pipeline send only a few. */
     private static final int MAX_QUEUED = 8;
 
-    /** How often the times of a connection are looked at; both are seconds, so a tenth of the shortest suffices. */
+    /**
+     * Interval of the time-out checks. The header and idle time-outs are seconds long, so a tenth of the shorter one is
+     * precise enough.
+     */
     private static final long TIMEOUT_CHECK_MILLIS = 250;
 
-    /** What reads on one connection: a request, or the reason for which reading ended. */
+    /** A complete request, or the reason why no more requests are read from the connection. */
     private sealed interface Received {
         record Request(IncomingCall call, boolean keepAlive, boolean http10) implements Received {}
 
@@ -83,12 +87,12 @@
         this.limits = Objects.requireNonNull(limits, "limits");
     }
 
-    /** Whether no request is being read, waiting or under way. */
+    /** Returns whether no request is being read, queued or under way. */
     boolean isIdle() {
         return current == null && queue.isEmpty() && requestStartMillis < 0;
     }
 
-    /** Closes so that an answer on its way arrives. */
+    /** Closes the connection after pending writes, so that a response under way still arrives. */
     void close() {
         if (!closing) {
             closeGracefully();
@@ -107,7 +111,7 @@
         timeoutCheck = time.schedule(TIMEOUT_CHECK_MILLIS, this::checkTimeouts);
     }
 
-    /** Bytes arrived, before they are decoded. */
+    /** Records the arrival of bytes that are not decoded yet. */
     void bytesArrived() {
         if (requestStartMillis < 0) {
             requestStartMillis = time.monotonicMillis();
@@ -133,7 +137,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext _context) {
-        // Bytes that were whole requests to their last one leave nothing to wait for.
+        // All received bytes belonged to complete requests, so no request is being read.
         if (pendingHead == null && !unreadable && isDecoderEmpty()) {
             requestStartMillis = -1;
         }
@@ -187,7 +191,7 @@
         try {
             bytes.getBytes(bytes.readerIndex(), body, bytes.readableBytes());
         } catch (IOException e) {
-            throw new IllegalStateException("memory cannot fail to take bytes", e);
+            throw new IllegalStateException("writing to a byte array failed", e);
         }
         if (content instanceof LastHttpContent) {
             completeRequest();
@@ -210,7 +214,10 @@
                 call, HttpUtil.isKeepAlive(request), request.protocolVersion().equals(HttpVersion.HTTP_1_0)));
     }
 
-    /** After a malformed request the rest of the connection has no meaning: it is answered in its turn and closed. */
+    /**
+     * Rejects a request that cannot be read. Whatever follows it on the connection cannot be interpreted, so the error
+     * response is sent after those of earlier requests and the connection is closed.
+     */
     private void unreadable(int status, String reason) {
         unreadable = true;
         pendingHead = null;
@@ -268,7 +275,7 @@
         current = null;
         idleSinceMillis = time.monotonicMillis();
         if (channel.isActive() && !closing) {
-            // Not nested: a caller that pipelines many refused requests would deepen the stack with each.
+            // Deferred: a nested call would deepen the stack with each refused request that a caller pipelines.
             channel.eventLoop().execute(this::serveNext);
         }
     }
@@ -359,7 +366,7 @@
         activeCall = ActiveCall.NONE;
         closing = true;
         closedCall.onCallerClosed();
-        // What the call held was given back as it ended; the rest were requests that waited or were being read.
+        // The call released its own body when it ended; the rest belongs to requests that were queued or being read.
         release(reservedBytes);
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
@@ -33,8 +33,9 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Calls with short answers: to the platform's store and to the control interfaces of targets. Each has a time bound, as
- * a connection may go silent for good; one that was late is closed and never used again. Used on one event loop alone.
+ * A client for short requests to the platform's store and to the control interfaces of targets. Each call has a time-out,
+ * since a connection may stop responding for good; after a time-out, its connection is closed and not reused. Confined to
+ * one event loop.
  */
 public final class ControlCaller {
 
@@ -47,12 +48,12 @@
     private final Map<InetSocketAddress, Deque<PooledConnection>> idle = new HashMap<>();
 
     /**
-     * Creates a caller without connections.
+     * Creates a client without connections.
      *
-     * @param transport the sockets, not null
-     * @param loop runs everything, not null
-     * @param time bounds the calls, not null
-     * @param policy the connections' times, not null
+     * @param transport the socket transport, not null
+     * @param loop the event loop of all connections and callbacks, not null
+     * @param time timers for the time-outs, not null
+     * @param policy time-outs of the connections, not null
      */
     public ControlCaller(Transport transport, EventLoop loop, TimeSource time, ConnectionPolicy policy) {
         this.transport = Objects.requireNonNull(transport, "transport");
@@ -62,12 +63,12 @@
     }
 
     /**
-     * Makes a call.
+     * Sends a call, on an idle connection if there is one.
      *
-     * @param address the peer, not null
-     * @param call the call, not null
-     * @param timeoutMillis how long the answer may take, opening a connection included
-     * @return completes on the event loop, never exceptionally
+     * @param address the address of the server, not null
+     * @param call the call to send, not null
+     * @param timeoutMillis the time-out for the response, including the time to open a connection
+     * @return a stage that completes on the event loop, never exceptionally
      */
     public CompletionStage<ControlReply> call(InetSocketAddress address, ControlCall call, long timeoutMillis) {
         Exchange exchange = new Exchange(call, time);
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
@@ -13,7 +13,7 @@
 import java.util.Objects;
 import java.util.function.LongConsumer;
 
-/** Counters and histograms of forwarded calls, on a registry of their own. */
+/** Metrics of forwarded calls, kept in a separate registry. */
 public final class ForwardingMetrics {
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -42,7 +42,7 @@
     /**
      * Registers the metrics.
      *
-     * @param registry where they are registered, not null; not shared between daemons of one process
+     * @param registry the registry for the metrics, not null; must not be shared by several daemons in one process
      */
     public ForwardingMetrics(PrometheusRegistry registry) {
         this.registry = Objects.requireNonNull(registry, "registry");
@@ -91,52 +91,53 @@
     }
 
     /**
-     * Writes all metrics as text.
+     * Returns all metrics as text.
      *
-     * @return the Prometheus text format
+     * @return the metrics in the Prometheus text format
      */
     public String text() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(out, registry.scrape());
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot fail to take bytes", e);
+            throw new UncheckedIOException("writing to a byte array failed", e);
         }
         return out.toString(StandardCharsets.UTF_8);
     }
 
     /**
-     * Shows the configuration in force.
+     * Sets the version of the configuration in force.
      *
-     * @param version its version
+     * @param version the version
      */
     public void showConfiguration(long version) {
         configurationVersion.set((double) version);
     }
 
     /**
-     * Shows how many targets may get new work.
+     * Sets the number of targets that accept new calls.
      *
-     * @param count the targets
+     * @param count the number of targets
      */
     public void showTargets(int count) {
         targets.set(count);
     }
 
     /**
-     * Shows whether the store answers.
+     * Sets whether the platform's store is reachable.
      *
-     * @param reachable whether the last call was answered
+     * @param reachable whether the store answered the last call
      */
     public void showStore(boolean reachable) {
         storeReachable.set(reachable ? 1 : 0);
     }
 
     /**
-     * Returns the counter of what is told to other instances about a topic. Looked up once: words are told all the time.
+     * Returns the counter of bytes sent to other instances on a topic. Callers keep it, since messages are too frequent for
+     * a label lookup each time.
      *
-     * @param topic what it is about, not null
-     * @return takes the size of each word in bytes, times the instances that it went to
+     * @param topic the topic of the messages, not null
+     * @return a consumer of the bytes sent: the size of a message times the number of instances that it was sent to
      */
     public LongConsumer toldPeers(String topic) {
         CounterDataPoint counter = peerBytes.labelValues(topic);
@@ -144,36 +145,36 @@
     }
 
     /**
-     * Counts a word to other instances that was not sent, as the share of the link for them is used up.
+     * Counts a message to other instances that was dropped because the bandwidth share for peer messages was used up.
      *
-     * @param topic what it was about, not null
+     * @param topic the topic of the message, not null
      */
     public void peerWordDropped(String topic) {
         peerDropped.labelValues(topic).inc();
     }
 
     /**
-     * Shows how long the last message of a relay was on its way.
+     * Sets an upper bound of the transit time of the last message from a relay.
      *
-     * @param wayMillis milliseconds
+     * @param wayMillis the transit time in milliseconds
      */
     public void showPeerWay(long wayMillis) {
         peerDelay.set(wayMillis / MILLIS_PER_SECOND);
     }
 
     /**
-     * Shows among how many instances common bounds are dealt out.
+     * Sets the number of instances that common limits are divided among.
      *
-     * @param count the instances
+     * @param count the number of instances
      */
     public void showInstances(int count) {
         instances.set(count);
     }
 
     /**
-     * Shows how many targets name a limit.
+     * Sets the number of targets that state a rate limit in their responses.
      *
-     * @param count the targets
+     * @param count the number of targets
      */
     public void showLimited(int count) {
         rateLimitedTargets.set(count);
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -29,12 +29,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Forwards calls by the configuration in force. Used on one event loop alone. */
+/** Forwards callers' requests to targets by the configuration in force. Confined to one event loop. */
 public final class ForwardingService implements RequestHandler {
 
     private static final Logger log = LoggerFactory.getLogger(ForwardingService.class);
 
-    /** A sixth of the smallest heap that the deploy file gives: a body is there twice while it is sent. */
+    /**
+     * Maximum memory of request bodies: a sixth of the smallest heap that the deployment configures, since a body is in
+     * memory twice while it is sent.
+     */
     private static final long MAX_BODY_MEMORY_BYTES = 16_777_216;
 
     private final CallHeaders callHeaders;
@@ -51,16 +54,16 @@
     private boolean accepting = true;
 
     /**
-     * Creates a service that does not listen yet.
+     * Creates a service that does not listen for connections yet.
      *
      * @param connector opens connections to targets, not null
-     * @param time the event loop's clock and timers, not null
-     * @param callHeaders reads and writes headers, not null
-     * @param random chooses among services and targets, not null
-     * @param policy the connections' times, not null
-     * @param control asks engines, not null
-     * @param decisions what decides, not null
-     * @param metrics counts, not null
+     * @param time clock and timers of the event loop, not null
+     * @param callHeaders parses and builds HTTP headers, not null
+     * @param random chooses among the services of a route, not null
+     * @param policy time-outs of connections to targets, not null
+     * @param control client of the engines' control interfaces, not null
+     * @param decisions components that decide about calls, not null
+     * @param metrics counters and histograms of forwarded calls, not null
      */
     public ForwardingService(
             TargetConnector connector,
@@ -103,20 +106,21 @@
     }
 
     /**
-     * What decides about calls.
+     * The components that decide about calls.
      *
      * @param chooser chooses targets, not null
-     * @param loads what is under way at targets, not null
-     * @param cacheIndex which parts of prompts engines keep, not null
-     * @param prefillRates how fast engines read, not null
-     * @param retryPolicy decides what follows on a failed send, not null
-     * @param budget bounds repeats, not null
-     * @param quarantine knows the calls that crash targets, not null
-     * @param health knows the targets that could not be reached of late, not null
-     * @param limits knows the targets that name a limit, not null
-     * @param statedLimits hears of them, not null
-     * @param connectionAborts judges the targets that break off calls, not null
-     * @param sharingInstancesCount the instances that share a target's connections, asked each time, not null
+     * @param loads tracks the calls under way at targets, not null
+     * @param cacheIndex prompt segments in the KV caches of engines, not null
+     * @param prefillRates estimated prefill rates of engines, not null
+     * @param retryPolicy chooses the next step after a failed send, not null
+     * @param budget limits retries, not null
+     * @param quarantine status of calls that crash targets, not null
+     * @param health tracks targets that were recently unreachable, not null
+     * @param limits rate limits of targets that state one, not null
+     * @param statedLimits receives the rate limits that targets state in responses, not null
+     * @param connectionAborts tracks targets that close new connections without a response, not null
+     * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on each use,
+     *     not null
      */
     public record Decisions(
             TargetChooser chooser,
@@ -133,10 +137,10 @@
             IntSupplier sharingInstancesCount) {}
 
     /**
-     * Listens for callers.
+     * Starts to accept connections from callers.
      *
-     * @param transport the sockets, not null
-     * @param address where, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
      * @throws IOException if the address cannot be bound
      */
     public void listen(Transport transport, InetSocketAddress address) throws IOException {
@@ -146,20 +150,20 @@
     }
 
     /**
-     * Returns the port that callers connect to.
+     * Returns the port on which the service accepts callers.
      *
-     * @return the port; zero where it does not listen
+     * @return the port; zero if the service does not listen
      */
     public int port() {
         return listener.map(CallerListener::port).orElse(0);
     }
 
     /**
-     * Listens for short questions such as the balancer's.
+     * Serves readiness checks such as those of the load balancer.
      *
-     * @param transport the sockets, not null
-     * @param address where, not null
-     * @param ready whether the instance is ready, asked each time, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
+     * @param ready supplies whether the instance is ready, evaluated on each request, not null
      * @return the listening channel
      * @throws IOException if the address cannot be bound
      */
@@ -173,11 +177,11 @@
     }
 
     /**
-     * Shows metrics.
+     * Serves metrics in the Prometheus text format.
      *
-     * @param transport the sockets, not null
-     * @param address where, not null
-     * @param metrics what is shown, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
+     * @param metrics the metrics to serve, not null
      * @return the listening channel
      * @throws IOException if the address cannot be bound
      */
@@ -188,10 +192,10 @@
     }
 
     /**
-     * Puts a configuration in force unless it is older than the one in force.
+     * Applies a configuration unless its version is older than or equal to that of the current one.
      *
-     * @param newTable the configuration, not null
-     * @return whether it was put in force
+     * @param newTable the configuration to apply, not null
+     * @return whether the configuration was applied
      */
     public boolean configure(RouteTable newTable) {
         if (routeTable.isPresent() && routeTable.get().version() >= newTable.version()) {
@@ -202,10 +206,10 @@
     }
 
     /**
-     * Says whether a service's targets are model engines.
+     * Returns whether a service's targets are model engines.
      *
      * @param serviceName the service's name, not null
-     * @return false for plain services and unknown ones
+     * @return true for a model service; false for other and unknown services
      */
     public boolean servesModel(String serviceName) {
         return routeTable
@@ -215,19 +219,19 @@
     }
 
     /**
-     * Returns the services of model engines.
+     * Returns the services whose targets are model engines.
      *
-     * @return their names by the configuration in force
+     * @return the names in the configuration in force
      */
     public Set<String> modelServices() {
         return routeTable.map(RouteTable::modelServices).orElseGet(Set::of);
     }
 
     /**
-     * Returns how long an engine is away when it changes its stage.
+     * Returns how long an engine is unavailable during a stage change.
      *
      * @param serviceName the service's name, not null
-     * @return milliseconds by the configuration in force; zero where none is stated
+     * @return milliseconds from the configuration in force; zero if it states none
      */
     public long switchMillis(String serviceName) {
         return routeTable
@@ -238,16 +242,16 @@
     }
 
     /**
-     * Says whether a configuration is in force.
+     * Returns whether a configuration is in force.
      *
-     * @return false before the first one
+     * @return false before the first configuration was applied
      */
     public boolean configured() {
         return routeTable.isPresent();
     }
 
     /**
-     * A target was found gone without having said that it leaves.
+     * Handles a target that disappeared without having announced that it drains.
      *
      * @param targetId its id, not null
      */
@@ -258,7 +262,7 @@
     }
 
     /**
-     * A target takes another part of the work than before, and is back for it.
+     * Handles a target that completed a stage change and accepts calls again.
      *
      * @param targetId its id, not null
      */
@@ -267,11 +271,11 @@
     }
 
     /**
-     * A target has started again under its id: it holds and knows nothing of before.
+     * Handles a target that restarted under the same id and so lost all earlier state.
      *
-     * <p>Failure: what is believed of the earlier start is used at the later one. Calls go where their prompt is thought
-     * to be kept and wait until it is read, connections are those of a process that is gone, and the target is left alone
-     * for what the earlier one did.
+     * <p>Failure: state of the earlier incarnation is applied to the new one. Calls are routed to it for cached prompts
+     * that it has to prefill again, pooled connections belong to a process that no longer exists, and the target is
+     * avoided because of errors of the earlier incarnation.
      *
      * @param targetId its id, not null
      */
@@ -286,13 +290,13 @@
         context.suspicions().handleTargetLost(targetId);
     }
 
-    /** Closes all kept connections to targets: after a suspension nobody knows how long they were idle. */
+    /** Closes all idle connections to targets, since after a suspension of the process their idle time is unknown. */
     public void dropKeptConnections() {
         context.connections().closeIdle();
     }
 
     /**
-     * Closes the kept connections of a target that is gone.
+     * Closes the idle connections to a target that is gone.
      *
      * @param targetId its id, not null
      */
@@ -300,17 +304,17 @@
         context.connections().removeTarget(targetId);
     }
 
-    /** From now on answers ask callers to use other connections. */
+    /** Starts draining: from now on, responses ask callers to close their connections. */
     public void leave() {
         draining = true;
     }
 
     /**
-     * Takes no more connections and closes those on which nothing is under way; a request that comes on another is told
-     * to go elsewhere.
+     * Stops accepting connections and closes idle ones; later requests on the remaining connections are refused.
      *
-     * <p>Failure: the balancer sends callers on while few instances of a data centre are ready, and callers keep their
-     * connections. A call taken shortly before the process has to end would be cut in the middle of its run.
+     * <p>Failure: the load balancer keeps sending callers to this instance while few instances of its data centre are
+     * ready, and callers keep their connections open. A call accepted shortly before the process has to exit would be cut
+     * off while it runs.
      */
     public void stopTaking() {
         if (accepting) {
@@ -326,18 +330,18 @@
     }
 
     /**
-     * Returns the calls under way.
+     * Returns the number of calls under way.
      *
-     * @return how many have no complete answer yet
+     * @return the calls without a complete response
      */
     public int openCount() {
         return openCount;
     }
 
     /**
-     * Returns the connections of callers.
+     * Returns the number of connections from callers.
      *
-     * @return how many are open
+     * @return the open connections
      */
     public int callersCount() {
         return listener.map(CallerListener::connectionsCount).orElse(0);
@@ -417,9 +421,9 @@
     }
 
     /**
-     * Logs what is held.
+     * Logs the numbers of calls and connections and the version of the configuration.
      *
-     * @param event the event's name, not null
+     * @param event the name of the log event, not null
      */
     public void logState(String event) {
         LogEvent.of(event)
--- a/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts every decision about a call and logs those that are no routine success. */
+/** Counts decisions about calls in the metrics and logs refusals, failures and disconnects. */
 final class LoggingReport implements RelayReport {
 
     private static final Logger log = LoggerFactory.getLogger(LoggingReport.class);
--- a/src/main/java/org/dogwoodwinch/relay/RelayContext.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayContext.java
@@ -16,24 +16,25 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * What all relays of a process share.
+ * The services that all relays of a process share.
  *
- * @param time the clock and timers of the event loop, not null
- * @param callHeaders reads and writes headers, not null
- * @param connections the connections to targets, not null
+ * @param time clock and timers of the event loop, not null
+ * @param callHeaders parses and builds HTTP headers, not null
+ * @param connections pool of connections to targets, not null
  * @param chooser chooses targets, not null
- * @param control asks engines, not null
- * @param loads what is under way at targets, not null
- * @param cacheIndex which parts of prompts engines keep, not null
- * @param prefillRates how fast engines read, not null
- * @param retryPolicy decides what follows on a failed send, not null
- * @param budget bounds repeats, not null
- * @param suspicions which calls crash targets, not null
- * @param health which targets could not be reached of late, not null
- * @param statedLimits hears of the limits that targets name, not null
- * @param connectionAborts hears of targets that break off calls, not null
- * @param report counts and logs, not null
- * @param sharingInstancesCount the instances that share a target's connections, asked each time, not null
+ * @param control client of the engines' control interfaces, not null
+ * @param loads tracks the calls under way at targets, not null
+ * @param cacheIndex prompt segments in the KV caches of engines, not null
+ * @param prefillRates estimated prefill rates of engines, not null
+ * @param retryPolicy chooses the next step after a failed send, not null
+ * @param budget limits retries, not null
+ * @param suspicions tracks calls suspected of crashing targets, not null
+ * @param health tracks targets that were recently unreachable, not null
+ * @param statedLimits receives the rate limits that targets state in responses, not null
+ * @param connectionAborts tracks targets that close new connections without a response, not null
+ * @param report receives decisions about calls for metrics and logs, not null
+ * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on each use,
+ *     not null
  */
 record RelayContext(
         TimeSource time,
@@ -75,22 +76,23 @@
     }
 
     /**
-     * Returns the connections that one target may get from here.
+     * Returns the maximum number of connections from this instance to one target.
      *
-     * <p>Failure: a target resets connections beyond its bound, and the calls on them may have run. Dealt out in equal
-     * shares to all instances that may exist, the sum cannot exceed the bound.
+     * <p>Failure: a target resets connections beyond its limit, and the calls on them may have run. The limit is divided
+     * equally among all instances that may exist, so the sum cannot exceed it.
      */
     int connectionsPerTarget(ServiceEntry service) {
         return Math.max(1, service.maxConnectionsCount() / sharingInstancesCount.getAsInt());
     }
 
     /**
-     * Goes on with a call once what waits on the callers' sockets was read, where the call is old enough that its caller may
-     * have left.
+     * Continues a call after pending input from callers was read, if the call is old enough that its caller may have
+     * disconnected. Younger calls continue at once.
      *
-     * <p>Failure: a busy instance comes to an engine's answer a second late, and its caller's leaving lies unread beside
-     * it: the call was sent on for nobody. What waits on the sockets is read before a task that is put off. Callers leave
-     * after two seconds and more, or where they are in a hurry within half of an objective; a younger call is not delayed.
+     * <p>Failure: a busy instance processes an engine's response a second late, while the disconnect of the caller is
+     * still unread on its socket, and sends the call on although nobody waits for it. The event loop reads pending input
+     * before it runs a deferred task. Callers disconnect after two seconds or more, or, with a short deadline, after half
+     * of a latency objective.
      */
     void afterCallerReads(long callArrivalMillis, Runnable next) {
         if (time.monotonicMillis() - callArrivalMillis < MIN_DEFERRED_AGE_MILLIS) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /** A target answered: at this address is the one that was meant, or it is not. */
+    /** Records a response, which may show that another target now has the address of the one that was meant. */
     void recordResponse(String targetId, boolean misdirected) {
         if (misdirected) {
             report.targetUnreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
@@ -109,14 +111,14 @@
         }
     }
 
-    /** A target opened a connection and broke off the call on it. */
+    /** Records that a target accepted a connection and closed it without a response to the call. */
     void recordAbort(String targetId) {
         report.targetUnreachable(targetId, connectionAborts.brokeOff(targetId), "broke_off");
     }
 
     /**
-     * The head of a target's answer came to a call that was sent then. Another target at its address says nothing of it, and
-     * that it names no limit counts in a success alone.
+     * Records the rate limit that the head of a response states. A response from another target at the same address is
+     * ignored, and the absence of a rate limit counts only in a successful response.
      */
     void recordResponseHead(Incarnation target, AnswerFacts facts, long sentMillis) {
         if (!facts.isMisdirected() && (facts.limitPerSecond().isPresent() || facts.isSuccess())) {
--- a/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
+++ b/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
@@ -15,8 +15,8 @@
 import org.dogwoodwinch.forwarding.ServiceEntry;
 
 /**
- * Lets one engine read the prompt of a call that another will run. The call does not run here, so whatever goes wrong
- * leaves it free to run elsewhere. Used on one event loop alone.
+ * Prefills the prompt of a call on one engine so that another can run the call. The call itself does not run on this
+ * engine, so after any failure it may still be run on another one. Confined to one event loop.
  */
 final class RemotePrefill implements ResponseSink {
 
@@ -35,14 +35,14 @@
     private boolean ended;
 
     /**
-     * Creates a reading that does nothing yet.
+     * Creates a prefill that sends nothing before {@link #start}.
      *
-     * @param context what all relays share, not null
-     * @param service the engine's service, not null
-     * @param engine the engine, not null
-     * @param prompt the prompt, not null
-     * @param prefillWork how it is read, not null
-     * @param onOutcome gets the outcome; not told after {@link #cancel}
+     * @param context the services that all relays share, not null
+     * @param service the service that the engine belongs to, not null
+     * @param engine the engine that prefills the prompt, not null
+     * @param prompt the prompt of the call, not null
+     * @param prefillWork the tokens to prefill and their queue level, not null
+     * @param onOutcome receives the outcome, unless {@link #cancel} is called before, not null
      */
     RemotePrefill(
             RelayContext context,
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Sends the call.
+     * Sends the prefill request.
      *
-     * @param arrivalMillis when the call came, in milliseconds of the steady clock
-     * @param outbound the call as it is written to the reader, made when it is sent, not null
+     * @param arrivalMillis when the call arrived, in monotonic milliseconds
+     * @param outbound supplies the request to the engine, evaluated when it is sent, not null
      */
     void start(long arrivalMillis, Supplier<OutboundCall> outbound) {
         context.connections()
@@ -103,7 +103,7 @@
         acquired.send(outbound, this);
     }
 
-    /** The call has ended otherwise: the engine drops the work with its connection. */
+    /** Cancels the prefill by closing its connection, on which the engine drops the work. */
     void cancel() {
         if (ended) {
             return;
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
@@ -25,16 +25,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to a target, with one call at a time. Used on its event loop alone.
+ * A connection to a target that carries one call at a time. Confined to its event loop.
  *
- * <p>Bytes that come while no call waits belong to no call: the connection is closed. An answer that bears another
- * call's id is passed over, since a target may give a second answer to an earlier call where the next one is due.
+ * <p>If bytes arrive while no call waits for a response, they belong to no call and the connection is closed. A response
+ * with another call's id is skipped, since a target may send a duplicate response to an earlier call before the response
+ * to the current one.
  */
 final class TargetConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     private static final Logger log = LoggerFactory.getLogger(TargetConnection.class);
 
-    /** Strangers' answers on one call after which the connection is given up: a target gives one second answer a call. */
+    /**
+     * Maximum number of skipped responses per call, after which the connection is closed; a target duplicates a response
+     * at most once.
+     */
     private static final int MAX_SKIPPED_RESPONSES = 3;
 
     private static final String TIMED_OUT = "timed out";
@@ -92,20 +96,22 @@
         idleSinceMillis = nowMillis;
     }
 
-    /** Whether the target may have closed it by now, or is about to while a call is under way to it. */
+    /**
+     * Returns whether the target may have closed the connection by now, or may close it while the next call is on its way.
+     */
     boolean isStale(long nowMillis, long marginMillis) {
         return nowMillis - idleSinceMillis > idleLimitMillis - marginMillis;
     }
 
     /**
-     * Writes a call. From here on the target may run it.
+     * Writes a call. From this point on, the target may run it.
      *
-     * @param call the call, not null
-     * @param responseSink takes its answer, not null
+     * @param call the call to write, not null
+     * @param responseSink receives the response, not null
      */
     void send(OutboundCall call, ResponseSink responseSink) {
         if (state != State.IDLE) {
-            throw new IllegalStateException("a call is under way: " + state);
+            throw new IllegalStateException("cannot send: the connection is not idle but " + state);
         }
         sink = Objects.requireNonNull(responseSink, "responseSink");
         requestId = call.requestId();
@@ -126,7 +132,7 @@
         writeFuture = channel.writeAndFlush(request);
     }
 
-    /** Gives the call up: the target sees its connection close and drops the work. */
+    /** Cancels the call by closing the connection, on which the target drops the work. */
     void abort() {
         sink = null;
         close();
@@ -215,15 +221,15 @@
         if (content.content().isReadable()) {
             sink.onBody(content.content());
         }
-        // The sink may have given the call up while it took the piece.
+        // The sink may have aborted the call while it processed the chunk.
         if (last && state == State.RECEIVING && sink != null) {
             completeCall();
         }
     }
 
     /**
-     * A target may answer before it has read a long body. What it reads later must be the rest of that body, so the
-     * connection is only kept where all of it was written.
+     * Completes the call. A target may respond before it has read a long request body and expects the rest of that body
+     * next, so the connection is reused only if the whole request was written.
      */
     private void completeCall() {
         ResponseSink completed = sink;
@@ -236,7 +242,10 @@
         completed.onEnd();
     }
 
-    /** Only after all bytes that had arrived were looked at: some may follow the answer and belong to nobody. */
+    /**
+     * Returns the connection to the pool only after all received bytes were processed, since stray bytes may follow the
+     * response.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (state == State.SETTLING && channel.isActive() && keepAlive) {
@@ -261,7 +270,10 @@
         }
     }
 
-    /** Silence may be the fault of the link here; transports name it by their message alone. */
+    /**
+     * Returns whether the cause is a time-out, which may also be due to the local network link. Transports identify it only
+     * by the exception's message.
+     */
     private static boolean isTimeout(Throwable cause) {
         return cause.getMessage() != null && cause.getMessage().contains(TIMED_OUT);
     }
@@ -270,7 +282,10 @@
         return state == State.WAITING && callsCount == 1;
     }
 
-    /** A reset is no orderly end: an answer without a length that ends so must not look whole. */
+    /**
+     * Fails the call. A reset is not an orderly close: a response without a length that ends with one must not be treated
+     * as complete.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext _context, Throwable cause) {
         if (sink != null || state != State.IDLE) {
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
@@ -16,26 +16,26 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * The connections to targets, kept between calls. Used on one event loop alone.
+ * A pool of connections to targets. Confined to one event loop.
  *
- * <p>Kept by incarnation, never by address: an address may be another target's after the first one's end.
+ * <p>Connections are pooled by target id and never by address, since an address may be reassigned to another target.
  */
 final class TargetConnectionPool {
 
-    /** Takes a connection, or learns that none could be had and that no byte was written. */
+    /** Receives a connection, or the reason why there is none. In the latter case, no byte was written. */
     interface AcquireCallback {
 
         /**
-         * A connection is there, for this call alone.
+         * Receives a connection for the exclusive use of this call.
          *
          * @param connection the connection, not null
          */
         void acquired(TargetConnection connection);
 
         /**
-         * There is none.
+         * Receives the reason why no connection was acquired.
          *
-         * @param reason why, for logs and counters, not null
+         * @param reason the reason for logs and metrics, not null
          */
         void notAcquired(String reason);
     }
@@ -67,11 +67,12 @@
     }
 
     /**
-     * Hands out a kept connection, or opens one. Whatever is sent to a target passes here, and is asked for here once.
+     * Acquires an idle connection or opens one. Every send to a target acquires its connection here and so takes from the
+     * target's rate limit exactly once.
      *
-     * @param target whose connection, not null
-     * @param maxConnections the most connections to it from here
-     * @param callback gets the outcome, at once or later, on the event loop, not null
+     * @param target the target to connect to, not null
+     * @param maxConnections the maximum number of connections from this instance to the target
+     * @param callback receives the outcome on the event loop, possibly before this method returns, not null
      */
     void acquire(Incarnation target, int maxConnections, AcquireCallback callback) {
         TargetPool pool = pools.computeIfAbsent(target.id(), _id -> new TargetPool());
@@ -100,7 +101,7 @@
     }
 
     /**
-     * Gives back a connection that was taken and not used.
+     * Returns an acquired connection that was not used.
      *
      * @param connection the connection, not null
      */
@@ -109,7 +110,7 @@
     }
 
     /**
-     * Closes the kept connections of a target that is gone; calls under way go on.
+     * Closes the idle connections to a target that is gone; calls under way continue.
      *
      * @param id the target's id, not null
      */
@@ -125,7 +126,7 @@
         removeIfEmpty(id, pool);
     }
 
-    /** Closes all kept connections; calls under way go on. */
+    /** Closes all idle connections; calls under way continue. */
     void closeIdle() {
         for (TargetPool pool : List.copyOf(pools.values())) {
             List<TargetConnection> pooled = List.copyOf(pool.idle);
