--- a/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
@@ -6,15 +6,16 @@
 import java.util.OptionalLong;
 
 /**
- * What a target states in the head of an answer.
+ * The attributes of a call that a target states in the head of its response.
  *
  * @param status the HTTP status
- * @param requestId the id of the call that it answers, empty where it names none
- * @param signed whether it bears the target's signature
- * @param statesNotRun whether it states that the call did not run
- * @param encoded whether the body is not the target's own bytes
- * @param idleMillis how long the target keeps the connection without a call, empty where it does not say
- * @param limitPerSecond the calls a second that the target takes from all instances together, empty where it names none
+ * @param requestId the id of the call that the response belongs to; empty if it states none
+ * @param signed whether the response carries the target's signature
+ * @param statesNotRun whether the response states that the call did not run
+ * @param encoded whether the body is encoded and so differs from the target's own bytes
+ * @param idleMillis how long the target keeps an idle connection open; empty if it does not state it
+ * @param limitPerSecond the rate limit of the target for all instances together, in calls per second; empty if it states
+ *     none
  */
 public record AnswerFacts(
         int status,
@@ -29,24 +30,24 @@
     private static final int CLASS_DIVISOR = 100;
     private static final int MISDIRECTED = 421;
 
-    /** Checks. */
+    /** Validates the components. */
     public AnswerFacts {
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(idleMillis, "idleMillis");
         Objects.requireNonNull(limitPerSecond, "limitPerSecond");
     }
 
-    /** Whether another target has the address, or this one is of the wrong stage by now. */
+    /** Returns whether another target has the address now, or the target has another stage than expected. */
     boolean isMisdirected() {
         return status == MISDIRECTED;
     }
 
-    /** Whether the status is one of success; what else a success needs is not asked here. */
+    /** Returns whether the status is 2xx; does not check the other conditions of a proven success. */
     boolean isSuccess() {
         return status / CLASS_DIVISOR == SUCCESS_CLASS;
     }
 
-    /** Whether the call has not run and never will. */
+    /** Returns whether the call has not run and never will. */
     boolean isRejected() {
         return statesNotRun || isMisdirected();
     }
--- a/src/main/java/org/dogwoodwinch/relay/BodyMemory.java
+++ b/src/main/java/org/dogwoodwinch/relay/BodyMemory.java
@@ -1,10 +1,10 @@
 package org.dogwoodwinch.relay;
 
 /**
- * Bounds the memory of all request bodies that are held at once. Used on one event loop alone.
+ * Limits the memory of all request bodies held at the same time. Confined to one event loop.
  *
- * <p>Failure: many callers send large bodies together, each within its own limit, and the process is killed for its
- * memory with every call in it. A caller that is over the bound is told to come back instead.
+ * <p>Failure: many callers send large bodies at the same time, each within the limit of a single body, and the process
+ * runs out of memory and is killed with all its calls. A request beyond the common limit is refused instead.
  */
 final class BodyMemory {
 
@@ -15,7 +15,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Takes room for bytes; false, and nothing is taken, where there is none. */
+    /** Reserves memory for bytes; returns false without a reservation if that would exceed the limit. */
     boolean tryReserve(int bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
--- a/src/main/java/org/dogwoodwinch/relay/BreakOffs.java
+++ b/src/main/java/org/dogwoodwinch/relay/BreakOffs.java
@@ -1,27 +1,27 @@
 package org.dogwoodwinch.relay;
 
-/** Judges targets that break off calls on new connections; what it judges may be told to other instances. */
+/** Tracks targets that close new connections without a response; the result may be sent to other instances. */
 public interface BreakOffs {
 
     /**
-     * A target broke off a call before an answer, on a connection opened for it.
+     * Records that a target closed a connection that was opened for a call, before it responded to the call.
      *
-     * @param targetId its id, not null
-     * @return the pause until it is tried again, in milliseconds
+     * @param targetId the id of the target, not null
+     * @return the pause until the target is used again, in milliseconds
      */
     long brokeOff(String targetId);
 
     /**
-     * A target answered a call, in whatever way.
+     * Records that a target responded to a call, with whatever status.
      *
-     * @param targetId its id, not null
+     * @param targetId the id of the target, not null
      */
     void answered(String targetId);
 
     /**
-     * A target is listed no more, or has started anew.
+     * Removes the records of a target that is no longer listed or has restarted.
      *
-     * @param targetId its id, not null
+     * @param targetId the id of the target, not null
      */
     void forget(String targetId);
 }
--- a/src/main/java/org/dogwoodwinch/relay/CacheChanges.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheChanges.java
@@ -4,29 +4,29 @@
 import java.util.Objects;
 
 /**
- * What changed in an engine's memory of parts.
+ * Changes of the prompt segments in an engine's KV cache.
  *
- * @param epoch changes when the engine restarts, not null
- * @param nextNumber where the next question goes on
- * @param gap whether events before these are lost
- * @param changes in order, not null
+ * @param epoch identifies one run of the engine; differs after a restart, not null
+ * @param nextNumber the sequence number from which the next poll continues
+ * @param gap whether earlier changes are missing because the engine no longer retains them
+ * @param changes the changes in the order in which they occurred, not null
  */
 public record CacheChanges(String epoch, long nextNumber, boolean gap, List<CacheChange> changes) {
 
-    /** Checks and copies. */
+    /** Validates the components and copies the list. */
     public CacheChanges {
         Objects.requireNonNull(epoch, "epoch");
         changes = List.copyOf(changes);
     }
 
     /**
-     * One part's change.
+     * A change of one segment.
      *
-     * @param partId the part, not null
-     * @param keptTokens how many of its tokens are kept now; zero where it was dropped
+     * @param partId the id of the segment, not null
+     * @param keptTokens the number of its tokens that are now cached; zero if it was evicted
      */
     public record CacheChange(String partId, int keptTokens) {
-        /** Checks. */
+        /** Validates the components. */
         public CacheChange {
             Objects.requireNonNull(partId, "partId");
         }
--- a/src/main/java/org/dogwoodwinch/relay/CacheListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheListener.java
@@ -1,26 +1,26 @@
 package org.dogwoodwinch.relay;
 
-/** Hears what the watch of engines' memories learns from the engines themselves. */
+/** Receives the changes of KV caches that engines report to {@link CacheWatch}. */
 public interface CacheListener {
 
     /**
-     * An engine keeps a part, or less of it.
+     * The number of a segment's tokens in an engine's cache changed.
      *
      * @param engineId the engine's id, not null
-     * @param partId the part, not null
-     * @param keptTokens how many of its tokens are kept now; zero where it was dropped
+     * @param partId the id of the segment, not null
+     * @param keptTokens the number of its tokens that are now cached; zero if it was evicted
      */
     void changed(String engineId, String partId, int keptTokens);
 
     /**
-     * An engine's whole list was taken, or what was known of it was forgotten.
+     * An engine's index entries were replaced by its complete list, or removed.
      *
      * @param engineId the engine's id, not null
      */
     void listed(String engineId);
 
     /**
-     * An engine is watched from here no more.
+     * This instance no longer polls an engine.
      *
      * @param engineId the engine's id, not null
      */
--- a/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
@@ -52,26 +52,26 @@
      * Creates a watch that does not poll yet.
      *
      * @param control client of the engines' control interfaces, not null
-     * @param parts what it keeps, not null
+     * @param cacheIndex the index to update, not null
      * @param engines supplies the engines in use, evaluated each round, not null
-     * @param ownDuty whether an engine, by its id, is asked from here; for the others the instance that asks tells what it
-     *     hears, not null
+     * @param polledHere returns whether this instance polls the engine with the given id; the changes of other engines are
+     *     received from the instances that poll them, not null
      * @param listener receives the changes that engines report, not null
      * @param time clock and timer of the rounds, not null
      * @param roundMillis the interval between two polls of an engine, in milliseconds
      */
     public CacheWatch(
             EngineControl control,
-            KvCacheIndex parts,
+            KvCacheIndex cacheIndex,
             Supplier<List<Incarnation>> engines,
-            Predicate<String> ownDuty,
+            Predicate<String> polledHere,
             CacheListener listener,
             TimeSource time,
             long roundMillis) {
         this.control = Objects.requireNonNull(control, "control");
-        this.cacheIndex = Objects.requireNonNull(parts, "parts");
+        this.cacheIndex = Objects.requireNonNull(cacheIndex, "cacheIndex");
         this.engines = Objects.requireNonNull(engines, "engines");
-        this.polledHere = Objects.requireNonNull(ownDuty, "ownDuty");
+        this.polledHere = Objects.requireNonNull(polledHere, "polledHere");
         this.listener = Objects.requireNonNull(listener, "listener");
         this.time = Objects.requireNonNull(time, "time");
         this.roundMillis = roundMillis;
--- a/src/main/java/org/dogwoodwinch/relay/CallFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallFacts.java
@@ -6,12 +6,12 @@
 import org.dogwoodwinch.forwarding.Prompt;
 
 /**
- * What a caller states of a call in its headers.
+ * The attributes of a call that a caller states in its headers.
  *
- * @param requestId the id of this attempt of the caller, empty where it names none or names it twice
- * @param deadlineMillis how long the caller waits, empty where it does not say
- * @param prompt the work asked of a model, empty for a plain call
- * @param lastEventId the last event that the caller has, empty where it does not resume
+ * @param requestId the id of this attempt of the caller; empty if the header is absent or repeated
+ * @param deadlineMillis how long the caller waits; empty if it does not state it
+ * @param prompt the prompt for a model; empty for a call to another service
+ * @param lastEventId the id of the last event that the caller received; empty if it does not resume a stream
  */
 public record CallFacts(
         Optional<String> requestId,
@@ -19,7 +19,7 @@
         Optional<Prompt> prompt,
         Optional<String> lastEventId) {
 
-    /** Checks. */
+    /** Validates the components. */
     public CallFacts {
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(deadlineMillis, "deadlineMillis");
--- a/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
@@ -3,40 +3,40 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Reads and writes the headers that callers, targets and this system understand; names them for nobody else. */
+/** Parses and builds the HTTP headers exchanged with callers and targets, and encapsulates their names. */
 public interface CallHeaders {
 
     /**
-     * Reads what a caller states.
+     * Parses the headers of a call.
      *
-     * @param headers the call's headers, not null
-     * @return the facts
+     * @param headers the headers of the call, not null
+     * @return the attributes
      */
     CallFacts readCall(HttpHeaders headers);
 
     /**
-     * Makes the headers of a send from a caller's: without those of one connection, without those that only this system
-     * may set, and with what this send states.
+     * Builds the headers of a send from those of the caller. Omits hop-by-hop headers and those that only this system may
+     * set, and adds the attributes of this send.
      *
-     * @param callers the caller's headers, not null; unchanged
-     * @param facts what the send states, not null
-     * @return new headers, without a length
+     * @param callers the headers of the caller, not null; not modified
+     * @param facts the attributes of the send, not null
+     * @return new headers without Content-Length
      */
     HttpHeaders forSend(HttpHeaders callers, SendFacts facts);
 
     /**
-     * Reads what a target states.
+     * Parses the head of a target's response.
      *
-     * @param answer the answer's head, not null
-     * @return the facts
+     * @param answer the head of the response, not null
+     * @return the attributes
      */
     AnswerFacts readAnswer(HttpResponse answer);
 
     /**
-     * Makes the headers of an answer to a caller from a target's, without those of one connection.
+     * Builds the headers of a response to a caller from those of the target, without hop-by-hop headers.
      *
-     * @param targets the target's headers, not null; unchanged
-     * @return new headers, without a length
+     * @param targets the headers of the target, not null; not modified
+     * @return new headers without Content-Length
      */
     HttpHeaders forCaller(HttpHeaders targets);
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -247,7 +247,12 @@
     private void startRemotePrefill(Incarnation prefillTarget) {
         remotePrefillUsed = true;
         RemotePrefill started = new RemotePrefill(
-                context, service, prefillTarget, facts.prompt().orElseThrow(), plan.prefillWork(), this::handlePrefillOutcome);
+                context,
+                service,
+                prefillTarget,
+                facts.prompt().orElseThrow(),
+                plan.prefillWork(),
+                this::handlePrefillOutcome);
         remotePrefill = Optional.of(started);
         started.start(call.arrivalMillis(), () -> outbound(prefillTarget, true));
     }
@@ -273,7 +278,8 @@
             chooseAndSend();
         } else if (outcome instanceof PrefillOutcome.NoCacheHandle noHandle) {
             context.report()
-                    .prefillFailed(this, prefillTarget, noHandle.reason(), new NextStep.SendAgain(), remainingRetries());
+                    .prefillFailed(
+                            this, prefillTarget, noHandle.reason(), new NextStep.SendAgain(), remainingRetries());
             chooseAndSend();
         } else {
             handlePrefillFailure(prefillTarget, ((PrefillOutcome.Failed) outcome).reason());
--- a/src/main/java/org/dogwoodwinch/relay/CallerListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerListener.java
@@ -16,10 +16,10 @@
 import org.dogwoodwinch.net.Transport;
 import org.dogwoodwinch.time.TimeSource;
 
-/** The listener of forwarded calls. */
+/** Listens for connections from callers whose calls are forwarded. */
 final class CallerListener {
 
-    /** The queue of connections that wait to be accepted: one that is dropped there comes back after a second. */
+    /** Length of the accept queue. A connection attempt beyond it is dropped and repeated by the client after a second. */
     private static final int BACKLOG = 1_024;
 
     private final Transport transport;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Binds it.
+     * Binds the listener.
      *
-     * @param address where to listen; port 0 for any free one, not null
+     * @param address the address to listen on, port 0 for any free port, not null
      * @throws IOException if the address cannot be bound
      */
     void bind(InetSocketAddress address) throws IOException {
@@ -68,12 +68,12 @@
         return connections.size();
     }
 
-    /** Takes no more connections; those open go on. */
+    /** Stops accepting connections; open ones continue. */
     void stopAccepting() {
         Channels.close(listener);
     }
 
-    /** Closes the connections on which nothing is under way. */
+    /** Closes connections without a request that is being read, queued or under way. */
     void closeIdle() {
         for (CallerConnection connection : List.copyOf(connections.values())) {
             if (connection.isIdle()) {
--- a/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
@@ -7,18 +7,18 @@
 import org.dogwoodwinch.forwarding.CallerLimits;
 import org.dogwoodwinch.time.TimeSource;
 
-/** What handles a caller's connection. */
+/** Installs the channel handlers of a connection from a caller. */
 final class CallerPipeline {
 
     private CallerPipeline() {}
 
     /**
-     * Adds the handlers.
+     * Adds the handlers to a channel.
      *
-     * @param channel the connection, not null
-     * @param handler takes its requests, not null
-     * @param time the clock and timers, not null
-     * @return the last handler
+     * @param channel the channel of the connection, not null
+     * @param handler handles the requests, not null
+     * @param time clock and timers of the event loop, not null
+     * @return the last handler of the pipeline
      */
     static CallerConnection install(Channel channel, RequestHandler handler, TimeSource time) {
         CallerLimits limits = handler.limits();
@@ -29,7 +29,7 @@
         return connection;
     }
 
-    /** Notes when the first byte of a request arrives: its deadline runs from there, not from the end of its body. */
+    /** Records the arrival of the first byte of a request, from which its deadline is counted. */
     private static final class ArrivalRecorder extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
--- a/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
@@ -4,20 +4,20 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import org.dogwoodwinch.bytes.Bytes;
 
-/** Writes the answer of one call to its caller; used on the event loop alone. */
+/** Writes the response of one call to its caller. Confined to the event loop. */
 interface CallerResponse {
 
     /**
-     * Writes a whole answer.
+     * Writes a complete response.
      *
      * @param status the HTTP status
      * @param headers without a length, not null
-     * @param body the whole body, not null
+     * @param body the complete body, not null
      */
     void sendResponse(int status, HttpHeaders headers, Bytes body);
 
     /**
-     * Begins an answer whose body follows in pieces.
+     * Begins a response whose body follows in chunks.
      *
      * @param status the HTTP status
      * @param headers without a length, not null
@@ -25,22 +25,22 @@
     void beginResponse(int status, HttpHeaders headers);
 
     /**
-     * Writes a piece of the body.
+     * Writes a chunk of the body.
      *
-     * @param piece the bytes; ownership passes over, not null
+     * @param piece the bytes, not null; ownership is transferred
      */
     void writeBody(ByteBuf piece);
 
-    /** Ends the body as complete. */
+    /** Marks the end of a complete body. */
     void endResponse();
 
-    /** Closes the connection without an end of the body, so that the answer cannot look complete. */
+    /** Closes the connection without the end of the body, so that the response cannot be taken for a complete one. */
     void abortResponse();
 
     /**
      * Whether the caller takes more bytes now; {@link CallRelay#onCallerWritable} tells when it does again.
      *
-     * @return false while too many bytes wait for the caller
+     * @return false while too many bytes are buffered for the caller
      */
     boolean isWritable();
 }
--- a/src/main/java/org/dogwoodwinch/relay/ControlCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCall.java
@@ -15,7 +15,7 @@
  */
 public record ControlCall(HttpMethod method, String uri, HttpHeaders headers, Bytes body) {
 
-    /** Checks. */
+    /** Validates the components. */
     public ControlCall {
         Objects.requireNonNull(method, "method");
         Objects.requireNonNull(uri, "uri");
--- a/src/main/java/org/dogwoodwinch/relay/ControlReply.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlReply.java
@@ -13,7 +13,7 @@
      * @param body its body, not null
      */
     record Answered(int status, Bytes body) implements ControlReply {
-        /** Checks. */
+        /** Validates the components. */
         public Answered {
             Objects.requireNonNull(body, "body");
         }
@@ -25,7 +25,7 @@
      * @param reason what happened, not null
      */
     record Lost(String reason) implements ControlReply {
-        /** Checks. */
+        /** Validates the components. */
         public Lost {
             Objects.requireNonNull(reason, "reason");
         }
--- a/src/main/java/org/dogwoodwinch/relay/EventFramer.java
+++ b/src/main/java/org/dogwoodwinch/relay/EventFramer.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of events at their ends and remembers the id of the last whole one.
+ * Splits an event stream at event boundaries and records the id of the last complete event.
  *
- * <p>Failure: a target crashes in the middle of an event and another goes on after the last whole one; the caller would
- * get half an event, then a new one. So only whole events are passed on.
+ * <p>Failure: a target crashes within an event and another one resumes after the last complete event, so the caller would
+ * receive a partial event followed by a new one. Only complete events are passed on.
  */
 final class EventFramer {
 
@@ -23,12 +23,12 @@
         this.lastEventId = Objects.requireNonNull(lastEventId, "lastEventId");
     }
 
-    /** The id after which another target has to go on; empty before the first event. */
+    /** Returns the id of the event after which another target has to resume; empty before the first event. */
     Optional<String> lastEventId() {
         return lastEventId;
     }
 
-    /** Whether bytes of an event came without its end. */
+    /** Returns whether an incomplete event is buffered. */
     boolean hasPartialEvent() {
         return pending.length > 0;
     }
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Takes a piece and returns what is whole by now.
+     * Appends bytes of the stream and returns the events that are now complete.
      *
-     * @param piece the next bytes, not null; not consumed
-     * @return whole events, empty where none ended
+     * @param piece the next bytes, not null; its reader index is not changed
+     * @return the bytes of complete events; empty if none is complete
      */
     byte[] append(ByteBuf piece) {
         byte[] buffered = Arrays.copyOf(pending, pending.length + piece.readableBytes());
--- a/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
+++ b/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
@@ -6,7 +6,10 @@
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.Prompt;
 
-/** What one send puts on a target, from its first byte until its prompt is read and until it ends. */
+/**
+ * A send that is under way at a target. Counts towards the target's load until the send ends, and towards its prefill queue
+ * until the prompt is prefilled.
+ */
 final class InFlightSend {
 
     private final RelayContext context;
@@ -30,13 +33,13 @@
     }
 
     /**
-     * Begins with a send.
+     * Records the start of a send.
      *
-     * @param context what all relays share, not null
-     * @param target where it goes, not null
-     * @param prompt what is to be read there, empty where there is none or its memory is brought along, not null
-     * @param prefillWork how it is read, not null
-     * @return the account
+     * @param context the services that all relays share, not null
+     * @param target the target of the send, not null
+     * @param prompt the prompt to prefill at the target, empty if there is none or its KV cache is transferred, not null
+     * @param prefillWork the tokens to prefill and their queue level, not null
+     * @return the send under way
      */
     static InFlightSend start(
             RelayContext context, Incarnation target, Optional<Prompt> prompt, ForwardingPlan.PrefillWork prefillWork) {
@@ -56,12 +59,12 @@
         return aheadTokens;
     }
 
-    /** The head of the answer came: what it states of the target is believed. */
+    /** Records the rate limit that the head of the response states. */
     void recordResponseHead(AnswerFacts facts) {
         context.recordResponseHead(target, facts, sentMillis);
     }
 
-    /** The prompt was read: its parts are kept there, and the time that it took tells how fast the target reads. */
+    /** Records that the prompt is prefilled and its segments are cached, and derives the target's prefill rate. */
     void recordPrefillDone() {
         if (!prefillPending) {
             return;
@@ -75,7 +78,7 @@
         });
     }
 
-    /** The send has ended in any way. */
+    /** Records the end of the send, whatever its outcome. */
     void end() {
         if (!open) {
             return;
--- a/src/main/java/org/dogwoodwinch/relay/LocalResponses.java
+++ b/src/main/java/org/dogwoodwinch/relay/LocalResponses.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import org.dogwoodwinch.bytes.Bytes;
 
-/** Answers that this system makes itself. */
+/** Responses that this instance generates itself instead of relaying them from a target. */
 final class LocalResponses {
 
     static final int BAD_REQUEST = 400;
@@ -22,7 +22,7 @@
 
     private LocalResponses() {}
 
-    /** Says whether a status promises that the call did not run and never will. */
+    /** Returns whether a status guarantees that the call did not run and never will. */
     static boolean guaranteesNotRun(int status) {
         return status == UNAVAILABLE || status == REQUEST_TIMEOUT;
     }
@@ -31,7 +31,7 @@
         caller.sendResponse(status, textHeaders(), Bytes.ofUtf8(reason));
     }
 
-    /** Refuses a call that did not run, and tells when to come back. */
+    /** Refuses a call that did not run, with a Retry-After header. */
     static void sendRetryable(CallerResponse caller, int status, String reason, long retryAfterMillis) {
         HttpHeaders headers = textHeaders();
         headers.set(
--- a/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
@@ -111,7 +111,9 @@
                     .with("level", prefillWork.level())
                     .with("unreadTokens", prefillWork.prefillTokens())
                     .with("aheadTokens", aheadTokens)
-                    .with("keeper", prefillWork.cacheSource().map(Incarnation::id).orElse(""))
+                    .with(
+                            "keeper",
+                            prefillWork.cacheSource().map(Incarnation::id).orElse(""))
                     .with("purpose", lowerCaseName(purpose))
                     .with("limitUsedUp", limits.exhaustedTargetIds())
                     .debug(log);
--- a/src/main/java/org/dogwoodwinch/relay/OrderState.java
+++ b/src/main/java/org/dogwoodwinch/relay/OrderState.java
@@ -12,7 +12,7 @@
  */
 public record OrderState(Stage stage, boolean busy, long ordersCount) {
 
-    /** Checks. */
+    /** Validates the components. */
     public OrderState {
         Objects.requireNonNull(stage, "stage");
     }
--- a/src/main/java/org/dogwoodwinch/relay/OutboundCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/OutboundCall.java
@@ -18,7 +18,7 @@
 public record OutboundCall(
         String requestId, HttpMethod method, String uri, HttpHeaders headers, Bytes body, boolean lengthStated) {
 
-    /** Checks. */
+    /** Validates the components. */
     public OutboundCall {
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(method, "method");
--- a/src/main/java/org/dogwoodwinch/relay/PageListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/PageListener.java
@@ -23,7 +23,7 @@
 import org.dogwoodwinch.http.Channels;
 import org.dogwoodwinch.net.Transport;
 
-/** A listener for short questions without a body, such as the balancer's whether the instance is ready. */
+/** A server for short text pages, such as the load balancer's readiness check and the metrics. */
 final class PageListener {
 
     private static final int MAX_BODY_BYTES = 1_024;
@@ -31,20 +31,20 @@
     private PageListener() {}
 
     /**
-     * One short answer.
+     * A text page.
      *
      * @param status the HTTP status
-     * @param contentType of the text, not null
+     * @param contentType the content type of the text, not null
      * @param text the body, not null
      */
     record Page(int status, String contentType, String text) {}
 
     /**
-     * Binds it.
+     * Binds a listener.
      *
-     * @param transport its sockets, not null
-     * @param address where to listen, not null
-     * @param pages answers a path, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
+     * @param pages returns the page for a request path, not null
      * @return the listening channel
      * @throws IOException if the address cannot be bound
      */
@@ -92,7 +92,7 @@
             }
         }
 
-        /** A question that breaks off concerns nobody else; the next one comes on a new connection. */
+        /** Closes the connection. The failure affects no other request, since clients retry on a new connection. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable _cause) {
             Channels.close(context.channel());
--- a/src/main/java/org/dogwoodwinch/relay/PromptMemory.java
+++ b/src/main/java/org/dogwoodwinch/relay/PromptMemory.java
@@ -10,7 +10,7 @@
  */
 public record PromptMemory(String address, String handle) {
 
-    /** Checks. */
+    /** Validates the components. */
     public PromptMemory {
         Objects.requireNonNull(address, "address");
         Objects.requireNonNull(handle, "handle");
--- a/src/main/java/org/dogwoodwinch/relay/RequestHandler.java
+++ b/src/main/java/org/dogwoodwinch/relay/RequestHandler.java
@@ -2,45 +2,46 @@
 
 import org.dogwoodwinch.forwarding.CallerLimits;
 
-/** What callers' connections ask of the process. */
+/** Handles the requests that connections from callers receive. */
 interface RequestHandler {
 
     /**
-     * Returns the limits of a new connection.
+     * Returns the limits for a new connection.
      *
-     * @return those of the configuration in force
+     * @return the limits from the configuration in force
      */
     CallerLimits limits();
 
     /**
-     * Says whether connections are to be closed after their answer.
+     * Returns whether connections are to be closed after their next response.
      *
-     * @return whether the process stops
+     * @return whether the process is draining
      */
     boolean draining();
 
     /**
-     * Returns the bound of all bodies held at once.
+     * Returns the common limit for the memory of all request bodies.
      *
-     * @return the bound, the same for all connections
+     * @return the limit shared by all connections
      */
     BodyMemory bodyMemory();
 
     /**
-     * Takes a request.
+     * Handles a request.
      *
-     * @param call the request, read whole, not null
-     * @param caller gets the answer, not null
-     * @param onDone told once when the call has ended in any way, not null
-     * @return the call's life, for what its caller does meanwhile; {@link ActiveCall#NONE} where it was answered at once
+     * @param call the complete request, not null
+     * @param caller writes the response to the caller, not null
+     * @param onDone run exactly once, when the call has ended in any way, not null
+     * @return the call under way, which is notified of events on the caller's connection; {@link ActiveCall#NONE} if the
+     *     response was sent at once
      */
     ActiveCall handle(IncomingCall call, CallerResponse caller, Runnable onDone);
 
     /**
-     * A request was refused while it was read.
+     * Records a request that was refused while it was read.
      *
-     * @param status the answer's status
-     * @param reason why, not null
+     * @param status the status of the response
+     * @param reason the reason of the refusal, not null
      */
     void recordRefusal(int status, String reason);
 }
--- a/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
@@ -3,33 +3,33 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Takes the answer of one send as it arrives. After {@link #onEnd} or {@link #onLost} nothing more comes. */
+/** Receives the response to one send. No method is called after {@link #onEnd} or {@link #onLost}. */
 public interface ResponseSink {
 
     /**
-     * The head arrived, and it answers this call.
+     * Receives the head of the response, which belongs to this call.
      *
-     * @param facts what it states, not null
-     * @param headers its headers, not null
+     * @param facts the attributes that the head states, not null
+     * @param headers the response headers, not null
      */
     void onHead(AnswerFacts facts, HttpHeaders headers);
 
     /**
-     * A piece of the body arrived.
+     * Receives a chunk of the body.
      *
      * @param piece the bytes, not null; valid only during the call unless retained
      */
     void onBody(ByteBuf piece);
 
-    /** The answer is whole: its length was met, its last chunk seen, or its connection closed in order. */
+    /** The response is complete, by its length, its last chunk or an orderly close of its connection. */
     void onEnd();
 
     /**
-     * The answer will not come, or not its rest.
+     * The rest of the response, or all of it, will not arrive.
      *
-     * @param reason what happened, for logs and counters, not null
-     * @param connectionAborted whether the connection was opened for this call and ended before an answer began; on a kept one the
-     *     target may have closed it for its rest, which says nothing of the target
+     * @param reason the reason for logs and metrics, not null
+     * @param connectionAborted whether the connection was opened for this call and closed before a response began; false for a
+     *     reused connection, which the target may have closed for being idle
      */
     void onLost(String reason, boolean connectionAborted);
 }
--- a/src/main/java/org/dogwoodwinch/relay/SendFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/SendFacts.java
@@ -24,7 +24,7 @@
         Optional<Incarnation> keeper,
         Optional<String> lastEventId) {
 
-    /** Checks. */
+    /** Validates the components. */
     public SendFacts {
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(level, "level");
--- a/src/main/java/org/dogwoodwinch/relay/StageOrder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StageOrder.java
@@ -13,7 +13,7 @@
  */
 public record StageOrder(Stage stage, String holder, long fencingToken, long expectedOrdersCount) {
 
-    /** Checks. */
+    /** Validates the components. */
     public StageOrder {
         Objects.requireNonNull(stage, "stage");
         Objects.requireNonNull(holder, "holder");
--- a/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
+++ b/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
@@ -3,22 +3,22 @@
 import java.util.OptionalDouble;
 import org.dogwoodwinch.forwarding.Incarnation;
 
-/** Hears what targets state of the calls that they take; what it hears may be told to other instances. */
+/** Receives the rate limits that targets state in responses; they may be sent to other instances. */
 public interface StatedLimits {
 
     /**
-     * A target answered a call.
+     * Records the rate limit, or its absence, in the response of a target.
      *
-     * @param target the start of the target that the call was sent to, not null
-     * @param perSecond the calls a second that it takes from all instances together, empty where it names no limit, not null
+     * @param target the incarnation of the target that the call was sent to, not null
+     * @param perSecond the rate limit for all instances together, in calls per second; empty if it states none, not null
      * @param sentMillis when the call was sent, in monotonic milliseconds
      */
     void answered(Incarnation target, OptionalDouble perSecond, long sentMillis);
 
     /**
-     * A target is listed no more, or has started anew.
+     * Removes the rate limit of a target that is no longer listed or has restarted.
      *
-     * @param targetId its id, not null
+     * @param targetId the id of the target, not null
      */
     void forget(String targetId);
 }
--- a/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
@@ -12,9 +12,10 @@
 import org.dogwoodwinch.forwarding.CallerLimits;
 
 /**
- * Decodes requests and refuses whatever a target might frame in another way.
+ * Decodes requests and refuses those that a target might frame differently.
  *
- * <p>Failure: a request whose end two readers see in two places smuggles a second one past this system.
+ * <p>Failure: if two parsers see the end of a request at different positions, a caller can hide a second request in it
+ * (request smuggling).
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
@@ -37,7 +38,7 @@
     }
 
     /**
-     * Fails a head in which a line goes on in the next one: the decoder joins the two, other readers drop or refuse them.
+     * Refuses a head with a folded line. The decoder joins the two lines, while other parsers drop or refuse them.
      */
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Empty lines before a request are passed over, as other servers do. */
+    /** Records the request line. Empty lines before it are skipped, as other servers do. */
     private void recordFirstLine(byte next) {
         if (firstLineDone) {
             return;
@@ -74,7 +75,10 @@
         }
     }
 
-    /** The decoder takes several spaces and control characters where one space stands; others may not. */
+    /**
+     * Returns whether the request line has single spaces between its parts. The decoder also accepts several spaces or
+     * control characters there, which other parsers may not.
+     */
     private boolean requestLineMatches(HttpRequest request) {
         String expected = request.method().name() + " " + request.uri() + " "
                 + request.protocolVersion().text();
@@ -85,7 +89,7 @@
         if (decoded instanceof HttpRequest request) {
             inHead = false;
             if (request.decoderResult().isSuccess() && (hasFoldedLine || !requestLineMatches(request))) {
-                request.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("ambiguous head")));
+                request.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("ambiguous request head: folded line or irregular request line")));
             }
             hasFoldedLine = false;
             atLineStart = false;
@@ -97,13 +101,13 @@
         }
     }
 
-    /** Whether bytes wait that are no whole head yet. */
+    /** Returns whether bytes are buffered that do not form a complete head yet. */
     boolean hasBufferedBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage _message) {
-        throw new IllegalArgumentException("both a length and chunks");
+        throw new IllegalArgumentException("message has both Content-Length and Transfer-Encoding: chunked");
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/Suspicions.java
+++ b/src/main/java/org/dogwoodwinch/relay/Suspicions.java
@@ -16,17 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a call that crashes targets from crashing more of them. Used on one event loop alone.
+ * Prevents a call that crashes targets from crashing more of them. Confined to one event loop.
  *
- * <p>Failure: a call crashes each target that begins to run it, and its caller sends it again through any instance. What
- * was under way on a target that is found gone is suspect here and, through the peers, everywhere; a suspect runs apart
- * from other suspects, so that the next crash tells the guilty one, and its end in order clears it.
+ * <p>Failure: a call crashes each target that starts to run it, and its caller retries it through any instance. All calls
+ * that were under way on a crashed target become suspects on this instance and, through peer messages, on all others.
+ * Suspects run on separate targets, so that the next crash identifies the cause. A suspect that completes is cleared.
  */
 final class Suspicions {
 
     private static final Logger log = LoggerFactory.getLogger(Suspicions.class);
 
-    /** A target's entry lapses some seconds after its last word; a loss longer ago had another cause. */
+    /**
+     * Maximum time between a lost call and the detection of the crash. A target's registration expires some seconds after
+     * its last heartbeat, so an earlier loss has another cause.
+     */
     private static final long CORRELATION_WINDOW_MILLIS = 6_000;
 
     private final Quarantine quarantine;
@@ -38,7 +41,7 @@
         this.time = Objects.requireNonNull(time, "time");
     }
 
-    /** Tells equal calls from others: method, path and body are the same each time a caller sends one again. */
+    /** Returns a fingerprint of the method, URI and body, which are the same whenever a caller retries a call. */
     static long fingerprint(IncomingCall call) {
         Hasher hasher = Hashing.murmur3_128().newHasher();
         hasher.putString(call.method().name(), StandardCharsets.UTF_8).putByte((byte) 0);
@@ -51,7 +54,7 @@
         return quarantine.statusOf(fingerprint) == Status.QUARANTINED;
     }
 
-    /** The targets that a call should not go to: a suspect not to where another one runs. */
+    /** Returns the targets to avoid: for a suspect, those that run other suspects. */
     Set<String> targetsToAvoid(long fingerprint) {
         return quarantine.statusOf(fingerprint) == Status.CLEAR ? Set.of() : quarantine.trialTargets();
     }
@@ -66,7 +69,7 @@
         quarantine.onAttemptEnded(fingerprint, attemptId, completed);
     }
 
-    /** An answer was lost with its connection: that alone proves nothing of the target. */
+    /** Records a call that was lost with its connection, which alone does not prove a crash of the target. */
     void recordLostCall(long fingerprint, String attemptId, String targetId) {
         long nowMillis = time.monotonicMillis();
         crashCorrelator.expire(nowMillis);
--- a/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
@@ -8,7 +8,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.forwarding.SendOutcome;
 
-/** The answer to one send as far as it has arrived, and what it proves. */
+/** The response to one send as received so far, and what it proves about the call. */
 final class TargetResponse {
 
     private static final int TOO_MANY_REQUESTS = 429;
@@ -30,13 +30,13 @@
         return headers;
     }
 
-    /** Keeps a piece of the body and returns how much is kept. */
+    /** Buffers a chunk of the body and returns the number of buffered bytes. */
     int buffer(ByteBuf piece) {
         buffered.writeBytes(ByteBufUtil.getBytes(piece));
         return buffered.size();
     }
 
-    /** Returns what is kept, which is then kept no more. */
+    /** Returns the buffered bytes and clears the buffer. */
     byte[] takeBuffered() {
         byte[] body = buffered.toByteArray();
         buffered.reset();
@@ -47,7 +47,10 @@
         return Bytes.of(buffered.toByteArray());
     }
 
-    /** A success counts with the target's signature alone and with the target's own bytes. */
+    /**
+     * Returns whether the response is a proven success: it carries the target's signature and the id of the call, and its
+     * body was not re-encoded on the way.
+     */
     boolean isSuccess() {
         return facts.isSuccess()
                 && facts.signed()
@@ -55,12 +58,12 @@
                 && facts.requestId().isPresent();
     }
 
-    /** Another target answers at the address. */
+    /** Returns whether the response states that the call reached the wrong target. */
     boolean isMisdirected() {
         return facts.isMisdirected();
     }
 
-    /** What is known of the send, for an answer that is whole and no success. */
+    /** Returns the outcome of the send, for a complete response that is not a success. */
     SendOutcome failure() {
         int status = facts.status();
         if (facts.isRejected()) {
@@ -70,7 +73,7 @@
             return new SendOutcome.Unknown("success_not_proved");
         }
         if (status == TOO_MANY_REQUESTS || LocalResponses.guaranteesNotRun(status)) {
-            // Handed on it would promise the caller what the target did not promise.
+            // Relayed, the status would guarantee to the caller that the call did not run, which the target did not state.
             return new SendOutcome.Unknown("refusal_not_proved");
         }
         return new SendOutcome.RanAndFailed(status);
--- a/src/main/java/org/dogwoodwinch/relay/TargetResponseDecoder.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetResponseDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Decodes answers, knowing whether the call was one whose answer has no body whatever its headers say. */
+/** Decodes responses of targets, including those without a body whatever their headers state, as for HEAD requests. */
 final class TargetResponseDecoder extends HttpResponseDecoder {
 
     private static final int MAX_LINE_BYTES = 8_192;
@@ -30,9 +30,9 @@
         return withoutBody || super.isContentAlwaysEmpty(message);
     }
 
-    /** A message with both is framed in two ways: which one its sender meant cannot be known. */
+    /** Refuses a message with both framings, since it is unknown which one the sender meant. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage _message) {
-        throw new IllegalArgumentException("both a length and chunks");
+        throw new IllegalArgumentException("message has both Content-Length and Transfer-Encoding: chunked");
     }
 }
