--- a/src/main/java/org/dogwoodwinch/relay/ActiveCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/ActiveCall.java
@@ -1,9 +1,9 @@
 package org.dogwoodwinch.relay;
 
-/** A call under way, as its caller's connection sees it. */
+/** A call under way that is notified of events on its caller's connection. */
 interface ActiveCall {
 
-    /** A call that was answered at once. */
+    /** Stands for a call whose response was sent at once. */
     ActiveCall NONE = new ActiveCall() {
         @Override
         public void onCallerClosed() {}
@@ -12,9 +12,9 @@
         public void onCallerWritable() {}
     };
 
-    /** The caller's connection has closed: all work for it ends at once. */
+    /** The caller's connection was closed; all work for the call is cancelled. */
     void onCallerClosed();
 
-    /** The caller takes bytes again. */
+    /** The caller can receive more bytes again. */
     void onCallerWritable();
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
@@ -11,7 +11,7 @@
      * Writes a complete response.
      *
      * @param status the HTTP status
-     * @param headers without a length, not null
+     * @param headers the headers without Content-Length, not null
      * @param body the complete body, not null
      */
     void sendResponse(int status, HttpHeaders headers, Bytes body);
@@ -20,7 +20,7 @@
      * Begins a response whose body follows in chunks.
      *
      * @param status the HTTP status
-     * @param headers without a length, not null
+     * @param headers the headers without Content-Length, not null
      */
     void beginResponse(int status, HttpHeaders headers);
 
@@ -38,7 +38,8 @@
     void abortResponse();
 
     /**
-     * Whether the caller takes more bytes now; {@link CallRelay#onCallerWritable} tells when it does again.
+     * Returns whether the caller can receive more bytes now; {@link CallRelay#onCallerWritable} is called
+     * once it can again.
      *
      * @return false while too many bytes are buffered for the caller
      */
--- a/src/main/java/org/dogwoodwinch/relay/ControlCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCall.java
@@ -6,12 +6,12 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * A call with a short answer.
+ * A request to a control interface or the store, with a short response.
  *
- * @param method its method, not null
- * @param uri path and query, not null
- * @param headers those beside host and length, not null
- * @param body its body, not null
+ * @param method the HTTP method, not null
+ * @param uri the path and query, not null
+ * @param headers the headers except Host and Content-Length, not null
+ * @param body the body, not null
  */
 public record ControlCall(HttpMethod method, String uri, HttpHeaders headers, Bytes body) {
 
--- a/src/main/java/org/dogwoodwinch/relay/ControlReply.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlReply.java
@@ -7,10 +7,10 @@
 public sealed interface ControlReply {
 
     /**
-     * An answer came whole.
+     * A complete response was received.
      *
      * @param status the HTTP status
-     * @param body its body, not null
+     * @param body the body, not null
      */
     record Answered(int status, Bytes body) implements ControlReply {
         /** Validates the components. */
@@ -20,9 +20,9 @@
     }
 
     /**
-     * No answer came; the call may have had its effect, now or later.
+     * No complete response was received; the call may have taken effect or may still do so.
      *
-     * @param reason what happened, not null
+     * @param reason the reason for logs, not null
      */
     record Lost(String reason) implements ControlReply {
         /** Validates the components. */
--- a/src/main/java/org/dogwoodwinch/relay/EngineControl.java
+++ b/src/main/java/org/dogwoodwinch/relay/EngineControl.java
@@ -5,48 +5,49 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.forwarding.Incarnation;
 
-/** What is asked of model engines beside running calls. */
+/** Client of the control interfaces of model engines. */
 public interface EngineControl {
 
     /**
-     * Reads the answer to a call of which only the prompt was to be read.
+     * Parses the response to a prefill request.
      *
-     * @param reader the engine that answered, not null
-     * @param body the answer's body, not null
-     * @return where the memory lies, or empty where the answer does not say
+     * @param reader the engine that responded, not null
+     * @param body the body of the response, not null
+     * @return the handle of the KV cache; empty if the response has none
      */
     Optional<PromptMemory> readMemory(Incarnation reader, Bytes body);
 
     /**
-     * Lets an engine forget the memory of a read prompt that nobody will take.
+     * Releases the KV cache of a prefilled prompt that will not be fetched.
      *
-     * @param reader the engine that keeps it, not null
-     * @param memory the memory, not null
+     * @param reader the engine that holds the cache, not null
+     * @param memory the handle of the cache, not null
      */
     void release(Incarnation reader, PromptMemory memory);
 
     /**
-     * Asks what changed in an engine's memory of parts.
+     * Requests the changes of the prompt segments in an engine's KV cache.
      *
      * @param engine the engine, not null
-     * @param sinceNumber the first event wanted
-     * @return completes with the changes, or empty where there was no usable answer; never exceptionally
+     * @param sinceNumber the sequence number of the first change to return
+     * @return a stage that completes with the changes, or empty without a usable response; never exceptionally
      */
     CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation engine, long sinceNumber);
 
     /**
-     * Asks for all parts that an engine keeps. The question holds up the engine's work a little and is priced.
+     * Requests the complete list of segments in an engine's KV cache. The request delays the engine's work slightly and has a
+     * cost.
      *
      * @param engine the engine, not null
-     * @return completes with the list, or empty where there was no usable answer; never exceptionally
+     * @return a stage that completes with the list, or empty without a usable response; never exceptionally
      */
     CompletionStage<Optional<CacheList>> cacheList(Incarnation engine);
 
     /**
-     * Asks how an engine stands to orders.
+     * Requests an engine's stage and the state of its orders.
      *
      * @param engine the engine, not null
-     * @return completes with what it tells, or empty where there was no usable answer; never exceptionally
+     * @return a stage that completes with the state, or empty without a usable response; never exceptionally
      */
     CompletionStage<Optional<OrderState>> orderState(Incarnation engine);
 
@@ -55,7 +56,7 @@
      *
      * @param engine the engine, not null
      * @param order the order, not null
-     * @return completes with what became of it; never exceptionally
+     * @return a stage that completes with the outcome; never exceptionally
      */
     CompletionStage<OrderOutcome> order(Incarnation engine, StageOrder order);
 }
--- a/src/main/java/org/dogwoodwinch/relay/IncomingCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/IncomingCall.java
@@ -6,14 +6,14 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * A request that was read whole from a caller.
+ * A complete request from a caller.
  *
- * @param method its method, not null
- * @param uri its path and query, unchanged, not null
- * @param headers its headers, not null
- * @param body its body, not null
- * @param framed whether it stated a body, be it an empty one
- * @param arrivalMillis when its first byte arrived, in monotonic milliseconds
+ * @param method the HTTP method, not null
+ * @param uri the path and query, unchanged, not null
+ * @param headers the headers, not null
+ * @param body the body, not null
+ * @param framed whether the headers declare a body, even an empty one
+ * @param arrivalMillis when the first byte arrived, in monotonic milliseconds
  */
 record IncomingCall(
         HttpMethod method, String uri, HttpHeaders headers, Bytes body, boolean framed, long arrivalMillis) {
--- a/src/main/java/org/dogwoodwinch/relay/OrderOutcome.java
+++ b/src/main/java/org/dogwoodwinch/relay/OrderOutcome.java
@@ -1,13 +1,13 @@
 package org.dogwoodwinch.relay;
 
-/** What became of an order. */
+/** The outcome of an order to an engine. */
 public enum OrderOutcome {
-    /** It is carried out, or holds already. */
+    /** The engine accepted the order or is in the ordered stage already. */
     TAKEN,
-    /** The engine refused it: another order is under way, or its state is not the expected one. */
+    /** The engine refused the order because another one is under way or its state is not the expected one. */
     REFUSED,
-    /** The engine knows a higher fencing token: the lease is another instance's. */
+    /** The engine has seen a higher fencing token, so another instance holds the lease. */
     FENCED,
-    /** No answer: it may have been taken, or be carried out later. */
+    /** No response was received; the order may have been accepted or may still be carried out. */
     UNKNOWN
 }
--- a/src/main/java/org/dogwoodwinch/relay/OrderState.java
+++ b/src/main/java/org/dogwoodwinch/relay/OrderState.java
@@ -4,11 +4,11 @@
 import org.dogwoodwinch.forwarding.Stage;
 
 /**
- * How an engine stands to orders, as of some tenths of a second ago.
+ * An engine's stage and the state of its orders, up to some tenths of a second old.
  *
- * @param stage the stage that it has, not null
- * @param busy whether an order is being carried out
- * @param ordersCount the orders that this start of it has accepted
+ * @param stage the current stage, not null
+ * @param busy whether the engine is carrying out an order
+ * @param ordersCount the number of orders that this incarnation of the engine has accepted
  */
 public record OrderState(Stage stage, boolean busy, long ordersCount) {
 
--- a/src/main/java/org/dogwoodwinch/relay/OutboundCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/OutboundCall.java
@@ -6,14 +6,14 @@
 import org.dogwoodwinch.bytes.Bytes;
 
 /**
- * A call as it is written to a target.
+ * A request to be sent to a target.
  *
- * @param requestId the id that the answer must bear, not null
+ * @param requestId the id that the response must carry, not null
  * @param method the caller's method, not null
  * @param uri the caller's path and query, unchanged, not null
- * @param headers complete but for the length, not null
+ * @param headers the headers except Content-Length, not null
  * @param body the caller's body, unchanged, not null
- * @param lengthStated whether a length is written although the body is empty
+ * @param lengthStated whether Content-Length is written even if the body is empty
  */
 public record OutboundCall(
         String requestId, HttpMethod method, String uri, HttpHeaders headers, Bytes body, boolean lengthStated) {
--- a/src/main/java/org/dogwoodwinch/relay/PrefillOutcome.java
+++ b/src/main/java/org/dogwoodwinch/relay/PrefillOutcome.java
@@ -1,33 +1,33 @@
 package org.dogwoodwinch.relay;
 
-/** What is known of a prompt that one engine was to read for another; whatever it is, the call has not run there. */
+/** Outcome of a prefill on one engine for a call that another engine runs. The call has not run in any case. */
 sealed interface PrefillOutcome {
 
     /**
-     * The prompt was read.
+     * The prompt was prefilled.
      *
-     * @param cacheHandle what the engine that runs the call takes over
+     * @param cacheHandle identifies the KV cache that the engine that runs the call fetches
      */
     record Completed(PromptMemory cacheHandle) implements PrefillOutcome {}
 
     /**
-     * No byte was written: the reader never saw the call.
+     * No byte was written, so the engine did not receive the request.
      *
-     * @param reason why, for logs and counters
+     * @param reason the reason for logs and metrics
      */
     record NotSent(String reason) implements PrefillOutcome {}
 
     /**
-     * The reader took the call and named no memory that could be used: an accepted reading is no arrival that counts.
+     * The engine accepted the request but its response has no usable cache handle. The next send is not counted as a retry.
      *
-     * @param reason why, for logs and counters
+     * @param reason the reason for logs and metrics
      */
     record NoCacheHandle(String reason) implements PrefillOutcome {}
 
     /**
-     * Bytes were written, and the reader rejected the call or broke off: an arrival that counts like any other.
+     * The engine rejected the request or closed the connection. The next send is counted as a retry.
      *
-     * @param reason why, for logs and counters
+     * @param reason the reason for logs and metrics
      */
     record Failed(String reason) implements PrefillOutcome {}
 }
--- a/src/main/java/org/dogwoodwinch/relay/PromptMemory.java
+++ b/src/main/java/org/dogwoodwinch/relay/PromptMemory.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * The memory of a read prompt, kept by the target that read it until it is taken once.
+ * Handle of the KV cache of a prefilled prompt. The engine that prefilled it keeps the cache until it is fetched once.
  *
- * @param address the address of that target, not null
- * @param handle names the memory there, not null
+ * @param address the address of that engine, not null
+ * @param handle identifies the cache on that engine, not null
  */
 public record PromptMemory(String address, String handle) {
 
--- a/src/main/java/org/dogwoodwinch/relay/RelayReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayReport.java
@@ -5,40 +5,40 @@
 import org.dogwoodwinch.forwarding.NextStep;
 import org.dogwoodwinch.forwarding.SendOutcome;
 
-/** Hears every decision about a call, to count and to log it. */
+/** Receives decisions about calls, for metrics and logs. */
 interface RelayReport {
 
-    /** A call was refused before it had a route; {@code status} is the answer. */
+    /** A call was refused before it was routed, with the given response status. */
     void refusedBeforeRouting(String requestId, int status, String reason);
 
-    /** A call that crashes targets was refused. */
+    /** A call was refused because it is quarantined for crashing targets. */
     void quarantined(CallRelay call);
 
-    /** No target may get the call. */
+    /** No target is available for the call. */
     void noTarget(CallRelay call);
 
-    /** A target is left out for a while. */
+    /** A target was found unreachable and is not used for {@code pauseMillis}. */
     void targetUnreachable(String targetId, long pauseMillis, String reason);
 
-    /** An engine did not read a prompt that another would have run, and that follows. */
+    /** A remote prefill failed; {@code step} follows. */
     void prefillFailed(CallRelay call, Incarnation engine, String reason, NextStep step, double budgetLeft);
 
-    /** One repeat was taken from a service's quota, or not granted. */
+    /** A retry was requested from a service's retry budget. */
     void retryDecided(String service, RetryDecision decision);
 
-    /** What became of a repeat. */
+    /** Whether the retry budget allowed a retry. */
     enum RetryDecision {
         TAKEN,
         NOT_GRANTED
     }
 
-    /** A send gave no success, and that follows; {@code budgetLeft} repeats could be made after it. */
+    /** A send was not successful; {@code step} follows, and {@code budgetLeft} retries remain in the budget after it. */
     void sendFailed(CallRelay call, SendOutcome outcome, NextStep step, double budgetLeft);
 
-    /** The time limit came before the answer's end. */
+    /** The deadline passed before the response was complete. */
     void deadlineExceeded(CallRelay call, boolean mayHaveRun);
 
-    /** A call or the reading of its prompt goes to a target. */
+    /** A call or a prefill was sent to a target. */
     void sent(
             String requestId,
             Incarnation target,
@@ -46,15 +46,15 @@
             long aheadTokens,
             SendPurpose purpose);
 
-    /** The first byte of a streamed answer goes to the caller. */
+    /** The first byte of a streamed response is sent to the caller. */
     void firstByte(CallRelay call);
 
-    /** A target that was chosen left, or became another one, before a byte was written to it: another one is chosen. */
+    /** A chosen target left or restarted before a byte was written to it, so another one is chosen. */
     void targetLeftBeforeSend(String requestId, Incarnation target);
 
-    /** The answer is whole. */
+    /** A complete response was received. */
     void succeeded(CallRelay call);
 
-    /** The caller left before the answer's end. */
+    /** The caller disconnected before the end of the response. */
     void callerDisconnected(CallRelay call);
 }
--- a/src/main/java/org/dogwoodwinch/relay/RequestValidator.java
+++ b/src/main/java/org/dogwoodwinch/relay/RequestValidator.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Refuses requests that could be read in two ways, beside what the decoder refuses itself. */
+/** Detects ambiguous or unsupported request heads that the decoder itself accepts. */
 final class RequestValidator {
 
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
@@ -17,10 +17,10 @@
     private RequestValidator() {}
 
     /**
-     * Checks a request's head.
+     * Returns whether a request head is supported and unambiguous.
      *
-     * @param request the head as decoded, not null
-     * @return whether it has one meaning
+     * @param request the decoded head, not null
+     * @return whether the request may be processed
      */
     static boolean isWellFormed(HttpRequest request) {
         return isSupportedVersion(request)
--- a/src/main/java/org/dogwoodwinch/relay/SendFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/SendFacts.java
@@ -5,15 +5,15 @@
 import org.dogwoodwinch.forwarding.Incarnation;
 
 /**
- * What the system states of one send in its headers.
+ * The attributes of one send that are stated in its headers.
  *
- * @param target the only target that may run it, not null
- * @param remainingMillis the time left of the call's deadline, at least one
- * @param level the level in the target's queue, where zero is admitted first; empty for a plain service
- * @param prefillOnly whether only the prompt is to be read
- * @param memory where the read prompt's memory lies, empty where the target reads it itself
- * @param keeper the engine from whose memory parts of the prompt are fetched, empty where none are
- * @param lastEventId the last event that the caller has, empty for a start from the beginning
+ * @param target the only target that may run the call, not null
+ * @param remainingMillis the time until the call's deadline, at least 1 ms
+ * @param level the level in the target's queue, where zero is admitted first; empty for a service without models
+ * @param prefillOnly whether the target only prefills the prompt
+ * @param memory the handle of the prompt's KV cache; empty if the target prefills the prompt itself
+ * @param keeper the engine from whose KV cache segments of the prompt are fetched; empty if none are
+ * @param lastEventId the id of the last event that the caller received; empty to start from the beginning
  */
 public record SendFacts(
         Incarnation target,
--- a/src/main/java/org/dogwoodwinch/relay/SendPurpose.java
+++ b/src/main/java/org/dogwoodwinch/relay/SendPurpose.java
@@ -1,11 +1,11 @@
 package org.dogwoodwinch.relay;
 
-/** What a send to a target is for. Each is an arrival there. */
+/** The purpose of a send to a target. Each send counts as a request there. */
 enum SendPurpose {
-    /** The call is run, and no target got it before to be run. */
+    /** The first send of a call to a target that runs it. */
     RUN,
-    /** The call is sent once more after an earlier send gave no success. */
+    /** A retry after an unsuccessful send. */
     REPEAT,
-    /** The target reads the prompt for another one that will run the call. */
+    /** A prefill of the prompt for another target that runs the call. */
     READING
 }
--- a/src/main/java/org/dogwoodwinch/relay/SocketConnector.java
+++ b/src/main/java/org/dogwoodwinch/relay/SocketConnector.java
@@ -18,8 +18,8 @@
     /**
      * Creates a connector.
      *
-     * @param transport the sockets, not null
-     * @param policy the connections' times, not null
+     * @param transport the socket transport, not null
+     * @param policy time-outs of the connections, not null
      */
     public SocketConnector(Transport transport, ConnectionPolicy policy) {
         this.transport = Objects.requireNonNull(transport, "transport");
--- a/src/main/java/org/dogwoodwinch/relay/StageOrder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StageOrder.java
@@ -6,10 +6,11 @@
 /**
  * An order to an engine to change its stage.
  *
- * @param stage the stage that it is to have, not null
- * @param holder the instance that may give orders, not null
- * @param fencingToken the token of that instance's lease; a later lease has a higher one
- * @param expectedOrdersCount the orders that the engine is believed to have accepted; it refuses if there were others
+ * @param stage the stage to change to, not null
+ * @param holder the instance that holds the lease for orders, not null
+ * @param fencingToken the fencing token of that lease; a later lease has a higher one
+ * @param expectedOrdersCount the number of orders that the engine is expected to have accepted; the engine refuses the
+ *     order if its number differs
  */
 public record StageOrder(Stage stage, String holder, long fencingToken, long expectedOrdersCount) {
 
--- a/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
@@ -89,7 +89,8 @@
         if (decoded instanceof HttpRequest request) {
             inHead = false;
             if (request.decoderResult().isSuccess() && (hasFoldedLine || !requestLineMatches(request))) {
-                request.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("ambiguous request head: folded line or irregular request line")));
+                request.setDecoderResult(DecoderResult.failure(
+                        new IllegalArgumentException("ambiguous request head: folded line or irregular request line")));
             }
             hasFoldedLine = false;
             atLineStart = false;
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnector.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnector.java
@@ -7,22 +7,22 @@
 @FunctionalInterface
 public interface TargetConnector {
 
-    /** Learns what came of opening a connection. */
+    /** Receives the outcome of opening a connection. */
     interface Outcome {
 
-        /** The connection is open. */
+        /** The connection was opened. */
         void connected();
 
-        /** There is none, and no byte was written. */
+        /** The connection could not be opened, and no byte was written. */
         void failed();
     }
 
     /**
      * Opens a connection.
      *
-     * @param target where to, not null
-     * @param handler handles it, not null
-     * @param outcome told once, at once or later, on the event loop, not null
+     * @param target the target to connect to, not null
+     * @param handler the channel handler of the connection, not null
+     * @param outcome notified once on the event loop, possibly before this method returns, not null
      */
     void connect(Incarnation target, ChannelHandler handler, Outcome outcome);
 }
--- a/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
@@ -73,7 +73,8 @@
             return new SendOutcome.Unknown("success_not_proved");
         }
         if (status == TOO_MANY_REQUESTS || LocalResponses.guaranteesNotRun(status)) {
-            // Relayed, the status would guarantee to the caller that the call did not run, which the target did not state.
+            // Relayed, the status would guarantee to the caller that the call did not run, which the target did not
+            // state.
             return new SendOutcome.Unknown("refusal_not_proved");
         }
         return new SendOutcome.RanAndFailed(status);
--- a/src/main/java/org/dogwoodwinch/relay/package-info.java
+++ b/src/main/java/org/dogwoodwinch/relay/package-info.java
@@ -1,2 +1,2 @@
-/** The I/O of forwarded calls: callers' connections, targets' connections and the life of a call between them. */
+/** Relays calls between connections from callers and connections to targets, including retries and streaming. */
 package org.dogwoodwinch.relay;
