--- a/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
@@ -18,25 +18,25 @@
      * Builds the headers of a send from those of the caller. Omits hop-by-hop headers and those that only this system may
      * set, and adds the attributes of this send.
      *
-     * @param callers the headers of the caller, not null; not modified
+     * @param callerHeaders the headers of the caller, not null; not modified
      * @param facts the attributes of the send, not null
      * @return new headers without Content-Length
      */
-    HttpHeaders forSend(HttpHeaders callers, SendFacts facts);
+    HttpHeaders forSend(HttpHeaders callerHeaders, SendFacts facts);
 
     /**
      * Parses the head of a target's response.
      *
-     * @param answer the head of the response, not null
+     * @param responseHead the head of the response, not null
      * @return the attributes
      */
-    AnswerFacts readAnswer(HttpResponse answer);
+    AnswerFacts readAnswer(HttpResponse responseHead);
 
     /**
      * Builds the headers of a response to a caller from those of the target, without hop-by-hop headers.
      *
-     * @param targets the headers of the target, not null; not modified
+     * @param targetHeaders the headers of the target, not null; not modified
      * @return new headers without Content-Length
      */
-    HttpHeaders forCaller(HttpHeaders targets);
+    HttpHeaders forCaller(HttpHeaders targetHeaders);
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -396,40 +396,40 @@
     }
 
     @Override
-    public void onBody(ByteBuf piece) {
+    public void onBody(ByteBuf chunk) {
         if (state == State.DONE) {
             return;
         }
         if (!response.isSuccess()) {
-            bufferFailure(piece);
+            bufferFailure(chunk);
             return;
         }
         inFlight.ifPresent(InFlightSend::recordPrefillDone);
         if (route.kind() == RouteKind.STREAM) {
-            relayEvents(piece);
+            relayEvents(chunk);
         } else if (state == State.STREAMING) {
-            relayBody(piece.retain());
-        } else if (response.buffer(piece) > MAX_BUFFERED_BODY_BYTES) {
+            relayBody(chunk.retain());
+        } else if (response.buffer(chunk) > MAX_BUFFERED_BODY_BYTES) {
             beginCallerResponse();
             relayBody(context.copy(response.takeBuffered()));
         }
     }
 
-    private void bufferFailure(ByteBuf piece) {
-        if (response.buffer(piece) > MAX_BUFFERED_BODY_BYTES) {
+    private void bufferFailure(ByteBuf chunk) {
+        if (response.buffer(chunk) > MAX_BUFFERED_BODY_BYTES) {
             abandonSend();
             onEnd(new SendOutcome.Unknown("failure_too_long"));
         }
     }
 
-    private void relayEvents(ByteBuf piece) {
+    private void relayEvents(ByteBuf chunk) {
         if (!route.resumable()) {
             beginCallerResponse();
-            relayBody(piece.retain());
+            relayBody(chunk.retain());
             return;
         }
         // Another target may resume the stream, so only complete events are passed on.
-        byte[] whole = eventFramer.append(piece);
+        byte[] whole = eventFramer.append(chunk);
         if (whole.length > 0) {
             beginCallerResponse();
             relayBody(context.copy(whole));
@@ -444,8 +444,8 @@
         }
     }
 
-    private void relayBody(ByteBuf piece) {
-        caller.writeBody(piece);
+    private void relayBody(ByteBuf chunk) {
+        caller.writeBody(chunk);
         if (!caller.isWritable()) {
             connection.setReading(false);
         }
--- a/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerConnection.java
@@ -328,8 +328,8 @@
     }
 
     @Override
-    public void writeBody(ByteBuf piece) {
-        Channels.writeAndFlush(channel, new DefaultHttpContent(piece));
+    public void writeBody(ByteBuf chunk) {
+        Channels.writeAndFlush(channel, new DefaultHttpContent(chunk));
     }
 
     @Override
--- a/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerResponse.java
@@ -27,9 +27,9 @@
     /**
      * Writes a chunk of the body.
      *
-     * @param piece the bytes, not null; ownership is transferred
+     * @param chunk the bytes, not null; ownership is transferred
      */
-    void writeBody(ByteBuf piece);
+    void writeBody(ByteBuf chunk);
 
     /** Marks the end of a complete body. */
     void endResponse();
--- a/src/main/java/org/dogwoodwinch/relay/EngineControl.java
+++ b/src/main/java/org/dogwoodwinch/relay/EngineControl.java
@@ -11,19 +11,19 @@
     /**
      * Parses the response to a prefill request.
      *
-     * @param reader the engine that responded, not null
+     * @param engine the engine that responded, not null
      * @param body the body of the response, not null
      * @return the handle of the KV cache; empty if the response has none
      */
-    Optional<PromptMemory> readMemory(Incarnation reader, Bytes body);
+    Optional<PromptMemory> readMemory(Incarnation engine, Bytes body);
 
     /**
      * Releases the KV cache of a prefilled prompt that will not be fetched.
      *
-     * @param reader the engine that holds the cache, not null
-     * @param memory the handle of the cache, not null
+     * @param engine the engine that holds the cache, not null
+     * @param cacheHandle the handle of the cache, not null
      */
-    void release(Incarnation reader, PromptMemory memory);
+    void release(Incarnation engine, PromptMemory cacheHandle);
 
     /**
      * Requests the changes of the prompt segments in an engine's KV cache.
--- a/src/main/java/org/dogwoodwinch/relay/EventFramer.java
+++ b/src/main/java/org/dogwoodwinch/relay/EventFramer.java
@@ -40,12 +40,12 @@
     /**
      * Appends bytes of the stream and returns the events that are now complete.
      *
-     * @param piece the next bytes, not null; its reader index is not changed
+     * @param chunk the next bytes, not null; its reader index is not changed
      * @return the bytes of complete events; empty if none is complete
      */
-    byte[] append(ByteBuf piece) {
-        byte[] buffered = Arrays.copyOf(pending, pending.length + piece.readableBytes());
-        piece.getBytes(piece.readerIndex(), buffered, pending.length, piece.readableBytes());
+    byte[] append(ByteBuf chunk) {
+        byte[] buffered = Arrays.copyOf(pending, pending.length + chunk.readableBytes());
+        chunk.getBytes(chunk.readerIndex(), buffered, pending.length, chunk.readableBytes());
         int end = 0;
         int lineStart = 0;
         Optional<String> idOfEvent = Optional.empty();
--- a/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
+++ b/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
@@ -122,9 +122,9 @@
     }
 
     @Override
-    public void onBody(ByteBuf piece) {
-        if (body.size() + piece.readableBytes() <= MAX_BODY_BYTES) {
-            body.writeBytes(ByteBufUtil.getBytes(piece));
+    public void onBody(ByteBuf chunk) {
+        if (body.size() + chunk.readableBytes() <= MAX_BODY_BYTES) {
+            body.writeBytes(ByteBufUtil.getBytes(chunk));
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
@@ -17,9 +17,9 @@
     /**
      * Receives a chunk of the body.
      *
-     * @param piece the bytes, not null; valid only during the call unless retained
+     * @param chunk the bytes, not null; valid only during the call unless retained
      */
-    void onBody(ByteBuf piece);
+    void onBody(ByteBuf chunk);
 
     /** The response is complete, by its length, its last chunk or an orderly close of its connection. */
     void onEnd();
--- a/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
+++ b/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
@@ -10,10 +10,10 @@
      * Records the rate limit, or its absence, in the response of a target.
      *
      * @param target the incarnation of the target that the call was sent to, not null
-     * @param perSecond the rate limit for all instances together, in calls per second; empty if it states none, not null
+     * @param callsPerSecond the rate limit for all instances together, in calls per second; empty if it states none, not null
      * @param sentMillis when the call was sent, in monotonic milliseconds
      */
-    void answered(Incarnation target, OptionalDouble perSecond, long sentMillis);
+    void answered(Incarnation target, OptionalDouble callsPerSecond, long sentMillis);
 
     /**
      * Removes the rate limit of a target that is no longer listed or has restarted.
--- a/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
@@ -31,8 +31,8 @@
     }
 
     /** Buffers a chunk of the body and returns the number of buffered bytes. */
-    int buffer(ByteBuf piece) {
-        buffered.writeBytes(ByteBufUtil.getBytes(piece));
+    int buffer(ByteBuf chunk) {
+        buffered.writeBytes(ByteBufUtil.getBytes(chunk));
         return buffered.size();
     }
 
