--- a/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
@@ -14,8 +14,8 @@
  * @param statesNotRun whether the response states that the call did not run
  * @param encoded whether the body is encoded and so differs from the target's own bytes
  * @param idleMillis how long the target keeps an idle connection open; empty if it does not state it
- * @param limitPerSecond the rate limit of the target for all instances together, in calls per second; empty if it states
- *     none
+ * @param limitPerSecond the rate limit of the target for all instances together, in calls per second; empty if it
+ *     states none
  */
 public record AnswerFacts(
         int status,
--- a/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
@@ -20,17 +20,17 @@
  * Keeps the KV cache index up to date by polling the engines for changes. A poll without a response is repeated after a
  * back-off; a stale entry meanwhile costs extra prefill time at worst.
  *
- * <p>Failure: engines retain only their latest changes. An instance that starts, or was disconnected for a while, misses
- * the older ones, so cached segments are prefilled again and evicted segments are expected to be cached. The engine
- * reports that changes are missing, and the instance then requests its complete list.
+ * <p>Failure: engines retain only their latest changes. An instance that starts, or was disconnected for a while,
+ * misses the older ones, so cached segments are prefilled again and evicted segments are expected to be cached. The
+ * engine reports that changes are missing, and the instance then requests its complete list.
  */
 public final class CacheWatch {
 
     private static final Logger log = LoggerFactory.getLogger(CacheWatch.class);
 
     /**
-     * Minimum interval between two requests for the complete list of an engine. The list counts as a probe and delays the
-     * engine's work, and an instance that keeps missing changes would request it all the time.
+     * Minimum interval between two requests for the complete list of an engine. The list counts as a probe and delays
+     * the engine's work, and an instance that keeps missing changes would request it all the time.
      */
     private static final long LIST_PAUSE_MILLIS = 5_000;
 
@@ -54,8 +54,8 @@
      * @param control client of the engines' control interfaces, not null
      * @param cacheIndex the index to update, not null
      * @param engines supplies the engines in use, evaluated each round, not null
-     * @param polledHere returns whether this instance polls the engine with the given id; the changes of other engines are
-     *     received from the instances that poll them, not null
+     * @param polledHere returns whether this instance polls the engine with the given id; the changes of other engines
+     *     are received from the instances that poll them, not null
      * @param listener receives the changes that engines report, not null
      * @param time clock and timer of the rounds, not null
      * @param roundMillis the interval between two polls of an engine, in milliseconds
@@ -162,7 +162,9 @@
         }
     }
 
-    /** Requests the complete list. No poll is sent before its response, since the next one continues from its number. */
+    /**
+     * Requests the complete list. No poll is sent before its response, since the next one continues from its number.
+     */
     private void requestList(Incarnation engine, EngineState state) {
         state.requestPending = true;
         control.cacheList(engine).thenAccept(list -> {
--- a/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
@@ -15,8 +15,8 @@
     CallFacts readCall(HttpHeaders headers);
 
     /**
-     * Builds the headers of a send from those of the caller. Omits hop-by-hop headers and those that only this system may
-     * set, and adds the attributes of this send.
+     * Builds the headers of a send from those of the caller. Omits hop-by-hop headers and those that only this system
+     * may set, and adds the attributes of this send.
      *
      * @param callerHeaders the headers of the caller, not null; not modified
      * @param facts the attributes of the send, not null
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -25,8 +25,8 @@
 final class CallRelay implements ResponseSink, ActiveCall {
 
     /**
-     * Responses without streaming up to this size are buffered until they are complete, so that a truncated one can still
-     * be replaced by another response.
+     * Responses without streaming up to this size are buffered until they are complete, so that a truncated one can
+     * still be replaced by another response.
      */
     private static final int MAX_BUFFERED_BODY_BYTES = 262_144;
 
@@ -298,8 +298,8 @@
     }
 
     /**
-     * Handles a prefill that the engine rejected or that was cut off. The engine received a request, so whatever follows
-     * is a retry and takes from the retry budget.
+     * Handles a prefill that the engine rejected or that was cut off. The engine received a request, so whatever
+     * follows is a retry and takes from the retry budget.
      *
      * <p>Failure: prefill engines drop their connections, each of the calls is sent on to another target, and no budget
      * limits that. The service then receives twice its calls at the moment when a part of it is broken.
--- a/src/main/java/org/dogwoodwinch/relay/CallerListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerListener.java
@@ -19,7 +19,9 @@
 /** Listens for connections from callers whose calls are forwarded. */
 final class CallerListener {
 
-    /** Length of the accept queue. A connection attempt beyond it is dropped and repeated by the client after a second. */
+    /**
+     * Length of the accept queue. A connection attempt beyond it is dropped and repeated by the client after a second.
+     */
     private static final int BACKLOG = 1_024;
 
     private final Transport transport;
--- a/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
@@ -33,9 +33,9 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * A client for short requests to the platform's store and to the control interfaces of targets. Each call has a time-out,
- * since a connection may stop responding for good; after a time-out, its connection is closed and not reused. Confined to
- * one event loop.
+ * A client for short requests to the platform's store and to the control interfaces of targets. Each call has a
+ * time-out, since a connection may stop responding for good; after a time-out, its connection is closed and not reused.
+ * Confined to one event loop.
  */
 public final class ControlCaller {
 
--- a/src/main/java/org/dogwoodwinch/relay/EngineControl.java
+++ b/src/main/java/org/dogwoodwinch/relay/EngineControl.java
@@ -35,8 +35,8 @@
     CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation engine, long sinceNumber);
 
     /**
-     * Requests the complete list of segments in an engine's KV cache. The request delays the engine's work slightly and has a
-     * cost.
+     * Requests the complete list of segments in an engine's KV cache. The request delays the engine's work slightly and
+     * has a cost.
      *
      * @param engine the engine, not null
      * @return a stage that completes with the list, or empty without a usable response; never exceptionally
--- a/src/main/java/org/dogwoodwinch/relay/EventFramer.java
+++ b/src/main/java/org/dogwoodwinch/relay/EventFramer.java
@@ -9,8 +9,8 @@
 /**
  * Splits an event stream at event boundaries and records the id of the last complete event.
  *
- * <p>Failure: a target crashes within an event and another one resumes after the last complete event, so the caller would
- * receive a partial event followed by a new one. Only complete events are passed on.
+ * <p>Failure: a target crashes within an event and another one resumes after the last complete event, so the caller
+ * would receive a partial event followed by a new one. Only complete events are passed on.
  */
 final class EventFramer {
 
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Returns the counter of bytes sent to other instances on a topic. Callers keep it, since messages are too frequent for
-     * a label lookup each time.
+     * Returns the counter of bytes sent to other instances on a topic. Callers keep it, since messages are too frequent
+     * for a label lookup each time.
      *
      * @param topic the topic of the messages, not null
      * @return a consumer of the bytes sent: the size of a message times the number of instances that it was sent to
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -119,8 +119,8 @@
      * @param limits rate limits of targets that state one, not null
      * @param statedLimits receives the rate limits that targets state in responses, not null
      * @param connectionAborts tracks targets that close new connections without a response, not null
-     * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on each use,
-     *     not null
+     * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on
+     *     each use, not null
      */
     public record Decisions(
             TargetChooser chooser,
@@ -313,8 +313,8 @@
      * Stops accepting connections and closes idle ones; later requests on the remaining connections are refused.
      *
      * <p>Failure: the load balancer keeps sending callers to this instance while few instances of its data centre are
-     * ready, and callers keep their connections open. A call accepted shortly before the process has to exit would be cut
-     * off while it runs.
+     * ready, and callers keep their connections open. A call accepted shortly before the process has to exit would be
+     * cut off while it runs.
      */
     public void stopTaking() {
         if (accepting) {
--- a/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
+++ b/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
@@ -7,8 +7,8 @@
 import org.dogwoodwinch.forwarding.Prompt;
 
 /**
- * A send that is under way at a target. Counts towards the target's load until the send ends, and towards its prefill queue
- * until the prompt is prefilled.
+ * A send that is under way at a target. Counts towards the target's load until the send ends, and towards its prefill
+ * queue until the prompt is prefilled.
  */
 final class InFlightSend {
 
@@ -37,7 +37,8 @@
      *
      * @param context the services that all relays share, not null
      * @param target the target of the send, not null
-     * @param prompt the prompt to prefill at the target, empty if there is none or its KV cache is transferred, not null
+     * @param prompt the prompt to prefill at the target, empty if there is none or its KV cache is transferred, not
+     *     null
      * @param prefillWork the tokens to prefill and their queue level, not null
      * @return the send under way
      */
--- a/src/main/java/org/dogwoodwinch/relay/PrefillOutcome.java
+++ b/src/main/java/org/dogwoodwinch/relay/PrefillOutcome.java
@@ -18,7 +18,8 @@
     record NotSent(String reason) implements PrefillOutcome {}
 
     /**
-     * The engine accepted the request but its response has no usable cache handle. The next send is not counted as a retry.
+     * The engine accepted the request but its response has no usable cache handle. The next send is not counted as a
+     * retry.
      *
      * @param reason the reason for logs and metrics
      */
--- a/src/main/java/org/dogwoodwinch/relay/RelayContext.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayContext.java
@@ -33,8 +33,8 @@
  * @param statedLimits receives the rate limits that targets state in responses, not null
  * @param connectionAborts tracks targets that close new connections without a response, not null
  * @param report receives decisions about calls for metrics and logs, not null
- * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on each use,
- *     not null
+ * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on each
+ *     use, not null
  */
 record RelayContext(
         TimeSource time,
@@ -78,8 +78,8 @@
     /**
      * Returns the maximum number of connections from this instance to one target.
      *
-     * <p>Failure: a target resets connections beyond its limit, and the calls on them may have run. The limit is divided
-     * equally among all instances that may exist, so the sum cannot exceed it.
+     * <p>Failure: a target resets connections beyond its limit, and the calls on them may have run. The limit is
+     * divided equally among all instances that may exist, so the sum cannot exceed it.
      */
     int connectionsPerTarget(ServiceEntry service) {
         return Math.max(1, service.maxConnectionsCount() / sharingInstancesCount.getAsInt());
@@ -90,9 +90,9 @@
      * disconnected. Younger calls continue at once.
      *
      * <p>Failure: a busy instance processes an engine's response a second late, while the disconnect of the caller is
-     * still unread on its socket, and sends the call on although nobody waits for it. The event loop reads pending input
-     * before it runs a deferred task. Callers disconnect after two seconds or more, or, with a short deadline, after half
-     * of a latency objective.
+     * still unread on its socket, and sends the call on although nobody waits for it. The event loop reads pending
+     * input before it runs a deferred task. Callers disconnect after two seconds or more, or, with a short deadline,
+     * after half of a latency objective.
      */
     void afterCallerReads(long callArrivalMillis, Runnable next) {
         if (time.monotonicMillis() - callArrivalMillis < MIN_DEFERRED_AGE_MILLIS) {
--- a/src/main/java/org/dogwoodwinch/relay/RelayReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayReport.java
@@ -32,7 +32,9 @@
         NOT_GRANTED
     }
 
-    /** A send was not successful; {@code step} follows, and {@code budgetLeft} retries remain in the budget after it. */
+    /**
+     * A send was not successful; {@code step} follows, and {@code budgetLeft} retries remain in the budget after it.
+     */
     void sendFailed(CallRelay call, SendOutcome outcome, NextStep step, double budgetLeft);
 
     /** The deadline passed before the response was complete. */
--- a/src/main/java/org/dogwoodwinch/relay/RequestHandler.java
+++ b/src/main/java/org/dogwoodwinch/relay/RequestHandler.java
@@ -32,8 +32,8 @@
      * @param call the complete request, not null
      * @param caller writes the response to the caller, not null
      * @param onDone run exactly once, when the call has ended in any way, not null
-     * @return the call under way, which is notified of events on the caller's connection; {@link ActiveCall#NONE} if the
-     *     response was sent at once
+     * @return the call under way, which is notified of events on the caller's connection; {@link ActiveCall#NONE} if
+     *     the response was sent at once
      */
     ActiveCall handle(IncomingCall call, CallerResponse caller, Runnable onDone);
 
--- a/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
@@ -28,8 +28,8 @@
      * The rest of the response, or all of it, will not arrive.
      *
      * @param reason the reason for logs and metrics, not null
-     * @param connectionAborted whether the connection was opened for this call and closed before a response began; false for a
-     *     reused connection, which the target may have closed for being idle
+     * @param connectionAborted whether the connection was opened for this call and closed before a response began;
+     *     false for a reused connection, which the target may have closed for being idle
      */
     void onLost(String reason, boolean connectionAborted);
 }
--- a/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
+++ b/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
@@ -10,7 +10,8 @@
      * Records the rate limit, or its absence, in the response of a target.
      *
      * @param target the incarnation of the target that the call was sent to, not null
-     * @param callsPerSecond the rate limit for all instances together, in calls per second; empty if it states none, not null
+     * @param callsPerSecond the rate limit for all instances together, in calls per second; empty if it states none,
+     *     not null
      * @param sentMillis when the call was sent, in monotonic milliseconds
      */
     void answered(Incarnation target, OptionalDouble callsPerSecond, long sentMillis);
--- a/src/main/java/org/dogwoodwinch/relay/Suspicions.java
+++ b/src/main/java/org/dogwoodwinch/relay/Suspicions.java
@@ -18,17 +18,18 @@
 /**
  * Prevents a call that crashes targets from crashing more of them. Confined to one event loop.
  *
- * <p>Failure: a call crashes each target that starts to run it, and its caller retries it through any instance. All calls
- * that were under way on a crashed target become suspects on this instance and, through peer messages, on all others.
- * Suspects run on separate targets, so that the next crash identifies the cause. A suspect that completes is cleared.
+ * <p>Failure: a call crashes each target that starts to run it, and its caller retries it through any instance. All
+ * calls that were under way on a crashed target become suspects on this instance and, through peer messages, on all
+ * others. Suspects run on separate targets, so that the next crash identifies the cause. A suspect that completes is
+ * cleared.
  */
 final class Suspicions {
 
     private static final Logger log = LoggerFactory.getLogger(Suspicions.class);
 
     /**
-     * Maximum time between a lost call and the detection of the crash. A target's registration expires some seconds after
-     * its last heartbeat, so an earlier loss has another cause.
+     * Maximum time between a lost call and the detection of the crash. A target's registration expires some seconds
+     * after its last heartbeat, so an earlier loss has another cause.
      */
     private static final long CORRELATION_WINDOW_MILLIS = 6_000;
 
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
@@ -27,17 +27,17 @@
 /**
  * A connection to a target that carries one call at a time. Confined to its event loop.
  *
- * <p>If bytes arrive while no call waits for a response, they belong to no call and the connection is closed. A response
- * with another call's id is skipped, since a target may send a duplicate response to an earlier call before the response
- * to the current one.
+ * <p>If bytes arrive while no call waits for a response, they belong to no call and the connection is closed. A
+ * response with another call's id is skipped, since a target may send a duplicate response to an earlier call before
+ * the response to the current one.
  */
 final class TargetConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     private static final Logger log = LoggerFactory.getLogger(TargetConnection.class);
 
     /**
-     * Maximum number of skipped responses per call, after which the connection is closed; a target duplicates a response
-     * at most once.
+     * Maximum number of skipped responses per call, after which the connection is closed; a target duplicates a
+     * response at most once.
      */
     private static final int MAX_SKIPPED_RESPONSES = 3;
 
@@ -97,7 +97,8 @@
     }
 
     /**
-     * Returns whether the target may have closed the connection by now, or may close it while the next call is on its way.
+     * Returns whether the target may have closed the connection by now, or may close it while the next call is on its
+     * way.
      */
     boolean isStale(long nowMillis, long marginMillis) {
         return nowMillis - idleSinceMillis > idleLimitMillis - marginMillis;
@@ -271,8 +272,8 @@
     }
 
     /**
-     * Returns whether the cause is a time-out, which may also be due to the local network link. Transports identify it only
-     * by the exception's message.
+     * Returns whether the cause is a time-out, which may also be due to the local network link. Transports identify it
+     * only by the exception's message.
      */
     private static boolean isTimeout(Throwable cause) {
         return cause.getMessage() != null && cause.getMessage().contains(TIMED_OUT);
@@ -283,8 +284,8 @@
     }
 
     /**
-     * Fails the call. A reset is not an orderly close: a response without a length that ends with one must not be treated
-     * as complete.
+     * Fails the call. A reset is not an orderly close: a response without a length that ends with one must not be
+     * treated as complete.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext _context, Throwable cause) {
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Acquires an idle connection or opens one. Every send to a target acquires its connection here and so takes from the
-     * target's rate limit exactly once.
+     * Acquires an idle connection or opens one. Every send to a target acquires its connection here and so takes from
+     * the target's rate limit exactly once.
      *
      * @param target the target to connect to, not null
      * @param maxConnections the maximum number of connections from this instance to the target
--- a/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns whether the response is a proven success: it carries the target's signature and the id of the call, and its
-     * body was not re-encoded on the way.
+     * Returns whether the response is a proven success: it carries the target's signature and the id of the call, and
+     * its body was not re-encoded on the way.
      */
     boolean isSuccess() {
         return facts.isSuccess()
