--- a/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
@@ -24,27 +24,27 @@
     private static final Prompt PROMPT = new Prompt("m", 900, 9, List.of(new PromptSegment("a", 900)));
 
     private final VirtualTimeSource time = new VirtualTimeSource(0);
-    private final KvCacheIndex parts = new KvCacheIndex();
-    private final Control control = new Control();
-    private final Heard listener = new Heard();
+    private final KvCacheIndex cacheIndex = new KvCacheIndex();
+    private final FakeEngineControl engineControl = new FakeEngineControl();
+    private final RecordingCacheListener listener = new RecordingCacheListener();
     private List<Incarnation> engines = List.of(ENGINE);
-    private boolean ownDuty = true;
+    private boolean isWatchedHere = true;
 
-    private CacheWatch started() {
-        CacheWatch watch = new CacheWatch(control, parts, () -> engines, _id -> ownDuty, listener, time, 250);
+    private CacheWatch startWatch() {
+        CacheWatch watch = new CacheWatch(engineControl, cacheIndex, () -> engines, _id -> isWatchedHere, listener, time, 250);
         watch.start();
         return watch;
     }
 
     @Test
-    void changesAreTakenInOrderAndAskedOnFromTheirEnd() {
-        started();
-        control.tell(new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900), new CacheChange("a", 300))));
+    void changesAreAppliedInOrderAndPollingContinuesFromTheLastNumber() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900), new CacheChange("a", 300))));
 
-        assertEquals(300, parts.cachedPrefixTokens("e1", PROMPT));
+        assertEquals(300, cacheIndex.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
-        assertEquals(List.of(0L, 7L), control.asked);
-        assertEquals(0, control.lists.size());
+        assertEquals(List.of(0L, 7L), engineControl.requestedSinceNumbers);
+        assertEquals(0, engineControl.listRequests.size());
     }
 
     /**
@@ -52,15 +52,15 @@
      * to that question is of nobody any more; it is asked anew from the beginning, and what it kept is forgotten.
      */
     @Test
-    void anEngineThatStartedAgainIsAskedFromTheBeginning() {
-        started();
-        control.tell(new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900))));
+    void restartedEngineIsPolledFromNumberZero() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900))));
         time.advanceMillis(250);
         engines = List.of(new Incarnation("e1", "s", "10.0.0.1", 80, "dc", 64, false, Stage.DECODE, 1, 2_000));
         time.advanceMillis(250);
 
-        assertEquals(0, parts.cachedPrefixTokens("e1", PROMPT));
-        assertEquals(List.of(0L, 7L, 0L), control.asked);
+        assertEquals(0, cacheIndex.cachedPrefixTokens("e1", PROMPT));
+        assertEquals(List.of(0L, 7L, 0L), engineControl.requestedSinceNumbers);
     }
 
     /**
@@ -68,65 +68,65 @@
      * makes up for them. Before, the part was believed unread, and read a second time elsewhere.
      */
     @Test
-    void whatIsNoLongerToldIsListed() {
-        started();
-        control.tell(new CacheChanges("x", 90, true, List.of()));
-        control.lists.get(0).complete(Optional.of(new CacheList("x", 95, List.of(new CacheChange("a", 900)))));
+    void missingChangesAreReplacedByFullList() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 90, true, List.of()));
+        engineControl.listRequests.get(0).complete(Optional.of(new CacheList("x", 95, List.of(new CacheChange("a", 900)))));
 
-        assertEquals(900, parts.cachedPrefixTokens("e1", PROMPT));
+        assertEquals(900, cacheIndex.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
-        assertEquals(List.of(0L, 95L), control.asked);
+        assertEquals(List.of(0L, 95L), engineControl.requestedSinceNumbers);
     }
 
     /** Dropped unheard: what the list does not name is not kept. */
     @Test
-    void whatTheListDoesNotNameIsForgotten() {
-        started();
-        control.tell(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
+    void segmentsAbsentFromFullListAreRemoved() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
         time.advanceMillis(250);
-        control.tell(new CacheChanges("x", 90, true, List.of()));
-        control.lists.get(0).complete(Optional.of(new CacheList("x", 95, List.of())));
+        engineControl.completeChanges(new CacheChanges("x", 90, true, List.of()));
+        engineControl.listRequests.get(0).complete(Optional.of(new CacheList("x", 95, List.of())));
 
-        assertEquals(0, parts.cachedPrefixTokens("e1", PROMPT));
+        assertEquals(0, cacheIndex.cachedPrefixTokens("e1", PROMPT));
     }
 
     /** An engine that keeps telling of gaps is asked for its list now and then only, and for changes meanwhile. */
     @Test
-    void listsAreAskedForWithAPause() {
-        started();
+    void repeatedGapsDoNotRepeatFullListRequestWithinPause() {
+        startWatch();
         for (int i = 0; i < 10; i++) {
-            control.tell(new CacheChanges("x", i, true, List.of()));
-            if (control.lists.size() == 1) {
-                control.lists.get(0).complete(Optional.empty());
+            engineControl.completeChanges(new CacheChanges("x", i, true, List.of()));
+            if (engineControl.listRequests.size() == 1) {
+                engineControl.listRequests.get(0).complete(Optional.empty());
             }
             time.advanceMillis(250);
         }
 
-        assertEquals(1, control.lists.size());
-        assertEquals(11, control.asked.size());
+        assertEquals(1, engineControl.listRequests.size());
+        assertEquals(11, engineControl.requestedSinceNumbers.size());
         time.advanceMillis(3_000);
-        control.tell(new CacheChanges("x", 11, true, List.of()));
-        assertEquals(2, control.lists.size());
+        engineControl.completeChanges(new CacheChanges("x", 11, true, List.of()));
+        assertEquals(2, engineControl.listRequests.size());
     }
 
     @Test
-    void aRestartForgetsWhatWasKept() {
-        started();
-        control.tell(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
+    void changedEngineEpochClearsCachedSegments() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
         time.advanceMillis(250);
-        control.tell(new CacheChanges("y", 0, false, List.of()));
+        engineControl.completeChanges(new CacheChanges("y", 0, false, List.of()));
 
-        assertEquals(0, parts.cachedPrefixTokens("e1", PROMPT));
+        assertEquals(0, cacheIndex.cachedPrefixTokens("e1", PROMPT));
     }
 
     @Test
-    void anEngineThatIsGoneIsForgotten() {
-        started();
-        control.tell(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
+    void removedEngineIsClearedFromIndex() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
         engines = List.of();
         time.advanceMillis(250);
 
-        assertEquals(0, parts.segmentsCount());
+        assertEquals(0, cacheIndex.segmentsCount());
     }
 
     /**
@@ -134,20 +134,20 @@
      * still under way is not taken, and a later turn begins with a question for everything.
      */
     @Test
-    void anEngineThatAnotherInstanceAsksIsLeftAlone() {
-        started();
-        control.tell(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
+    void engineWatchedByAnotherInstanceIsNotPolled() {
+        startWatch();
+        engineControl.completeChanges(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
         time.advanceMillis(250);
-        ownDuty = false;
+        isWatchedHere = false;
         time.advanceMillis(1_000);
-        control.tell(new CacheChanges("x", 6, false, List.of(new CacheChange("a", 0))));
+        engineControl.completeChanges(new CacheChanges("x", 6, false, List.of(new CacheChange("a", 0))));
 
-        assertEquals(List.of(0L, 5L), control.asked);
-        assertEquals(900, parts.cachedPrefixTokens("e1", PROMPT));
-        assertEquals(List.of("a=900", "unwatched e1"), listener.words);
-        ownDuty = true;
+        assertEquals(List.of(0L, 5L), engineControl.requestedSinceNumbers);
+        assertEquals(900, cacheIndex.cachedPrefixTokens("e1", PROMPT));
+        assertEquals(List.of("a=900", "unwatched e1"), listener.events);
+        isWatchedHere = true;
         time.advanceMillis(250);
-        assertEquals(0L, control.asked.get(2));
+        assertEquals(0L, engineControl.requestedSinceNumbers.get(2));
     }
 
     /**
@@ -155,67 +155,67 @@
      * instances, it refused some thousand questions a second. The pauses double up to four seconds.
      */
     @Test
-    void refusedQuestionsAreAskedAgainLessOften() {
-        started();
+    void refusedRequestsAreRetriedWithBackoff() {
+        startWatch();
         for (int i = 0; i < 400; i++) {
-            control.refuse();
+            engineControl.refuseChanges();
             time.advanceMillis(250);
         }
-        assertTrue(control.asked.size() <= 31, control.asked::toString);
+        assertTrue(engineControl.requestedSinceNumbers.size() <= 31, engineControl.requestedSinceNumbers::toString);
         time.advanceMillis(4_000);
-        control.tell(new CacheChanges("x", 5, false, List.of()));
-        int before = control.asked.size();
+        engineControl.completeChanges(new CacheChanges("x", 5, false, List.of()));
+        int requestCount = engineControl.requestedSinceNumbers.size();
         time.advanceMillis(250);
-        assertEquals(before + 1, control.asked.size());
+        assertEquals(requestCount + 1, engineControl.requestedSinceNumbers.size());
     }
 
-    private static final class Heard implements CacheListener {
+    private static final class RecordingCacheListener implements CacheListener {
 
-        private final List<String> words = new ArrayList<>();
+        private final List<String> events = new ArrayList<>();
 
         @Override
-        public void changed(String _engineId, String partId, int keptTokens) {
-            words.add(partId + "=" + keptTokens);
+        public void changed(String _engineId, String segmentId, int cachedTokens) {
+            events.add(segmentId + "=" + cachedTokens);
         }
 
         @Override
         public void listed(String engineId) {
-            words.add("listed " + engineId);
+            events.add("listed " + engineId);
         }
 
         @Override
         public void unwatched(String engineId) {
-            words.add("unwatched " + engineId);
+            events.add("unwatched " + engineId);
         }
     }
 
-    private static final class Control extends SilentEngines {
+    private static final class FakeEngineControl extends SilentEngines {
 
-        private final List<Long> asked = new ArrayList<>();
-        private final List<CompletableFuture<Optional<CacheList>>> lists = new ArrayList<>();
-        private CompletableFuture<Optional<CacheChanges>> question;
+        private final List<Long> requestedSinceNumbers = new ArrayList<>();
+        private final List<CompletableFuture<Optional<CacheList>>> listRequests = new ArrayList<>();
+        private CompletableFuture<Optional<CacheChanges>> pendingChangesRequest;
 
         /** Answers the last question for changes. */
-        void tell(CacheChanges changes) {
-            question.complete(Optional.of(changes));
+        void completeChanges(CacheChanges changes) {
+            pendingChangesRequest.complete(Optional.of(changes));
         }
 
         /** Refuses the last question for changes. */
-        void refuse() {
-            question.complete(Optional.empty());
+        void refuseChanges() {
+            pendingChangesRequest.complete(Optional.empty());
         }
 
         @Override
         public CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation _engine, long sinceNumber) {
-            asked.add(sinceNumber);
-            question = new CompletableFuture<>();
-            return question;
+            requestedSinceNumbers.add(sinceNumber);
+            pendingChangesRequest = new CompletableFuture<>();
+            return pendingChangesRequest;
         }
 
         @Override
         public CompletionStage<Optional<CacheList>> cacheList(Incarnation _engine) {
-            lists.add(new CompletableFuture<>());
-            return lists.get(lists.size() - 1);
+            listRequests.add(new CompletableFuture<>());
+            return listRequests.get(listRequests.size() - 1);
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/CallRelayTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallRelayTest.java
@@ -15,31 +15,31 @@
 class CallRelayTest {
 
     private final RelayFixture relay =
-            new RelayFixture().configured().plain("t1").plain("t2");
+            new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
 
     @Test
-    void aSuccessIsHandedOnUnchangedAndItsConnectionKept() {
-        RelayFixture.CallerEnd caller =
-                relay.caller().send(RelayFixture.post("/once/a?q=1", "a1", "X: y\r\n", "hello"));
-        String sent = relay.target().received();
-        assertTrue(sent.startsWith("POST /once/a?q=1 HTTP/1.1\r\n"), sent);
-        assertTrue(sent.contains("X: y\r\n") && sent.endsWith("\r\n\r\nhello"), sent);
-        assertTrue(sent.contains("expect-instance: " + relay.target().id()), sent);
-        assertTrue(sent.contains("deadline-ms: 800"), sent);
-
-        relay.target().answer(RelayFixture.success("a1", "one"));
-        String answer = caller.received();
-        assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n") && answer.endsWith("one"), answer);
-        assertTrue(answer.contains("Server-Stamp: s-a1"), answer);
-
-        assertTrue(relay.target().open());
+    void successIsForwardedUnchangedAndConnectionKeptAlive() {
+        RelayFixture.FakeCaller caller =
+                relay.connectCaller().send(RelayFixture.postRequest("/once/a?q=1", "a1", "X: y\r\n", "hello"));
+        String forwarded = relay.latestTargetConnection().takeReceived();
+        assertTrue(forwarded.startsWith("POST /once/a?q=1 HTTP/1.1\r\n"), forwarded);
+        assertTrue(forwarded.contains("X: y\r\n") && forwarded.endsWith("\r\n\r\nhello"), forwarded);
+        assertTrue(forwarded.contains("expect-instance: " + relay.latestTargetConnection().targetId()), forwarded);
+        assertTrue(forwarded.contains("deadline-ms: 800"), forwarded);
+
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "one"));
+        String response = caller.takeReceived();
+        assertTrue(response.startsWith("HTTP/1.1 200 OK\r\n") && response.endsWith("one"), response);
+        assertTrue(response.contains("Server-Stamp: s-a1"), response);
+
+        assertTrue(relay.latestTargetConnection().isOpen());
     }
 
     /** What only this system may set reaches into other requests' memory: a caller's is dropped, however it is spelt. */
     @Test
-    void aCallersOwnControlHeadersAreDropped() {
-        relay.caller()
-                .send(RelayFixture.post(
+    void controlHeadersFromCallerAreDropped() {
+        relay.connectCaller()
+                .send(RelayFixture.postRequest(
                         "/once/a",
                         "a1",
                         String.join(
@@ -61,7 +61,7 @@
                                 ""),
                         "hello"));
 
-        String sent = relay.target().received().toLowerCase(Locale.ROOT);
+        String forwarded = relay.latestTargetConnection().takeReceived().toLowerCase(Locale.ROOT);
         for (String name : List.of(
                 "kv-from",
                 "kv-hold",
@@ -76,10 +76,10 @@
                 "te:",
                 "upgrade",
                 "connection")) {
-            assertFalse(sent.contains("\r\n" + name), name + " in " + sent);
+            assertFalse(forwarded.contains("\r\n" + name), name + " in " + forwarded);
         }
-        assertTrue(sent.contains("request-id: a1"), sent);
-        assertTrue(sent.contains("expect-instance: " + relay.target().id()), sent);
+        assertTrue(forwarded.contains("request-id: a1"), forwarded);
+        assertTrue(forwarded.contains("expect-instance: " + relay.latestTargetConnection().targetId()), forwarded);
     }
 
     /**
@@ -87,39 +87,39 @@
      * it is passed over, and the caller gets the answer to its own call.
      */
     @Test
-    void anotherCallsAnswerIsPassedOver() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
+    void responseToAnotherCallIsSkipped() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
 
-        relay.target().answer(RelayFixture.success("zz", "stranger"));
-        assertEquals("", caller.received());
-        relay.target().answer(RelayFixture.success("a1", "own"));
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("zz", "stranger"));
+        assertEquals("", caller.takeReceived());
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "own"));
 
-        String answer = caller.received();
-        assertTrue(answer.endsWith("own") && !answer.contains("stranger"), answer);
+        String response = caller.takeReceived();
+        assertTrue(response.endsWith("own") && !response.contains("stranger"), response);
     }
 
     /** Bytes that follow a whole answer belong to nobody: the connection is closed, and the next call opens another. */
     @Test
-    void bytesAfterAnAnswerCloseTheConnection() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        RelayFixture.TargetEnd first = relay.target();
+    void bytesAfterResponseCloseConnection() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        RelayFixture.FakeTargetConnection first = relay.latestTargetConnection();
 
-        first.answer(RelayFixture.success("a1", "one") + RelayFixture.success("a1", "again"));
+        first.respond(RelayFixture.successResponse("a1", "one") + RelayFixture.successResponse("a1", "again"));
 
-        assertTrue(caller.received().endsWith("one"));
-        assertFalse(first.open());
+        assertTrue(caller.takeReceived().endsWith("one"));
+        assertFalse(first.isOpen());
     }
 
     @Test
-    void bytesOnAnIdleConnectionCloseIt() {
-        relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        RelayFixture.TargetEnd first = relay.target();
-        first.answer(RelayFixture.success("a1", "one"));
-        assertTrue(first.open());
+    void bytesOnIdleConnectionCloseIt() {
+        relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        RelayFixture.FakeTargetConnection first = relay.latestTargetConnection();
+        first.respond(RelayFixture.successResponse("a1", "one"));
+        assertTrue(first.isOpen());
 
-        first.answer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        first.respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 
-        assertFalse(first.open());
+        assertFalse(first.isOpen());
     }
 
     /** The call ran or may have run, and no answer that counts came: a call that runs once gets 502 and runs no more. */
@@ -136,15 +136,15 @@
                 "no answer at all\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nRequest-Id: zz\r\nServer-Stamp: s\r\n\r\nunframed",
             })
-    void whatProvesNothingIsNoSuccessAndNoPromise(String raw) {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
+    void unverifiableResponseGetsBadGatewayWithoutRetry(String rawResponse) {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
 
-        relay.target().answer(raw);
+        relay.latestTargetConnection().respond(rawResponse);
 
-        String answer = caller.received();
-        assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
-        assertFalse(answer.contains("Server-Stamp"), answer);
-        assertEquals(1, relay.opened.size());
+        String response = caller.takeReceived();
+        assertTrue(response.startsWith("HTTP/1.1 502 "), response);
+        assertFalse(response.contains("Server-Stamp"), response);
+        assertEquals(1, relay.targetConnections.size());
     }
 
     /**
@@ -152,48 +152,48 @@
      * held until it was whole; one of a call that may be repeated sees the second target's answer.
      */
     @Test
-    void aCutAnswerNeverLooksWhole() {
-        RelayFixture.CallerEnd once = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        relay.target().answer("HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
-        relay.target().close();
-        assertTrue(once.received().startsWith("HTTP/1.1 502 "));
-
-        RelayFixture.CallerEnd safe = relay.caller().send(RelayFixture.get("/safe/b", "b2"));
-        String firstId = relay.target().id();
-        relay.target().answer("HTTP/1.1 200 OK\r\nRequest-Id: b2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
-        relay.target().close();
-        assertFalse(firstId.equals(relay.target().id()));
-        relay.target().answer(RelayFixture.success("b2", "whole"));
-        assertTrue(safe.received().endsWith("whole"));
+    void truncatedResponseIsNeverForwardedAsComplete() {
+        RelayFixture.FakeCaller onceCaller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        relay.latestTargetConnection().respond("HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
+        relay.latestTargetConnection().close();
+        assertTrue(onceCaller.takeReceived().startsWith("HTTP/1.1 502 "));
+
+        RelayFixture.FakeCaller repeatableCaller = relay.connectCaller().send(RelayFixture.getRequest("/safe/b", "b2"));
+        String firstTargetId = relay.latestTargetConnection().targetId();
+        relay.latestTargetConnection().respond("HTTP/1.1 200 OK\r\nRequest-Id: b2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
+        relay.latestTargetConnection().close();
+        assertFalse(firstTargetId.equals(relay.latestTargetConnection().targetId()));
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("b2", "whole"));
+        assertTrue(repeatableCaller.takeReceived().endsWith("whole"));
     }
 
     /** An answer without a length ends with its connection: whole after an orderly close, cut after a reset. */
     @Test
-    void anAnswerWithoutLengthIsWholeOnlyAfterAnOrderlyClose() {
+    void responseWithoutLengthIsCompleteOnlyAfterCleanClose() {
         String head = "HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nServer-Stamp: s\r\n\r\n";
-        RelayFixture.CallerEnd closed = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        relay.target().answer(head + "all of it");
-        relay.target().close();
-        assertTrue(closed.received().endsWith("all of it"));
-
-        RelayFixture.CallerEnd reset = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        relay.target().answer(head + "all of it");
-        relay.target().reset();
-        assertTrue(reset.received().startsWith("HTTP/1.1 502 "));
+        RelayFixture.FakeCaller callerOfClosed = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        relay.latestTargetConnection().respond(head + "all of it");
+        relay.latestTargetConnection().close();
+        assertTrue(callerOfClosed.takeReceived().endsWith("all of it"));
+
+        RelayFixture.FakeCaller callerOfReset = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        relay.latestTargetConnection().respond(head + "all of it");
+        relay.latestTargetConnection().reset();
+        assertTrue(callerOfReset.takeReceived().startsWith("HTTP/1.1 502 "));
     }
 
     /** A stream of which bytes went on is cut: its caller sees the connection end without the last chunk. */
     @Test
-    void aCutStreamIsBrokenOffVisibly() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/stream/a", "a1"));
-        relay.target().answer(RelayFixture.streamHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n"));
-        assertTrue(caller.received().contains("data: x"));
+    void truncatedStreamEndsWithoutFinalChunk() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/stream/a", "a1"));
+        relay.latestTargetConnection().respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n"));
+        assertTrue(caller.takeReceived().contains("data: x"));
 
-        relay.target().close();
+        relay.latestTargetConnection().close();
 
-        assertFalse(caller.received().contains("0\r\n\r\n"));
-        assertTrue(caller.closedAtOnce());
-        assertEquals(1, relay.opened.size());
+        assertFalse(caller.takeReceived().contains("0\r\n\r\n"));
+        assertTrue(caller.isClosed());
+        assertEquals(1, relay.targetConnections.size());
     }
 
     /**
@@ -201,117 +201,117 @@
      * goes on after the last of them, and the caller sees one answer with every event once and the first one's head.
      */
     @Test
-    void aResumableStreamGoesOnAtAnotherTargetAfterTheLastWholeEvent() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/resume/a", "a1"));
-        RelayFixture.TargetEnd first = relay.target();
-        first.answer(RelayFixture.streamHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\nid: 2\nda"));
+    void resumableStreamContinuesOnAnotherTargetAfterLastCompleteEvent() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/resume/a", "a1"));
+        RelayFixture.FakeTargetConnection first = relay.latestTargetConnection();
+        first.respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\nid: 2\nda"));
         first.close();
 
-        RelayFixture.TargetEnd second = relay.target();
-        assertFalse(first.id().equals(second.id()));
-        String resumed = second.received();
-        assertTrue(resumed.contains("last-event-id: 1"), resumed);
-        second.answer(RelayFixture.streamHead("a1") + RelayFixture.chunk("id: 2\ndata: y\n\n") + "0\r\n\r\n");
-
-        String answer = caller.received();
-        assertEquals(1, answer.split("HTTP/1.1 200", -1).length - 1, answer);
-        assertTrue(answer.contains("id: 1\ndata: x\n\n") && answer.contains("id: 2\ndata: y\n\n"), answer);
-        assertEquals(1, answer.split("id: 2", -1).length - 1, answer);
-        assertTrue(answer.endsWith("0\r\n\r\n"), answer);
+        RelayFixture.FakeTargetConnection second = relay.latestTargetConnection();
+        assertFalse(first.targetId().equals(second.targetId()));
+        String resumedRequest = second.takeReceived();
+        assertTrue(resumedRequest.contains("last-event-id: 1"), resumedRequest);
+        second.respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 2\ndata: y\n\n") + "0\r\n\r\n");
+
+        String response = caller.takeReceived();
+        assertEquals(1, response.split("HTTP/1.1 200", -1).length - 1, response);
+        assertTrue(response.contains("id: 1\ndata: x\n\n") && response.contains("id: 2\ndata: y\n\n"), response);
+        assertEquals(1, response.split("id: 2", -1).length - 1, response);
+        assertTrue(response.endsWith("0\r\n\r\n"), response);
     }
 
     /** The target states that it did not run the call: it goes to another one, and the caller notices nothing. */
     @Test
-    void aRejectedCallGoesToAnotherTarget() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        String first = relay.target().id();
-        relay.target().answer("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+    void rejectedCallIsRetriedOnAnotherTarget() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        String firstTargetId = relay.latestTargetConnection().targetId();
+        relay.latestTargetConnection().respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
-        assertFalse(first.equals(relay.target().id()));
-        relay.target().answer(RelayFixture.success("a1", "ran"));
+        assertFalse(firstTargetId.equals(relay.latestTargetConnection().targetId()));
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "ran"));
 
-        assertTrue(caller.received().endsWith("ran"));
+        assertTrue(caller.takeReceived().endsWith("ran"));
     }
 
     /** Another target has the address now. It said so and did not run the call, so the caller may be told. */
     @Test
-    void anAddressThatIsAnotherTargetsNowRunsNothing() {
-        RelayFixture one = new RelayFixture().configured().plain("t1");
-        RelayFixture.CallerEnd caller = one.caller().send(RelayFixture.get("/once/a", "a1"));
+    void misdirectedCallIsRefusedAsNotRun() {
+        RelayFixture singleTarget = new RelayFixture().withRoutes().withPlainTarget("t1");
+        RelayFixture.FakeCaller caller = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
 
-        one.target().answer("HTTP/1.1 421 Misdirected\r\nInstance-Id: t9\r\nContent-Length: 0\r\n\r\n");
+        singleTarget.latestTargetConnection().respond("HTTP/1.1 421 Misdirected\r\nInstance-Id: t9\r\nContent-Length: 0\r\n\r\n");
 
-        String answer = caller.received();
-        assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("retry-after: 0."), answer);
+        String response = caller.takeReceived();
+        assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0."), response);
     }
 
     /** All repeats of the window are spent: a rejected call is refused with when to come back, not sent again. */
     @Test
-    void withoutBudgetARejectedCallIsRefused() {
-        RelayFixture poor = new RelayFixture(0).configured().plain("t1").plain("t2");
-        RelayFixture.CallerEnd caller = poor.caller().send(RelayFixture.get("/safe/a", "a1"));
+    void rejectedCallIsRefusedWhenRetryBudgetIsSpent() {
+        RelayFixture noRetries = new RelayFixture(0).withRoutes().withPlainTarget("t1").withPlainTarget("t2");
+        RelayFixture.FakeCaller caller = noRetries.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
 
-        poor.target().answer("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        noRetries.latestTargetConnection().respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
-        String answer = caller.received();
-        assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("retry-after: 0.2"), answer);
-        assertEquals(1, poor.opened.size());
+        String response = caller.takeReceived();
+        assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0.2"), response);
+        assertEquals(1, noRetries.targetConnections.size());
     }
 
     /** A target's own failure counts as run: a call that runs once gets it unchanged, one that may repeat a second try. */
     @Test
-    void aTargetsOwnFailureIsHandedOnOrTriedElsewhere() {
-        String failure = "HTTP/1.1 500 Oops\r\nRequest-Id: a1\r\nServer-Stamp: s-f\r\nContent-Length: 3\r\n\r\nbad";
-        RelayFixture.CallerEnd once = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        relay.target().answer(failure);
-        String answer = once.received();
-        assertTrue(answer.startsWith("HTTP/1.1 500 ") && answer.contains("Server-Stamp: s-f"), answer);
-        assertTrue(answer.endsWith("bad"), answer);
-
-        RelayFixture fresh = new RelayFixture().configured().plain("t1").plain("t2");
-        RelayFixture.CallerEnd safe = fresh.caller().send(RelayFixture.get("/safe/a", "a1"));
-        fresh.target().answer(failure);
-        fresh.target().answer(RelayFixture.success("a1", "good"));
-        assertTrue(safe.received().endsWith("good"));
+    void targetErrorIsForwardedOrRetriedByRouteKind() {
+        String errorResponse = "HTTP/1.1 500 Oops\r\nRequest-Id: a1\r\nServer-Stamp: s-f\r\nContent-Length: 3\r\n\r\nbad";
+        RelayFixture.FakeCaller onceCaller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        relay.latestTargetConnection().respond(errorResponse);
+        String response = onceCaller.takeReceived();
+        assertTrue(response.startsWith("HTTP/1.1 500 ") && response.contains("Server-Stamp: s-f"), response);
+        assertTrue(response.endsWith("bad"), response);
+
+        RelayFixture otherRelay = new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
+        RelayFixture.FakeCaller repeatableCaller = otherRelay.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
+        otherRelay.latestTargetConnection().respond(errorResponse);
+        otherRelay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "good"));
+        assertTrue(repeatableCaller.takeReceived().endsWith("good"));
     }
 
     /** No connection can be had: nothing ran, so the caller is told to come back, and how often is bounded. */
     @Test
-    void withoutAConnectionTheCallIsRefusedAsNotRun() {
-        relay.unreachable.add("t1");
-        relay.unreachable.add("t2");
+    void callIsRefusedAsNotRunWhenNoTargetIsReachable() {
+        relay.unreachableTargetIds.add("t1");
+        relay.unreachableTargetIds.add("t2");
 
-        String answer = relay.caller().send(RelayFixture.get("/once/a", "a1")).received();
+        String response = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1")).takeReceived();
 
-        assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("retry-after: 0.2"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0.2"), response);
         assertEquals(0, relay.service.openCount());
     }
 
     /** The route's time is over before an answer: the caller has its final answer at that moment, and it promises nothing. */
     @Test
-    void atTheRoutesTimeTheCallerHasItsFinalAnswer() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        relay.time.advanceMillis(RelayFixture.TIMEOUT_MILLIS - 1);
-        assertEquals("", caller.received());
+    void callerGetsGatewayTimeoutAtRouteTimeout() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        relay.time.advanceMillis(RelayFixture.CALL_TIMEOUT_MILLIS - 1);
+        assertEquals("", caller.takeReceived());
 
         relay.time.advanceMillis(1);
 
-        assertTrue(caller.received().startsWith("HTTP/1.1 504 "));
-        assertFalse(relay.target().open());
+        assertTrue(caller.takeReceived().startsWith("HTTP/1.1 504 "));
+        assertFalse(relay.latestTargetConnection().isOpen());
     }
 
     /** The second send of a call has only the time that the first one left. */
     @Test
-    void eachSendCarriesWhatIsLeftOfTheCallersTime() {
-        relay.caller().send(RelayFixture.post("/safe/a", "a1", "Deadline-Ms: 500\r\n", "x"));
-        assertTrue(relay.target().received().contains("deadline-ms: 500"));
+    void eachAttemptCarriesRemainingDeadline() {
+        relay.connectCaller().send(RelayFixture.postRequest("/safe/a", "a1", "Deadline-Ms: 500\r\n", "x"));
+        assertTrue(relay.latestTargetConnection().takeReceived().contains("deadline-ms: 500"));
         relay.time.advanceMillis(300);
 
-        relay.target().close();
+        relay.latestTargetConnection().close();
         // What is put off until the sockets were looked at.
         relay.time.advanceMillis(0);
 
-        assertTrue(relay.target().received().contains("deadline-ms: 200"));
+        assertTrue(relay.latestTargetConnection().takeReceived().contains("deadline-ms: 200"));
     }
 
     /**
@@ -319,14 +319,14 @@
      * read in any order: the call must not go on to the next target before the leaving was read.
      */
     @Test
-    void aCallWhoseCallerLeftMeanwhileIsNotSentOn() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
+    void callIsNotRetriedAfterCallerDisconnects() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         relay.time.advanceMillis(150);
-        relay.target().answer("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
-        caller.leave();
+        relay.latestTargetConnection().respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        caller.disconnect();
         relay.time.advanceMillis(10);
 
-        assertEquals("", relay.target().received());
+        assertEquals("", relay.latestTargetConnection().takeReceived());
     }
 
     /**
@@ -334,11 +334,11 @@
      * so a connection that is idle for nearly as long is not used any more.
      */
     @Test
-    void aConnectionNearTheEndOfItsIdleTimeIsNotUsed() {
-        RelayFixture one = new RelayFixture().configured().plain("t1");
-        RelayFixture.CallerEnd caller = one.caller().send(RelayFixture.get("/once/a", "a1"));
-        one.target()
-                .answer(String.join(
+    void connectionNearIdleTimeoutIsNotReused() {
+        RelayFixture singleTarget = new RelayFixture().withRoutes().withPlainTarget("t1");
+        RelayFixture.FakeCaller caller = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        singleTarget.latestTargetConnection()
+                .respond(String.join(
                         "\r\n",
                         "HTTP/1.1 200 OK",
                         "Request-Id: a1",
@@ -347,27 +347,27 @@
                         "Content-Length: 0",
                         "",
                         ""));
-        one.time.advanceMillis(4_100);
+        singleTarget.time.advanceMillis(4_100);
 
-        caller.send(RelayFixture.get("/once/b", "b2"));
+        caller.send(RelayFixture.getRequest("/once/b", "b2"));
 
-        assertEquals(2, one.opened.size());
-        assertFalse(one.opened.get(0).open());
+        assertEquals(2, singleTarget.targetConnections.size());
+        assertFalse(singleTarget.targetConnections.get(0).isOpen());
     }
 
     /** A target leaves: what runs there ends in order, and nothing new goes there. */
     @Test
-    void aLeavingTargetGetsNothingNewAndFinishesWhatItHas() {
-        RelayFixture one = new RelayFixture().configured().plain("t1");
-        RelayFixture.CallerEnd first = one.caller().send(RelayFixture.get("/once/a", "a1"));
-        one.listed(new Incarnation("t1", "desk", "10.0.0.1", 80, "dc-1", 6, true, Stage.WHOLE, 0));
-        one.service.forgetTarget("t1");
+    void drainingTargetGetsNoNewCallsAndFinishesRunningOnes() {
+        RelayFixture singleTarget = new RelayFixture().withRoutes().withPlainTarget("t1");
+        RelayFixture.FakeCaller runningCaller = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        singleTarget.withTarget(new Incarnation("t1", "desk", "10.0.0.1", 80, "dc-1", 6, true, Stage.WHOLE, 0));
+        singleTarget.service.forgetTarget("t1");
 
-        String refused = one.caller().send(RelayFixture.get("/once/b", "b2")).received();
-        one.target().answer(RelayFixture.success("a1", "finished"));
+        String refused = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/b", "b2")).takeReceived();
+        singleTarget.latestTargetConnection().respond(RelayFixture.successResponse("a1", "finished"));
 
         assertTrue(refused.startsWith("HTTP/1.1 503 "), refused);
-        assertTrue(first.received().endsWith("finished"));
+        assertTrue(runningCaller.takeReceived().endsWith("finished"));
     }
 
     /**
@@ -375,15 +375,15 @@
      * run and is told to come back. Opened all the same, some connection would be reset with a call on it.
      */
     @Test
-    void connectionsAreDealtOutAmongTheInstancesSeen() {
-        RelayFixture shared = new RelayFixture().configured().plain("t1");
-        shared.sharersCount = 48;
-        shared.caller().send(RelayFixture.get("/once/a", "a1"));
-        shared.caller().send(RelayFixture.get("/once/a", "a2"));
+    void connectionLimitIsDividedAmongInstances() {
+        RelayFixture sharedRelay = new RelayFixture().withRoutes().withPlainTarget("t1");
+        sharedRelay.sharingInstancesCount = 48;
+        sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a2"));
 
-        RelayFixture.CallerEnd third = shared.caller().send(RelayFixture.get("/once/a", "a3"));
+        RelayFixture.FakeCaller thirdCaller = sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a3"));
 
-        assertEquals(2, shared.opened.size());
-        assertTrue(third.received().startsWith("HTTP/1.1 503 "));
+        assertEquals(2, sharedRelay.targetConnections.size());
+        assertTrue(thirdCaller.takeReceived().startsWith("HTTP/1.1 503 "));
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
@@ -13,10 +13,10 @@
 
 class CallerConnectionTest {
 
-    private static final String HEAD = "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n";
-    private static final String SECOND = "GET /once/smuggled HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: b2\r\n\r\n";
+    private static final String POST_HEAD = "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n";
+    private static final String SMUGGLED_REQUEST = "GET /once/smuggled HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: b2\r\n\r\n";
 
-    private final RelayFixture relay = new RelayFixture().configured().plain("t1");
+    private final RelayFixture relay = new RelayFixture().withRoutes().withPlainTarget("t1");
 
     /**
      * A caller sends a request that two readers end in two places. If it were passed on, a target that ends it elsewhere
@@ -26,49 +26,49 @@
     @ParameterizedTest
     @ValueSource(
             strings = {
-                HEAD + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: 5, 5\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: +5\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: -5\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: 0x5\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: 5 \t6\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: 99999999999999999999\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length:\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length : 5\r\n\r\nhello" + SECOND,
-                HEAD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: identity\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "X: 1\r\n\tContent-Length: 5\r\n\r\nhello" + SECOND,
-                HEAD + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n-5\r\nhello\r\n0\r\n\r\n" + SECOND,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\nhelloXX\r\n0\r\n\r\n" + SECOND,
-                HEAD + "X: a\nContent-Length: 5\r\n\r\nhello" + SECOND,
-                "POST /once/a HTTP/1.1\nHost: desk.example\nRequest-Id: a1\n\n" + SECOND,
-                "POST  /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                "POST /once/a b HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                "POST http://other/once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                "POST /once/a HTTP/2.0\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nHost: other\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                "POST /once/a HTTP/1.1\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                "CONNECT /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SECOND,
-                HEAD + "Bad Name: 1\r\n\r\n" + SECOND,
-                HEAD + ": 1\r\n\r\n" + SECOND,
+                POST_HEAD + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: 5, 5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: +5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: -5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: 0x5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: 5 \t6\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: 99999999999999999999\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length:\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length : 5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: identity\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "X: 1\r\n\tContent-Length: 5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n-5\r\nhello\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5\r\nhelloXX\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "X: a\nContent-Length: 5\r\n\r\nhello" + SMUGGLED_REQUEST,
+                "POST /once/a HTTP/1.1\nHost: desk.example\nRequest-Id: a1\n\n" + SMUGGLED_REQUEST,
+                "POST  /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "POST /once/a b HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "POST http://other/once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "POST /once/a HTTP/2.0\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nHost: other\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "POST /once/a HTTP/1.1\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "CONNECT /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Bad Name: 1\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + ": 1\r\n\r\n" + SMUGGLED_REQUEST,
             })
-    void whatCouldBeReadInTwoWaysIsRefusedAndReachesNoTarget(String raw) {
-        RelayFixture.CallerEnd caller = relay.caller().send(raw);
-
-        String answer = caller.received();
-        assertTrue(answer.startsWith("HTTP/1.1 400 "), answer);
-        assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
-        assertEquals(1, answer.split("HTTP/1.1 ", -1).length - 1, answer);
-        assertEquals(0, relay.opened.size());
-        assertTrue(caller.closed());
+    void ambiguousRequestIsRefusedAndNotForwarded(String rawRequest) {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(rawRequest);
+
+        String response = caller.takeReceived();
+        assertTrue(response.startsWith("HTTP/1.1 400 "), response);
+        assertTrue(response.toLowerCase(Locale.ROOT).contains("connection: close"), response);
+        assertEquals(1, response.split("HTTP/1.1 ", -1).length - 1, response);
+        assertEquals(0, relay.targetConnections.size());
+        assertTrue(caller.isClosedAfterOneSecond());
     }
 
     /**
@@ -76,84 +76,84 @@
      * to the target, with all of its bytes.
      */
     @Test
-    void aRequestInsideOfABodyIsABody() {
-        relay.caller().send(RelayFixture.post("/once/a", "a1", "", SECOND));
+    void requestBytesInsideBodyAreForwardedAsBody() {
+        relay.connectCaller().send(RelayFixture.postRequest("/once/a", "a1", "", SMUGGLED_REQUEST));
 
-        String received = relay.target().received();
-        assertTrue(received.endsWith("\r\n\r\n" + SECOND), received);
-        assertTrue(received.toLowerCase(Locale.ROOT).contains("content-length: " + SECOND.length()), received);
-        assertEquals(1, relay.opened.size());
+        String forwarded = relay.latestTargetConnection().takeReceived();
+        assertTrue(forwarded.endsWith("\r\n\r\n" + SMUGGLED_REQUEST), forwarded);
+        assertTrue(forwarded.toLowerCase(Locale.ROOT).contains("content-length: " + SMUGGLED_REQUEST.length()), forwarded);
+        assertEquals(1, relay.targetConnections.size());
     }
 
     @Test
-    void aBodyInChunksGoesOnWithItsLength() {
-        relay.caller().send(HEAD + "Transfer-Encoding: chunked\r\n\r\n5;ext=1\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
+    void chunkedBodyIsForwardedWithContentLength() {
+        relay.connectCaller().send(POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5;ext=1\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
 
-        String received = relay.target().received();
-        assertTrue(received.endsWith("\r\n\r\nhello world"), received);
-        assertTrue(received.contains("content-length: 11"), received);
-        assertFalse(received.toLowerCase(Locale.ROOT).contains("transfer-encoding"), received);
+        String forwarded = relay.latestTargetConnection().takeReceived();
+        assertTrue(forwarded.endsWith("\r\n\r\nhello world"), forwarded);
+        assertTrue(forwarded.contains("content-length: 11"), forwarded);
+        assertFalse(forwarded.toLowerCase(Locale.ROOT).contains("transfer-encoding"), forwarded);
     }
 
     @Test
-    void tooLargeHeadersAndBodiesAreRefusedBeforeATargetHearsOfThem() {
-        String large = "x".repeat(RelayFixture.LIMITS.maxHeaderBytes());
-        assertTrue(relay.caller()
-                .send("GET /safe/ HTTP/1.1\r\nX: " + large + "\r\n\r\n")
-                .received()
+    void oversizedHeadersAndBodiesAreRefusedBeforeForwarding() {
+        String oversizedValue = "x".repeat(RelayFixture.CALLER_LIMITS.maxHeaderBytes());
+        assertTrue(relay.connectCaller()
+                .send("GET /safe/ HTTP/1.1\r\nX: " + oversizedValue + "\r\n\r\n")
+                .takeReceived()
                 .startsWith("HTTP/1.1 431 "));
-        assertTrue(relay.caller()
-                .send("GET /safe/" + large + large + " HTTP/1.1\r\n\r\n")
-                .received()
+        assertTrue(relay.connectCaller()
+                .send("GET /safe/" + oversizedValue + oversizedValue + " HTTP/1.1\r\n\r\n")
+                .takeReceived()
                 .startsWith("HTTP/1.1 431 "));
-        assertTrue(relay.caller()
-                .send(HEAD + "Content-Length: 10001\r\n\r\n")
-                .received()
+        assertTrue(relay.connectCaller()
+                .send(POST_HEAD + "Content-Length: 10001\r\n\r\n")
+                .takeReceived()
                 .startsWith("HTTP/1.1 413 "));
-        assertTrue(relay.caller()
-                .send(HEAD + "Transfer-Encoding: chunked\r\n\r\n2711\r\n" + "x".repeat(10_001))
-                .received()
+        assertTrue(relay.connectCaller()
+                .send(POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n2711\r\n" + "x".repeat(10_001))
+                .takeReceived()
                 .startsWith("HTTP/1.1 413 "));
-        assertEquals(0, relay.opened.size());
+        assertEquals(0, relay.targetConnections.size());
     }
 
     /** The caller sends half of a head and no more: it gets 408 after the configuration's time, not run. */
     @Test
-    void aSlowHeadIsRefusedAfterItsTime() {
-        RelayFixture.CallerEnd caller = relay.caller().send("GET /safe/ HTTP/1.1\r\nHost: desk");
-        relay.time.advanceMillis(RelayFixture.LIMITS.headerTimeoutMillis() - 1);
-        assertEquals("", caller.received());
+    void slowHeadIsRefusedAfterHeaderTimeout() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send("GET /safe/ HTTP/1.1\r\nHost: desk");
+        relay.time.advanceMillis(RelayFixture.CALLER_LIMITS.headerTimeoutMillis() - 1);
+        assertEquals("", caller.takeReceived());
 
         relay.time.advanceMillis(500);
 
-        assertTrue(caller.received().startsWith("HTTP/1.1 408 "));
-        assertTrue(caller.closed());
+        assertTrue(caller.takeReceived().startsWith("HTTP/1.1 408 "));
+        assertTrue(caller.isClosedAfterOneSecond());
     }
 
     /** The second request of a connection has a head of its own time, and a body that takes long is no slow head. */
     @Test
-    void theTimeOfAHeadBeginsWithItsOwnFirstByte() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/safe/a", "a1"));
-        relay.target().answer(RelayFixture.success("a1", "one"));
+    void headerTimeoutStartsAtFirstByteOfEachHead() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "one"));
         relay.time.advanceMillis(10_000);
-        caller.received();
+        caller.takeReceived();
 
-        caller.send(HEAD + "Content-Length: 5\r\n\r\nhel");
+        caller.send(POST_HEAD + "Content-Length: 5\r\n\r\nhel");
         relay.time.advanceMillis(5_000);
 
-        assertEquals("", caller.received());
-        assertFalse(caller.closedAtOnce());
+        assertEquals("", caller.takeReceived());
+        assertFalse(caller.isClosed());
     }
 
     @Test
-    void anIdleConnectionIsClosedAfterItsTimeAndNotBefore() {
-        RelayFixture.CallerEnd caller = relay.caller();
-        relay.time.advanceMillis(RelayFixture.LIMITS.idleTimeoutMillis() * 4 / 5);
-        assertFalse(caller.closedAtOnce());
+    void idleConnectionIsClosedOnlyAfterIdleTimeout() {
+        RelayFixture.FakeCaller caller = relay.connectCaller();
+        relay.time.advanceMillis(RelayFixture.CALLER_LIMITS.idleTimeoutMillis() * 4 / 5);
+        assertFalse(caller.isClosed());
 
-        relay.time.advanceMillis(RelayFixture.LIMITS.idleTimeoutMillis());
+        relay.time.advanceMillis(RelayFixture.CALLER_LIMITS.idleTimeoutMillis());
 
-        assertTrue(caller.closed());
+        assertTrue(caller.isClosedAfterOneSecond());
     }
 
     /**
@@ -161,47 +161,47 @@
      * first is answered, and the answers come in the order of the requests.
      */
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() {
-        RelayFixture.CallerEnd caller = relay.caller()
-                .send(RelayFixture.get("/once/a", "a1")
-                        + RelayFixture.post("/once/b", "b2", "", "body")
-                        + RelayFixture.get("/nowhere/", "c3"));
-        assertEquals(1, relay.opened.size());
-        assertTrue(relay.target().received().startsWith("GET /once/a "));
-
-        relay.target().answer(RelayFixture.success("a1", "one"));
-        assertTrue(caller.received().endsWith("one"));
-        assertTrue(relay.target().received().startsWith("POST /once/b "));
-        relay.target().answer(RelayFixture.success("b2", "two"));
-
-        String rest = caller.received();
-        assertTrue(rest.contains("two") && rest.indexOf("two") < rest.indexOf("HTTP/1.1 404 "), rest);
-        assertEquals(1, relay.opened.size());
+    void pipelinedRequestsAreAnsweredInOrder() {
+        RelayFixture.FakeCaller caller = relay.connectCaller()
+                .send(RelayFixture.getRequest("/once/a", "a1")
+                        + RelayFixture.postRequest("/once/b", "b2", "", "body")
+                        + RelayFixture.getRequest("/nowhere/", "c3"));
+        assertEquals(1, relay.targetConnections.size());
+        assertTrue(relay.latestTargetConnection().takeReceived().startsWith("GET /once/a "));
+
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "one"));
+        assertTrue(caller.takeReceived().endsWith("one"));
+        assertTrue(relay.latestTargetConnection().takeReceived().startsWith("POST /once/b "));
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("b2", "two"));
+
+        String remainingResponses = caller.takeReceived();
+        assertTrue(remainingResponses.contains("two") && remainingResponses.indexOf("two") < remainingResponses.indexOf("HTTP/1.1 404 "), remainingResponses);
+        assertEquals(1, relay.targetConnections.size());
     }
 
     /** A caller that leaves wants nothing any more: the target sees its connection close in the same moment. */
     @Test
-    void aCallerThatLeavesTakesItsWorkWithIt() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
+    void callerDisconnectCancelsItsCall() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
 
-        caller.leave();
+        caller.disconnect();
 
-        assertFalse(relay.target().open());
+        assertFalse(relay.latestTargetConnection().isOpen());
         assertEquals(0, relay.service.openCount());
         assertEquals(0, relay.loads.totalAt("t1").callsCount());
     }
 
     /** The process stops: calls under way are answered whole, and each answer asks the caller to go elsewhere. */
     @Test
-    void whileStoppingAnswersAskForOtherConnections() {
-        RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.get("/once/a", "a1"));
+    void responsesDuringShutdownCloseTheConnection() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         relay.service.leave();
 
-        relay.target().answer(RelayFixture.success("a1", "whole"));
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "whole"));
 
-        String answer = caller.received();
-        assertTrue(answer.contains("connection: close") && answer.endsWith("whole"), answer);
-        assertTrue(caller.closed());
+        String response = caller.takeReceived();
+        assertTrue(response.contains("connection: close") && response.endsWith("whole"), response);
+        assertTrue(caller.isClosedAfterOneSecond());
     }
 
     /**
@@ -210,19 +210,19 @@
      * answered whole.
      */
     @Test
-    void whatComesShortlyBeforeTheEndIsSentElsewhere() {
-        RelayFixture.CallerEnd early = relay.caller().send(RelayFixture.get("/once/a", "a1"));
-        RelayFixture.CallerEnd late = relay.caller().send("GET /once/b HTTP/1.1\r\n");
+    void requestsShortlyBeforeExitAreRefused() {
+        RelayFixture.FakeCaller acceptedCaller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        RelayFixture.FakeCaller refusedCaller = relay.connectCaller().send("GET /once/b HTTP/1.1\r\n");
         relay.service.leave();
         relay.service.stopTaking();
 
-        late.send("Host: desk.example\r\nRequest-Id: b2\r\n\r\n");
-        relay.target().answer(RelayFixture.success("a1", "whole"));
+        refusedCaller.send("Host: desk.example\r\nRequest-Id: b2\r\n\r\n");
+        relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "whole"));
 
-        String refused = late.received();
-        assertTrue(refused.startsWith("HTTP/1.1 503 ") && refused.contains("retry-after: "), refused);
-        assertTrue(early.received().endsWith("whole"));
-        assertEquals(1, relay.opened.size());
+        String refusal = refusedCaller.takeReceived();
+        assertTrue(refusal.startsWith("HTTP/1.1 503 ") && refusal.contains("retry-after: "), refusal);
+        assertTrue(acceptedCaller.takeReceived().endsWith("whole"));
+        assertEquals(1, relay.targetConnections.size());
     }
 
     /**
@@ -230,45 +230,45 @@
      * come back, and what the others held is free again once they are answered.
      */
     @Test
-    void largeBodiesTogetherAreBoundedAndTheRestIsToldToComeBack() {
+    void totalBodyBytesAreBoundedAndExcessIsRefused() {
         String body = "x".repeat(10_000);
-        int fitting = 16_777_216 / 10_000;
-        List<RelayFixture.CallerEnd> callers = new ArrayList<>();
-        for (int i = 0; i < fitting; i++) {
-            RelayFixture.CallerEnd caller = relay.caller();
-            caller.send(HEAD + "Content-Length: 10001\r\n\r\n".replace("10001", "10000") + body.substring(1));
+        int acceptedCount = 16_777_216 / 10_000;
+        List<RelayFixture.FakeCaller> callers = new ArrayList<>();
+        for (int i = 0; i < acceptedCount; i++) {
+            RelayFixture.FakeCaller caller = relay.connectCaller();
+            caller.send(POST_HEAD + "Content-Length: 10001\r\n\r\n".replace("10001", "10000") + body.substring(1));
             callers.add(caller);
         }
 
-        String refused = relay.caller()
-                .send(RelayFixture.post("/once/b", "b2", "", body))
-                .received();
-        assertTrue(refused.startsWith("HTTP/1.1 503 "), refused);
+        String refusal = relay.connectCaller()
+                .send(RelayFixture.postRequest("/once/b", "b2", "", body))
+                .takeReceived();
+        assertTrue(refusal.startsWith("HTTP/1.1 503 "), refusal);
 
-        callers.forEach(RelayFixture.CallerEnd::leave);
-        relay.caller().send(RelayFixture.post("/once/c", "c3", "", body));
-        assertEquals(1, relay.opened.size());
+        callers.forEach(RelayFixture.FakeCaller::disconnect);
+        relay.connectCaller().send(RelayFixture.postRequest("/once/c", "c3", "", body));
+        assertEquals(1, relay.targetConnections.size());
     }
 
     @Test
-    void aCallerThatAsksBeforeItsBodyIsToldToGoOn() {
-        RelayFixture.CallerEnd caller = relay.caller().send(HEAD + "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n");
-        assertTrue(caller.received().startsWith("HTTP/1.1 100 "));
+    void expectContinueIsAnsweredBeforeBody() {
+        RelayFixture.FakeCaller caller = relay.connectCaller().send(POST_HEAD + "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n");
+        assertTrue(caller.takeReceived().startsWith("HTTP/1.1 100 "));
 
         caller.send("hello");
 
-        String received = relay.target().received();
-        assertTrue(received.endsWith("hello"), received);
-        assertFalse(received.toLowerCase(Locale.ROOT).contains("expect:"), received);
+        String forwarded = relay.latestTargetConnection().takeReceived();
+        assertTrue(forwarded.endsWith("hello"), forwarded);
+        assertFalse(forwarded.toLowerCase(Locale.ROOT).contains("expect:"), forwarded);
     }
 
     @Test
-    void beforeAConfigurationCallersAreToldToComeBack() {
-        RelayFixture fresh = new RelayFixture();
+    void requestsBeforeConfigurationAreRefusedWithRetryAfter() {
+        RelayFixture unconfigured = new RelayFixture();
 
-        String answer = fresh.caller().send(RelayFixture.get("/safe/a", "a1")).received();
+        String response = unconfigured.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1")).takeReceived();
 
-        assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
-        assertTrue(answer.contains("retry-after: 0.2"), answer);
+        assertTrue(response.startsWith("HTTP/1.1 503 "), response);
+        assertTrue(response.contains("retry-after: 0.2"), response);
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/EventFramerTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/EventFramerTest.java
@@ -19,40 +19,40 @@
     private static final String STREAM =
             "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nweight: 3\nid:3\ndata: c\n\n";
 
-    private static String take(EventFramer framer, String text) {
-        byte[] whole = framer.take(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        return new String(whole, StandardCharsets.UTF_8);
+    private static String feed(EventFramer framer, String text) {
+        byte[] completeEvents = framer.take(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+        return new String(completeEvents, StandardCharsets.UTF_8);
     }
 
     /** However the bytes are cut on their way, all events come out, whole and once. */
     @Property(seed = "4711", tries = 300)
-    void anyCutGivesTheSameEvents(@ForAll @Size(max = 12) List<@IntRange(min = 0, max = 70) Integer> cuts) {
+    void anyFragmentationYieldsSameEvents(@ForAll @Size(max = 12) List<@IntRange(min = 0, max = 70) Integer> cuts) {
         EventFramer framer = new EventFramer(Optional.empty());
         StringBuilder out = new StringBuilder();
         int from = 0;
         for (int cut : cuts.stream().sorted().toList()) {
             int to = Math.min(cut, STREAM.length());
-            String whole = take(framer, STREAM.substring(from, Math.max(from, to)));
-            assertTrue(whole.isEmpty() || whole.endsWith("\n"));
-            out.append(whole);
+            String completeEvents = feed(framer, STREAM.substring(from, Math.max(from, to)));
+            assertTrue(completeEvents.isEmpty() || completeEvents.endsWith("\n"));
+            out.append(completeEvents);
             from = Math.max(from, to);
         }
-        out.append(take(framer, STREAM.substring(from)));
+        out.append(feed(framer, STREAM.substring(from)));
         assertEquals(STREAM, out.toString());
         assertEquals(Optional.of("3"), framer.lastEventId());
         assertFalse(framer.partial());
     }
 
     @Test
-    void theIdOfAnEventCountsOnlyOnceTheEventIsWhole() {
+    void eventIdCountsOnlyAfterCompleteEvent() {
         EventFramer framer = new EventFramer(Optional.of("7"));
 
-        assertEquals("", take(framer, "id: 8\ndata: x\n"));
+        assertEquals("", feed(framer, "id: 8\ndata: x\n"));
         assertEquals(Optional.of("7"), framer.lastEventId());
         assertTrue(framer.partial());
 
         framer.dropPartial();
-        assertEquals("id: 8\n\n", take(framer, "id: 8\n\n"));
+        assertEquals("id: 8\n\n", feed(framer, "id: 8\n\n"));
         assertEquals(Optional.of("8"), framer.lastEventId());
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
+++ b/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
@@ -45,50 +45,50 @@
 final class RelayFixture {
 
     static final String HOST = "desk.example";
-    static final CallerLimits LIMITS = new CallerLimits(2_048, 10_000, 3_000, 15_000);
-    static final long TIMEOUT_MILLIS = 800;
+    static final CallerLimits CALLER_LIMITS = new CallerLimits(2_048, 10_000, 3_000, 15_000);
+    static final long CALL_TIMEOUT_MILLIS = 800;
     static final long STREAM_TIMEOUT_MILLIS = 6_000;
     static final long RETRY_AFTER_MILLIS = 200;
 
     final VirtualTimeSource time;
     final TargetHealth health;
-    final RateLimitShares shares;
-    final TargetRateLimits limits;
+    final RateLimitShares rateLimitShares;
+    final TargetRateLimits rateLimits;
     final TargetDirectory directory;
     final LoadTracker loads = new LoadTracker();
-    final KvCacheIndex parts = new KvCacheIndex();
-    final List<TargetEnd> opened = new ArrayList<>();
-    final Set<String> unreachable = new HashSet<>();
-    final List<String> released = new ArrayList<>();
+    final KvCacheIndex cacheIndex = new KvCacheIndex();
+    final List<FakeTargetConnection> targetConnections = new ArrayList<>();
+    final Set<String> unreachableTargetIds = new HashSet<>();
+    final List<String> releasedCaches = new ArrayList<>();
     /** Connections to these open only when the test lets them. */
-    final Set<String> connectingSlowly = new HashSet<>();
+    final Set<String> delayedTargetIds = new HashSet<>();
 
-    private final List<Runnable> connecting = new ArrayList<>();
+    private final List<Runnable> delayedConnects = new ArrayList<>();
     final SuspectRegistry suspects;
     final ForwardingService service;
-    int sharersCount = 1;
+    int sharingInstancesCount = 1;
     private long nextOffset;
 
     RelayFixture() {
         this(50);
     }
 
-    RelayFixture(double slack) {
-        this(slack, new VirtualTimeSource(1_000_000), "i0", Set.of("i0"));
+    RelayFixture(double slackShare) {
+        this(slackShare, new VirtualTimeSource(1_000_000), "i0", Set.of("i0"));
     }
 
-    RelayFixture(double slack, VirtualTimeSource time, String instance, Set<String> instances) {
+    RelayFixture(double slackShare, VirtualTimeSource time, String instanceId, Set<String> instanceIds) {
         this.time = time;
         this.health = new TargetHealth(time::monotonicMillis);
-        this.shares = new RateLimitShares(instance, () -> Optional.of(instances), time::monotonicMillis);
-        this.limits = new TargetRateLimits(time::monotonicMillis, shares);
-        this.directory = new TargetDirectory(health, limits);
+        this.rateLimitShares = new RateLimitShares(instanceId, () -> Optional.of(instanceIds), time::monotonicMillis);
+        this.rateLimits = new TargetRateLimits(time::monotonicMillis, rateLimitShares);
+        this.directory = new TargetDirectory(health, rateLimits);
         this.suspects = new SuspectRegistry(time, 600_000, 600_000, _notice -> {});
         PrefillRates rates = new PrefillRates(30);
         EngineChooser chooser = new EngineChooser(
                 directory,
                 loads,
-                parts,
+                cacheIndex,
                 rates,
                 EngineCostModel.DEFAULT,
                 new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(7)),
@@ -99,30 +99,30 @@
                 new PlatformHeaders(),
                 RandomSource.XO_RO_SHI_RO_128_PP.create(8),
                 new ConnectionPolicy(1_000, 3_000, 1_000),
-                new Control(),
+                new FakeEngineControl(),
                 new ForwardingService.Decisions(
                         chooser,
                         loads,
-                        parts,
+                        cacheIndex,
                         rates,
                         new RetryPolicy(2, 2, 30, RETRY_AFTER_MILLIS),
-                        new RetryBudget(0, () -> slack, 10_000, -10_000),
+                        new RetryBudget(0, () -> slackShare, 10_000, -10_000),
                         suspects,
                         health,
-                        limits,
-                        new OwnLimits(limits),
+                        rateLimits,
+                        new OwnLimits(rateLimits),
                         new OwnBreakOffs(health),
-                        () -> sharersCount),
+                        () -> sharingInstancesCount),
                 new ForwardingMetrics(new PrometheusRegistry()));
     }
 
     /** Puts routes /safe/, /once/, /stream/ and /resume/ in force, all to one plain service. */
-    RelayFixture configured() {
+    RelayFixture withRoutes() {
         service.configure(new RouteTable(
                 1,
                 List.of(
-                        route("/safe/", RouteKind.REPEATABLE, false, 2, "desk", TIMEOUT_MILLIS),
-                        route("/once/", RouteKind.ONCE, false, 1, "desk", TIMEOUT_MILLIS),
+                        route("/safe/", RouteKind.REPEATABLE, false, 2, "desk", CALL_TIMEOUT_MILLIS),
+                        route("/once/", RouteKind.ONCE, false, 1, "desk", CALL_TIMEOUT_MILLIS),
                         route("/stream/", RouteKind.STREAM, false, 1, "desk", STREAM_TIMEOUT_MILLIS),
                         route("/resume/", RouteKind.STREAM, true, 2, "desk", STREAM_TIMEOUT_MILLIS),
                         route("/model/", RouteKind.STREAM, false, 1, "reader", STREAM_TIMEOUT_MILLIS)),
@@ -132,25 +132,25 @@
                                 "reader",
                                 360,
                                 Optional.of(new EngineTraits(64, 400_000, 18_000, 370_000, 5_000, 3_000)))),
-                LIMITS));
+                CALLER_LIMITS));
         return this;
     }
 
-    RelayFixture plain(String id) {
-        return listed(new Incarnation(id, "desk", "10.0.0.1", 80, "dc-1", 6, false, Stage.WHOLE, 0));
+    RelayFixture withPlainTarget(String id) {
+        return withTarget(new Incarnation(id, "desk", "10.0.0.1", 80, "dc-1", 6, false, Stage.WHOLE, 0));
     }
 
-    RelayFixture engine(String id, Stage stage) {
-        return listed(new Incarnation(id, "reader", "10.0.0.2", 80, "dc-1", 64, false, stage, 1));
+    RelayFixture withEngine(String id, Stage stage) {
+        return withTarget(new Incarnation(id, "reader", "10.0.0.2", 80, "dc-1", 64, false, stage, 1));
     }
 
-    RelayFixture listed(Incarnation incarnation) {
+    RelayFixture withTarget(Incarnation incarnation) {
         directory.apply(incarnation.id(), nextOffset++, Optional.of(incarnation));
         return this;
     }
 
     /** As the reader of the targets' list does when an entry is removed. */
-    RelayFixture gone(String id) {
+    RelayFixture removeTarget(String id) {
         directory.apply(id, nextOffset++, Optional.empty());
         service.forgetTarget(id);
         service.targetFoundGone(id);
@@ -158,41 +158,41 @@
     }
 
     /** As the reader of the targets' list does when a target says that it leaves. */
-    RelayFixture leaving(String id) {
+    RelayFixture markDraining(String id) {
         Incarnation old = directory.find(id).orElseThrow();
-        relisted(old, old.host(), true, old.startedMillis());
+        replaceIncarnation(old, old.host(), true, old.startedMillis());
         service.forgetTarget(id);
         return this;
     }
 
     /** As the reader of the targets' list does when a target has started again, elsewhere. */
-    RelayFixture startedAgain(String id) {
+    RelayFixture restartTarget(String id) {
         Incarnation old = directory.find(id).orElseThrow();
-        relisted(old, "10.0.9.9", false, old.startedMillis() + 1_000);
+        replaceIncarnation(old, "10.0.9.9", false, old.startedMillis() + 1_000);
         service.targetStartedAgain(id);
         return this;
     }
 
-    private void relisted(Incarnation old, String host, boolean leaving, long bornMillis) {
-        listed(new Incarnation(
+    private void replaceIncarnation(Incarnation old, String host, boolean draining, long startedMillis) {
+        withTarget(new Incarnation(
                 old.id(),
                 old.service(),
                 host,
                 old.port(),
                 old.dataCentre(),
                 old.slotsCount(),
-                leaving,
+                draining,
                 old.stage(),
                 old.weightVersion(),
-                bornMillis));
+                startedMillis));
     }
 
     /** The connections that were held back open now. */
-    void letConnect() {
-        List<Runnable> held = List.copyOf(connecting);
-        connecting.clear();
-        connectingSlowly.clear();
-        held.forEach(Runnable::run);
+    void completeDelayedConnects() {
+        List<Runnable> connects = List.copyOf(delayedConnects);
+        delayedConnects.clear();
+        delayedTargetIds.clear();
+        connects.forEach(Runnable::run);
     }
 
     private static ServiceRoute route(
@@ -211,33 +211,33 @@
                 List.of(new WeightedService(service, 1)));
     }
 
-    CallerEnd caller() {
-        return new CallerEnd();
+    FakeCaller connectCaller() {
+        return new FakeCaller();
     }
 
     /** The target's end of the connection opened last. */
-    TargetEnd target() {
-        return opened.get(opened.size() - 1);
+    FakeTargetConnection latestTargetConnection() {
+        return targetConnections.get(targetConnections.size() - 1);
     }
 
     /** A request without a body. */
-    static String get(String path, String id) {
+    static String getRequest(String path, String id) {
         return "GET " + path + " HTTP/1.1\r\nHost: " + HOST + "\r\nRequest-Id: " + id + "\r\n\r\n";
     }
 
-    static String post(String path, String id, String headers, String body) {
+    static String postRequest(String path, String id, String headers, String body) {
         return "POST " + path + " HTTP/1.1\r\nHost: " + HOST + "\r\nRequest-Id: " + id + "\r\n" + headers
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** A whole success of a target. */
-    static String success(String id, String body) {
+    static String successResponse(String id, String body) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nServer-Stamp: s-" + id + "\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
     /** The head of a streamed success. */
-    static String streamHead(String id) {
+    static String streamResponseHead(String id) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nServer-Stamp: s-" + id
                 + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
@@ -247,22 +247,22 @@
     }
 
     private void connect(Incarnation target, ChannelHandler handler, TargetConnector.Outcome outcome) {
-        if (unreachable.contains(target.id())) {
+        if (unreachableTargetIds.contains(target.id())) {
             outcome.failed();
             return;
         }
-        Runnable open = () -> {
-            opened.add(new TargetEnd(target.id(), new EmbeddedChannel(handler)));
+        Runnable openConnection = () -> {
+            targetConnections.add(new FakeTargetConnection(target.id(), new EmbeddedChannel(handler)));
             outcome.connected();
         };
-        if (connectingSlowly.contains(target.id())) {
-            connecting.add(open);
+        if (delayedTargetIds.contains(target.id())) {
+            delayedConnects.add(openConnection);
         } else {
-            open.run();
+            openConnection.run();
         }
     }
 
-    private static String read(EmbeddedChannel channel) {
+    private static String readOutbound(EmbeddedChannel channel) {
         StringBuilder text = new StringBuilder();
         ByteBuf next = channel.readOutbound();
         while (next != null) {
@@ -273,12 +273,12 @@
         return text.toString();
     }
 
-    private static ByteBuf bytes(String text) {
+    private static ByteBuf toBuffer(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
     /** A caller's end of its connection. */
-    final class CallerEnd {
+    final class FakeCaller {
 
         private final EmbeddedChannel channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
@@ -287,57 +287,57 @@
             }
         });
 
-        CallerEnd send(String text) {
-            channel.writeInbound(bytes(text));
+        FakeCaller send(String text) {
+            channel.writeInbound(toBuffer(text));
             return this;
         }
 
         /** What came since the last call. */
-        String received() {
+        String takeReceived() {
             channel.runPendingTasks();
-            return read(channel);
+            return readOutbound(channel);
         }
 
         /** Whether no more bytes can come. */
-        boolean closed() {
+        boolean isClosedAfterOneSecond() {
             channel.runPendingTasks();
             time.advanceMillis(1_000);
             return !channel.isActive();
         }
 
-        boolean closedAtOnce() {
+        boolean isClosed() {
             channel.runPendingTasks();
             return !channel.isActive();
         }
 
-        void leave() {
+        void disconnect() {
             channel.close().syncUninterruptibly();
         }
     }
 
     /** A target's end of a connection. */
-    static final class TargetEnd {
+    static final class FakeTargetConnection {
 
-        private final String id;
+        private final String targetId;
         private final EmbeddedChannel channel;
 
-        TargetEnd(String id, EmbeddedChannel channel) {
-            this.id = id;
+        FakeTargetConnection(String id, EmbeddedChannel channel) {
+            this.targetId = id;
             this.channel = channel;
         }
 
-        String id() {
-            return id;
+        String targetId() {
+            return targetId;
         }
 
         /** What came since the last call. */
-        String received() {
+        String takeReceived() {
             channel.runPendingTasks();
-            return read(channel);
+            return readOutbound(channel);
         }
 
-        void answer(String text) {
-            channel.writeInbound(bytes(text));
+        void respond(String text) {
+            channel.writeInbound(toBuffer(text));
             channel.runPendingTasks();
         }
 
@@ -346,34 +346,34 @@
         }
 
         void reset() {
-            fail("Connection reset by peer");
+            failWith("Connection reset by peer");
         }
 
         void timeOut() {
-            fail("Connection timed out");
+            failWith("Connection timed out");
         }
 
-        private void fail(String message) {
+        private void failWith(String message) {
             channel.pipeline().fireExceptionCaught(new IOException(message));
             channel.close().syncUninterruptibly();
         }
 
-        boolean open() {
+        boolean isOpen() {
             channel.runPendingTasks();
             return channel.isActive();
         }
     }
 
-    private final class Control extends SilentEngines {
+    private final class FakeEngineControl extends SilentEngines {
         @Override
-        public Optional<PromptMemory> readMemory(Incarnation reader, Bytes body) {
-            String text = new String(body.toByteArray(), StandardCharsets.UTF_8);
-            return text.isEmpty() ? Optional.empty() : Optional.of(new PromptMemory(reader.address(), text));
+        public Optional<PromptMemory> readMemory(Incarnation prefillEngine, Bytes body) {
+            String handle = new String(body.toByteArray(), StandardCharsets.UTF_8);
+            return handle.isEmpty() ? Optional.empty() : Optional.of(new PromptMemory(prefillEngine.address(), handle));
         }
 
         @Override
-        public void release(Incarnation reader, PromptMemory memory) {
-            released.add(reader.id() + "/" + memory.handle());
+        public void release(Incarnation prefillEngine, PromptMemory kvCache) {
+            releasedCaches.add(prefillEngine.id() + "/" + kvCache.handle());
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
+++ b/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
@@ -10,12 +10,12 @@
 public class SilentEngines implements EngineControl {
 
     @Override
-    public Optional<PromptMemory> readMemory(Incarnation _reader, Bytes _body) {
+    public Optional<PromptMemory> readMemory(Incarnation _prefillEngine, Bytes _body) {
         return Optional.empty();
     }
 
     @Override
-    public void release(Incarnation _reader, PromptMemory _memory) {}
+    public void release(Incarnation _prefillEngine, PromptMemory _kvCache) {}
 
     @Override
     public CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation _engine, long _sinceNumber) {
--- a/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
@@ -19,21 +19,21 @@
 
 class SuspicionsTest {
 
-    private static final String POISON = RelayFixture.post("/once/p", "p1", "", "poison");
+    private static final String CRASHING_REQUEST = RelayFixture.postRequest("/once/p", "p1", "", "poison");
 
-    private final RelayFixture relay = new RelayFixture().configured();
-    private long starts;
+    private final RelayFixture relay = new RelayFixture().withRoutes();
+    private long startsCount;
 
-    private String list() {
-        String id = "t" + starts++;
-        relay.listed(new Incarnation(id, "desk", "10.0.0.1", 80, "dc-1", 6, false, Stage.WHOLE, 0));
+    private String listNewTarget() {
+        String id = "t" + startsCount++;
+        relay.withTarget(new Incarnation(id, "desk", "10.0.0.1", 80, "dc-1", 6, false, Stage.WHOLE, 0));
         return id;
     }
 
-    private void crash(RelayFixture.TargetEnd target) {
+    private void crashTarget(RelayFixture.FakeTargetConnection target) {
         target.close();
-        relay.directory.apply(target.id(), 1_000 + starts, Optional.empty());
-        relay.service.targetFoundGone(target.id());
+        relay.directory.apply(target.targetId(), 1_000 + startsCount, Optional.empty());
+        relay.service.targetFoundGone(target.targetId());
     }
 
     /**
@@ -42,64 +42,64 @@
      * crashes any more, while other calls are served.
      */
     @Test
-    void aCallThatCrashesTargetsIsRefusedAfterTheSecondCrash() {
-        int crashes = 0;
+    void callThatCrashesTargetsIsRefusedAfterSecondCrash() {
+        int crashesCount = 0;
         for (int i = 0; i < 10; i++) {
-            list();
-            int before = relay.opened.size();
-            String answer = relay.caller().send(POISON).received();
-            if (relay.opened.size() > before) {
-                crash(relay.target());
-                crashes++;
+            listNewTarget();
+            int connectionsBefore = relay.targetConnections.size();
+            String response = relay.connectCaller().send(CRASHING_REQUEST).takeReceived();
+            if (relay.targetConnections.size() > connectionsBefore) {
+                crashTarget(relay.latestTargetConnection());
+                crashesCount++;
             } else {
-                assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
+                assertTrue(response.startsWith("HTTP/1.1 503 "), response);
             }
         }
-        assertEquals(2, crashes);
+        assertEquals(2, crashesCount);
 
-        relay.caller().send(RelayFixture.post("/once/p", "q1", "", "harmless"));
-        assertTrue(relay.target().received().endsWith("harmless"));
+        relay.connectCaller().send(RelayFixture.postRequest("/once/p", "q1", "", "harmless"));
+        assertTrue(relay.latestTargetConnection().takeReceived().endsWith("harmless"));
     }
 
     /** A connection breaks and its target goes on working: the call is no suspect, however often that happens. */
     @Test
-    void aBrokenConnectionAloneProvesNothing() {
-        list();
+    void connectionResetsAloneDoNotQuarantineCall() {
+        listNewTarget();
         for (int i = 0; i < 5; i++) {
-            relay.caller().send(POISON);
-            relay.target().reset();
+            relay.connectCaller().send(CRASHING_REQUEST);
+            relay.latestTargetConnection().reset();
         }
         long fingerprint = Suspicions.fingerprint(new IncomingCall(
                 HttpMethod.POST, "/once/p", EmptyHttpHeaders.INSTANCE, Bytes.ofUtf8("poison"), true, 0));
         assertFalse(relay.suspects.statusOf(fingerprint) == Quarantine.Status.QUARANTINED);
-        assertEquals(5, relay.opened.size());
+        assertEquals(5, relay.targetConnections.size());
     }
 
     /** A call stood beside the guilty one on a crashed target. Sent again it completes, and nothing is held against it. */
     @Test
-    void whatStoodBesideACrashIsClearedByCompleting() {
-        list();
-        relay.caller().send(RelayFixture.post("/once/i", "i1", "", "innocent"));
-        crash(relay.target());
-        list();
+    void callRunningDuringCrashIsClearedByCompletion() {
+        listNewTarget();
+        relay.connectCaller().send(RelayFixture.postRequest("/once/i", "i1", "", "innocent"));
+        crashTarget(relay.latestTargetConnection());
+        listNewTarget();
         for (int i = 0; i < 3; i++) {
-            RelayFixture.CallerEnd caller = relay.caller().send(RelayFixture.post("/once/i", "i2", "", "innocent"));
-            relay.target().answer(RelayFixture.success("i2", "done"));
-            assertTrue(caller.received().endsWith("done"));
+            RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.postRequest("/once/i", "i2", "", "innocent"));
+            relay.latestTargetConnection().respond(RelayFixture.successResponse("i2", "done"));
+            assertTrue(caller.takeReceived().endsWith("done"));
         }
     }
 
     /** Another instance told of a proved call: it is refused here though it never ran here. */
     @Test
-    void whatAnotherInstanceProvedIsRefusedHere() {
-        List<SuspicionNotice> told = new ArrayList<>();
-        SuspectRegistry book = new SuspectRegistry(relay.time, 600_000, 600_000, told::add);
+    void callQuarantinedByAnotherInstanceIsQuarantinedHere() {
+        List<SuspicionNotice> sentNotices = new ArrayList<>();
+        SuspectRegistry peerRegistry = new SuspectRegistry(relay.time, 600_000, 600_000, sentNotices::add);
         long fingerprint = 99;
-        book.onCrash(fingerprint, "a", "t");
-        book.onTrialStarted(fingerprint, "b", "t2");
-        book.onCrash(fingerprint, "b", "t2");
+        peerRegistry.onCrash(fingerprint, "a", "t");
+        peerRegistry.onTrialStarted(fingerprint, "b", "t2");
+        peerRegistry.onCrash(fingerprint, "b", "t2");
 
-        told.forEach(notice -> relay.suspects.onPeerNotice(notice, 0));
+        sentNotices.forEach(notice -> relay.suspects.onPeerNotice(notice, 0));
 
         assertEquals(Quarantine.Status.QUARANTINED, relay.suspects.statusOf(fingerprint));
     }
