--- a/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
@@ -31,7 +31,8 @@
     private boolean isWatchedHere = true;
 
     private CacheWatch startWatch() {
-        CacheWatch watch = new CacheWatch(engineControl, cacheIndex, () -> engines, _id -> isWatchedHere, listener, time, 250);
+        CacheWatch watch =
+                new CacheWatch(engineControl, cacheIndex, () -> engines, _id -> isWatchedHere, listener, time, 250);
         watch.start();
         return watch;
     }
@@ -39,7 +40,8 @@
     @Test
     void changesAreAppliedInOrderAndPollingContinuesFromTheLastNumber() {
         startWatch();
-        engineControl.completeChanges(new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900), new CacheChange("a", 300))));
+        engineControl.completeChanges(
+                new CacheChanges("x", 7, false, List.of(new CacheChange("a", 900), new CacheChange("a", 300))));
 
         assertEquals(300, cacheIndex.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
@@ -48,8 +50,8 @@
     }
 
     /**
-     * An engine starts again under its id while its changes are asked for up to the number of the start before. Its answer
-     * to that question is of nobody any more; it is asked anew from the beginning, and what it kept is forgotten.
+     * The request in progress uses a number of the previous start: its response is ignored, and polling restarts at 0
+     * with an empty index.
      */
     @Test
     void restartedEngineIsPolledFromNumberZero() {
@@ -64,21 +66,24 @@
     }
 
     /**
-     * An instance starts while engines hold more than they still tell. The engine says that changes are missing; its list
-     * makes up for them. Before, the part was believed unread, and read a second time elsewhere.
+     * Failure: after this instance started, segments whose changes the engine no longer held were missing from the
+     * index, so the prompt was prefilled a second time on another engine. The full list replaces the missing changes.
      */
     @Test
     void missingChangesAreReplacedByFullList() {
         startWatch();
         engineControl.completeChanges(new CacheChanges("x", 90, true, List.of()));
-        engineControl.listRequests.get(0).complete(Optional.of(new CacheList("x", 95, List.of(new CacheChange("a", 900)))));
+        engineControl
+                .listRequests
+                .get(0)
+                .complete(Optional.of(new CacheList("x", 95, List.of(new CacheChange("a", 900)))));
 
         assertEquals(900, cacheIndex.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
         assertEquals(List.of(0L, 95L), engineControl.requestedSinceNumbers);
     }
 
-    /** Dropped unheard: what the list does not name is not kept. */
+    /** The engine dropped the segment in a change that it no longer reports. */
     @Test
     void segmentsAbsentFromFullListAreRemoved() {
         startWatch();
@@ -90,7 +95,7 @@
         assertEquals(0, cacheIndex.cachedPrefixTokens("e1", PROMPT));
     }
 
-    /** An engine that keeps telling of gaps is asked for its list now and then only, and for changes meanwhile. */
+    /** Full lists are expensive for an engine: while gaps recur, only changes are requested until the pause is over. */
     @Test
     void repeatedGapsDoNotRepeatFullListRequestWithinPause() {
         startWatch();
@@ -130,8 +135,8 @@
     }
 
     /**
-     * Another instance takes the engine over. What is believed stays, as the other one now tells it; an answer that was
-     * still under way is not taken, and a later turn begins with a question for everything.
+     * The other instance sends the changes from then on: the index is kept, a late response is ignored, and polling
+     * later resumes from number 0.
      */
     @Test
     void engineWatchedByAnotherInstanceIsNotPolled() {
@@ -151,8 +156,8 @@
     }
 
     /**
-     * An engine answers a few such questions at once and refuses the others. Asked again each round by each of 72
-     * instances, it refused some thousand questions a second. The pauses double up to four seconds.
+     * Failure: an engine answers only a few such requests at once and refuses the rest. Polled each round by each of 72
+     * instances, it refused some thousand requests a second. The pause doubles up to four seconds.
      */
     @Test
     void refusedRequestsAreRetriedWithBackoff() {
@@ -195,12 +200,12 @@
         private final List<CompletableFuture<Optional<CacheList>>> listRequests = new ArrayList<>();
         private CompletableFuture<Optional<CacheChanges>> pendingChangesRequest;
 
-        /** Answers the last question for changes. */
+        /** Answers the latest request for changes. */
         void completeChanges(CacheChanges changes) {
             pendingChangesRequest.complete(Optional.of(changes));
         }
 
-        /** Refuses the last question for changes. */
+        /** Refuses the latest request for changes. */
         void refuseChanges() {
             pendingChangesRequest.complete(Optional.empty());
         }
--- a/src/test/java/org/dogwoodwinch/relay/CallRelayTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallRelayTest.java
@@ -24,7 +24,10 @@
         String forwarded = relay.latestTargetConnection().takeReceived();
         assertTrue(forwarded.startsWith("POST /once/a?q=1 HTTP/1.1\r\n"), forwarded);
         assertTrue(forwarded.contains("X: y\r\n") && forwarded.endsWith("\r\n\r\nhello"), forwarded);
-        assertTrue(forwarded.contains("expect-instance: " + relay.latestTargetConnection().targetId()), forwarded);
+        assertTrue(
+                forwarded.contains(
+                        "expect-instance: " + relay.latestTargetConnection().targetId()),
+                forwarded);
         assertTrue(forwarded.contains("deadline-ms: 800"), forwarded);
 
         relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "one"));
@@ -35,7 +38,10 @@
         assertTrue(relay.latestTargetConnection().isOpen());
     }
 
-    /** What only this system may set reaches into other requests' memory: a caller's is dropped, however it is spelt. */
+    /**
+     * Failure: a forwarded control header would give a caller access to the KV cache of other requests, in any letter
+     * case.
+     */
     @Test
     void controlHeadersFromCallerAreDropped() {
         relay.connectCaller()
@@ -79,13 +85,13 @@
             assertFalse(forwarded.contains("\r\n" + name), name + " in " + forwarded);
         }
         assertTrue(forwarded.contains("request-id: a1"), forwarded);
-        assertTrue(forwarded.contains("expect-instance: " + relay.latestTargetConnection().targetId()), forwarded);
+        assertTrue(
+                forwarded.contains(
+                        "expect-instance: " + relay.latestTargetConnection().targetId()),
+                forwarded);
     }
 
-    /**
-     * A target gives a second answer to an earlier call just where the next one is due. It bears the earlier call's id:
-     * it is passed over, and the caller gets the answer to its own call.
-     */
+    /** Failure: a target sends a second response to an earlier call, and the next caller on the connection gets it. */
     @Test
     void responseToAnotherCallIsSkipped() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
@@ -98,7 +104,7 @@
         assertTrue(response.endsWith("own") && !response.contains("stranger"), response);
     }
 
-    /** Bytes that follow a whole answer belong to nobody: the connection is closed, and the next call opens another. */
+    /** Surplus bytes match no request: kept open, the connection would give them to the next call as its response. */
     @Test
     void bytesAfterResponseCloseConnection() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
@@ -122,7 +128,7 @@
         assertFalse(first.isOpen());
     }
 
-    /** The call ran or may have run, and no answer that counts came: a call that runs once gets 502 and runs no more. */
+    /** The call may have run and no valid response came: a call that must run once gets 502 and is not retried. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -148,26 +154,28 @@
     }
 
     /**
-     * The target ends its answer before the length is met. A caller of a plain call sees 502, as the whole answer was
-     * held until it was whole; one of a call that may be repeated sees the second target's answer.
+     * Failure: the target closes before Content-Length is reached. A call that must run once gets 502; a repeatable one
+     * is retried on the second target.
      */
     @Test
     void truncatedResponseIsNeverForwardedAsComplete() {
         RelayFixture.FakeCaller onceCaller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
-        relay.latestTargetConnection().respond("HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
+        relay.latestTargetConnection()
+                .respond("HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
         relay.latestTargetConnection().close();
         assertTrue(onceCaller.takeReceived().startsWith("HTTP/1.1 502 "));
 
         RelayFixture.FakeCaller repeatableCaller = relay.connectCaller().send(RelayFixture.getRequest("/safe/b", "b2"));
         String firstTargetId = relay.latestTargetConnection().targetId();
-        relay.latestTargetConnection().respond("HTTP/1.1 200 OK\r\nRequest-Id: b2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
+        relay.latestTargetConnection()
+                .respond("HTTP/1.1 200 OK\r\nRequest-Id: b2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
         relay.latestTargetConnection().close();
         assertFalse(firstTargetId.equals(relay.latestTargetConnection().targetId()));
         relay.latestTargetConnection().respond(RelayFixture.successResponse("b2", "whole"));
         assertTrue(repeatableCaller.takeReceived().endsWith("whole"));
     }
 
-    /** An answer without a length ends with its connection: whole after an orderly close, cut after a reset. */
+    /** Such a response ends with its connection: it is complete after a clean close and truncated after a reset. */
     @Test
     void responseWithoutLengthIsCompleteOnlyAfterCleanClose() {
         String head = "HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nServer-Stamp: s\r\n\r\n";
@@ -182,11 +190,15 @@
         assertTrue(callerOfReset.takeReceived().startsWith("HTTP/1.1 502 "));
     }
 
-    /** A stream of which bytes went on is cut: its caller sees the connection end without the last chunk. */
+    /**
+     * Part of the stream was forwarded, so the caller must be able to detect the truncation: the final chunk is
+     * missing.
+     */
     @Test
     void truncatedStreamEndsWithoutFinalChunk() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/stream/a", "a1"));
-        relay.latestTargetConnection().respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n"));
+        relay.latestTargetConnection()
+                .respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n"));
         assertTrue(caller.takeReceived().contains("data: x"));
 
         relay.latestTargetConnection().close();
@@ -197,8 +209,8 @@
     }
 
     /**
-     * A stream that may be resumed is cut in the middle of an event. The caller has got whole events only; another target
-     * goes on after the last of them, and the caller sees one answer with every event once and the first one's head.
+     * Failure: a stream cut within an event. The caller gets each complete event once and the head of the first
+     * response only.
      */
     @Test
     void resumableStreamContinuesOnAnotherTargetAfterLastCompleteEvent() {
@@ -220,12 +232,13 @@
         assertTrue(response.endsWith("0\r\n\r\n"), response);
     }
 
-    /** The target states that it did not run the call: it goes to another one, and the caller notices nothing. */
+    /** The target states that it did not run the call, so even a call that must run once may be retried. */
     @Test
     void rejectedCallIsRetriedOnAnotherTarget() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         String firstTargetId = relay.latestTargetConnection().targetId();
-        relay.latestTargetConnection().respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        relay.latestTargetConnection()
+                .respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
         assertFalse(firstTargetId.equals(relay.latestTargetConnection().targetId()));
         relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "ran"));
@@ -233,61 +246,77 @@
         assertTrue(caller.takeReceived().endsWith("ran"));
     }
 
-    /** Another target has the address now. It said so and did not run the call, so the caller may be told. */
+    /**
+     * Another target has taken over the address; its 421 states that it did not run the call, so 503 with Retry-After
+     * is safe.
+     */
     @Test
     void misdirectedCallIsRefusedAsNotRun() {
         RelayFixture singleTarget = new RelayFixture().withRoutes().withPlainTarget("t1");
         RelayFixture.FakeCaller caller = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
 
-        singleTarget.latestTargetConnection().respond("HTTP/1.1 421 Misdirected\r\nInstance-Id: t9\r\nContent-Length: 0\r\n\r\n");
+        singleTarget
+                .latestTargetConnection()
+                .respond("HTTP/1.1 421 Misdirected\r\nInstance-Id: t9\r\nContent-Length: 0\r\n\r\n");
 
         String response = caller.takeReceived();
         assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0."), response);
     }
 
-    /** All repeats of the window are spent: a rejected call is refused with when to come back, not sent again. */
+    /** All retries of the window are spent: the caller gets 503 with Retry-After. */
     @Test
     void rejectedCallIsRefusedWhenRetryBudgetIsSpent() {
-        RelayFixture noRetries = new RelayFixture(0).withRoutes().withPlainTarget("t1").withPlainTarget("t2");
+        RelayFixture noRetries =
+                new RelayFixture(0).withRoutes().withPlainTarget("t1").withPlainTarget("t2");
         RelayFixture.FakeCaller caller = noRetries.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
 
-        noRetries.latestTargetConnection().respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        noRetries
+                .latestTargetConnection()
+                .respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
         String response = caller.takeReceived();
         assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0.2"), response);
         assertEquals(1, noRetries.targetConnections.size());
     }
 
-    /** A target's own failure counts as run: a call that runs once gets it unchanged, one that may repeat a second try. */
+    /**
+     * A target's 500 counts as run: a call that must run once gets it unchanged, a repeatable one gets a second
+     * attempt.
+     */
     @Test
     void targetErrorIsForwardedOrRetriedByRouteKind() {
-        String errorResponse = "HTTP/1.1 500 Oops\r\nRequest-Id: a1\r\nServer-Stamp: s-f\r\nContent-Length: 3\r\n\r\nbad";
+        String errorResponse =
+                "HTTP/1.1 500 Oops\r\nRequest-Id: a1\r\nServer-Stamp: s-f\r\nContent-Length: 3\r\n\r\nbad";
         RelayFixture.FakeCaller onceCaller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         relay.latestTargetConnection().respond(errorResponse);
         String response = onceCaller.takeReceived();
         assertTrue(response.startsWith("HTTP/1.1 500 ") && response.contains("Server-Stamp: s-f"), response);
         assertTrue(response.endsWith("bad"), response);
 
-        RelayFixture otherRelay = new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
-        RelayFixture.FakeCaller repeatableCaller = otherRelay.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
+        RelayFixture otherRelay =
+                new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
+        RelayFixture.FakeCaller repeatableCaller =
+                otherRelay.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
         otherRelay.latestTargetConnection().respond(errorResponse);
         otherRelay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "good"));
         assertTrue(repeatableCaller.takeReceived().endsWith("good"));
     }
 
-    /** No connection can be had: nothing ran, so the caller is told to come back, and how often is bounded. */
+    /** Nothing ran, so after a bounded number of failed connects the caller gets 503 with Retry-After. */
     @Test
     void callIsRefusedAsNotRunWhenNoTargetIsReachable() {
         relay.unreachableTargetIds.add("t1");
         relay.unreachableTargetIds.add("t2");
 
-        String response = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1")).takeReceived();
+        String response = relay.connectCaller()
+                .send(RelayFixture.getRequest("/once/a", "a1"))
+                .takeReceived();
 
         assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0.2"), response);
         assertEquals(0, relay.service.openCount());
     }
 
-    /** The route's time is over before an answer: the caller has its final answer at that moment, and it promises nothing. */
+    /** The final response is due at the route's timeout; it is 504, which does not say whether the call ran. */
     @Test
     void callerGetsGatewayTimeoutAtRouteTimeout() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
@@ -300,7 +329,7 @@
         assertFalse(relay.latestTargetConnection().isOpen());
     }
 
-    /** The second send of a call has only the time that the first one left. */
+    /** The second attempt has only the time that the first one left. */
     @Test
     void eachAttemptCarriesRemainingDeadline() {
         relay.connectCaller().send(RelayFixture.postRequest("/safe/a", "a1", "Deadline-Ms: 500\r\n", "x"));
@@ -308,21 +337,22 @@
         relay.time.advanceMillis(300);
 
         relay.latestTargetConnection().close();
-        // What is put off until the sockets were looked at.
+        // Runs the tasks that are deferred until all sockets were read.
         relay.time.advanceMillis(0);
 
         assertTrue(relay.latestTargetConnection().takeReceived().contains("deadline-ms: 200"));
     }
 
     /**
-     * A busy instance comes to a target's rejection late, and the caller's leaving lies unread beside it. The sockets are
-     * read in any order: the call must not go on to the next target before the leaving was read.
+     * Failure: on a loaded instance the target's rejection is processed before the caller's disconnect, which is still
+     * unread. Sockets are read in any order, so the retry waits until all of them were read.
      */
     @Test
     void callIsNotRetriedAfterCallerDisconnects() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         relay.time.advanceMillis(150);
-        relay.latestTargetConnection().respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        relay.latestTargetConnection()
+                .respond("HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
         caller.disconnect();
         relay.time.advanceMillis(10);
 
@@ -330,14 +360,15 @@
     }
 
     /**
-     * A target closes its idle connections after five seconds. A call that is sent as it closes may or may not have run,
-     * so a connection that is idle for nearly as long is not used any more.
+     * Failure: a target closes idle connections after five seconds, and a call sent at that moment may or may not have
+     * run. A connection that has been idle for nearly as long is not reused.
      */
     @Test
     void connectionNearIdleTimeoutIsNotReused() {
         RelayFixture singleTarget = new RelayFixture().withRoutes().withPlainTarget("t1");
         RelayFixture.FakeCaller caller = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
-        singleTarget.latestTargetConnection()
+        singleTarget
+                .latestTargetConnection()
                 .respond(String.join(
                         "\r\n",
                         "HTTP/1.1 200 OK",
@@ -355,15 +386,19 @@
         assertFalse(singleTarget.targetConnections.get(0).isOpen());
     }
 
-    /** A target leaves: what runs there ends in order, and nothing new goes there. */
+    /** Running calls complete normally; a new call is refused. */
     @Test
     void drainingTargetGetsNoNewCallsAndFinishesRunningOnes() {
         RelayFixture singleTarget = new RelayFixture().withRoutes().withPlainTarget("t1");
-        RelayFixture.FakeCaller runningCaller = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
+        RelayFixture.FakeCaller runningCaller =
+                singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         singleTarget.withTarget(new Incarnation("t1", "desk", "10.0.0.1", 80, "dc-1", 6, true, Stage.WHOLE, 0));
         singleTarget.service.forgetTarget("t1");
 
-        String refused = singleTarget.connectCaller().send(RelayFixture.getRequest("/once/b", "b2")).takeReceived();
+        String refused = singleTarget
+                .connectCaller()
+                .send(RelayFixture.getRequest("/once/b", "b2"))
+                .takeReceived();
         singleTarget.latestTargetConnection().respond(RelayFixture.successResponse("a1", "finished"));
 
         assertTrue(refused.startsWith("HTTP/1.1 503 "), refused);
@@ -371,8 +406,8 @@
     }
 
     /**
-     * The target takes 96 connections and 48 instances share it: each may open two. The third call of one instance has not
-     * run and is told to come back. Opened all the same, some connection would be reset with a call on it.
+     * Failure: beyond its limit the target resets connections with calls on them. It takes 96 connections and 48
+     * instances share it, so each may open two; the third call of one instance has not run and gets 503.
      */
     @Test
     void connectionLimitIsDividedAmongInstances() {
@@ -381,7 +416,8 @@
         sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a2"));
 
-        RelayFixture.FakeCaller thirdCaller = sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a3"));
+        RelayFixture.FakeCaller thirdCaller =
+                sharedRelay.connectCaller().send(RelayFixture.getRequest("/once/a", "a3"));
 
         assertEquals(2, sharedRelay.targetConnections.size());
         assertTrue(thirdCaller.takeReceived().startsWith("HTTP/1.1 503 "));
--- a/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
@@ -14,14 +14,15 @@
 class CallerConnectionTest {
 
     private static final String POST_HEAD = "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n";
-    private static final String SMUGGLED_REQUEST = "GET /once/smuggled HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: b2\r\n\r\n";
+    private static final String SMUGGLED_REQUEST =
+            "GET /once/smuggled HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: b2\r\n\r\n";
 
     private final RelayFixture relay = new RelayFixture().withRoutes().withPlainTarget("t1");
 
     /**
-     * A caller sends a request that two readers end in two places. If it were passed on, a target that ends it elsewhere
-     * would run a second request that no caller sent. So it gets 400, its connection is closed, and no target hears of
-     * either request.
+     * Failure: request smuggling. Forwarded to a target that ends the first request at another byte, the bytes would
+     * run as a second request that no caller sent. The caller gets 400, its connection is closed and neither request is
+     * forwarded.
      */
     @ParameterizedTest
     @ValueSource(
@@ -38,7 +39,8 @@
                 POST_HEAD + "Content-Length : 5\r\n\r\nhello" + SMUGGLED_REQUEST,
                 POST_HEAD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
                 POST_HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
-                POST_HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+                POST_HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+                        + SMUGGLED_REQUEST,
                 POST_HEAD + "Transfer-Encoding: identity\r\n\r\n" + SMUGGLED_REQUEST,
                 POST_HEAD + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
                 POST_HEAD + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
@@ -54,7 +56,8 @@
                 "POST /once/a b HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
                 "POST http://other/once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
                 "POST /once/a HTTP/2.0\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
-                "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nHost: other\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
+                "POST /once/a HTTP/1.1\r\nHost: desk.example\r\nHost: other\r\nRequest-Id: a1\r\n\r\n"
+                        + SMUGGLED_REQUEST,
                 "POST /once/a HTTP/1.1\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
                 "CONNECT /once/a HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: a1\r\n\r\n" + SMUGGLED_REQUEST,
                 POST_HEAD + "Bad Name: 1\r\n\r\n" + SMUGGLED_REQUEST,
@@ -71,23 +74,22 @@
         assertTrue(caller.isClosedAfterOneSecond());
     }
 
-    /**
-     * The bytes of a second request lie inside the first one's body. They are a body and nothing else: one request goes
-     * to the target, with all of its bytes.
-     */
+    /** Exactly one request reaches the target, with all bytes of its body. */
     @Test
     void requestBytesInsideBodyAreForwardedAsBody() {
         relay.connectCaller().send(RelayFixture.postRequest("/once/a", "a1", "", SMUGGLED_REQUEST));
 
         String forwarded = relay.latestTargetConnection().takeReceived();
         assertTrue(forwarded.endsWith("\r\n\r\n" + SMUGGLED_REQUEST), forwarded);
-        assertTrue(forwarded.toLowerCase(Locale.ROOT).contains("content-length: " + SMUGGLED_REQUEST.length()), forwarded);
+        assertTrue(
+                forwarded.toLowerCase(Locale.ROOT).contains("content-length: " + SMUGGLED_REQUEST.length()), forwarded);
         assertEquals(1, relay.targetConnections.size());
     }
 
     @Test
     void chunkedBodyIsForwardedWithContentLength() {
-        relay.connectCaller().send(POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5;ext=1\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
+        relay.connectCaller()
+                .send(POST_HEAD + "Transfer-Encoding: chunked\r\n\r\n5;ext=1\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
 
         String forwarded = relay.latestTargetConnection().takeReceived();
         assertTrue(forwarded.endsWith("\r\n\r\nhello world"), forwarded);
@@ -117,7 +119,7 @@
         assertEquals(0, relay.targetConnections.size());
     }
 
-    /** The caller sends half of a head and no more: it gets 408 after the configuration's time, not run. */
+    /** The request is incomplete, so it gets 408 after the configured header timeout and does not run. */
     @Test
     void slowHeadIsRefusedAfterHeaderTimeout() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send("GET /safe/ HTTP/1.1\r\nHost: desk");
@@ -130,7 +132,7 @@
         assertTrue(caller.isClosedAfterOneSecond());
     }
 
-    /** The second request of a connection has a head of its own time, and a body that takes long is no slow head. */
+    /** The second request on a connection has its own header timeout, and a slow body does not count as a slow head. */
     @Test
     void headerTimeoutStartsAtFirstByteOfEachHead() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1"));
@@ -157,8 +159,7 @@
     }
 
     /**
-     * The caller sends three requests in one write. Each is served in its turn: the second goes to a target only when the
-     * first is answered, and the answers come in the order of the requests.
+     * The second request is forwarded only after the first one is answered, and responses keep the order of requests.
      */
     @Test
     void pipelinedRequestsAreAnsweredInOrder() {
@@ -175,11 +176,14 @@
         relay.latestTargetConnection().respond(RelayFixture.successResponse("b2", "two"));
 
         String remainingResponses = caller.takeReceived();
-        assertTrue(remainingResponses.contains("two") && remainingResponses.indexOf("two") < remainingResponses.indexOf("HTTP/1.1 404 "), remainingResponses);
+        assertTrue(
+                remainingResponses.contains("two")
+                        && remainingResponses.indexOf("two") < remainingResponses.indexOf("HTTP/1.1 404 "),
+                remainingResponses);
         assertEquals(1, relay.targetConnections.size());
     }
 
-    /** A caller that leaves wants nothing any more: the target sees its connection close in the same moment. */
+    /** Failure: the target would go on working for a caller that has disconnected. Its connection is closed at once. */
     @Test
     void callerDisconnectCancelsItsCall() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
@@ -191,7 +195,7 @@
         assertEquals(0, relay.loads.totalAt("t1").callsCount());
     }
 
-    /** The process stops: calls under way are answered whole, and each answer asks the caller to go elsewhere. */
+    /** The process stops: running calls get complete responses, each with Connection: close. */
     @Test
     void responsesDuringShutdownCloseTheConnection() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
@@ -205,9 +209,8 @@
     }
 
     /**
-     * The process is about to end, and a caller sends a long call on its kept connection. Taken, it would be cut in the
-     * middle of its run; so it gets 503 with when to come back, and nothing reaches a target. What was taken before is
-     * answered whole.
+     * Failure: a long call that arrives on a keep-alive connection just before exit would be cut while it runs. It gets 503
+     * with Retry-After and is not forwarded; calls accepted before get complete responses.
      */
     @Test
     void requestsShortlyBeforeExitAreRefused() {
@@ -226,8 +229,8 @@
     }
 
     /**
-     * Many callers send large bodies at once, each within its limit. Beyond the bound of all bodies the next is told to
-     * come back, and what the others held is free again once they are answered.
+     * Many large bodies arrive at once, each within its own limit. Beyond the total bound the next request gets 503,
+     * and the memory of the others is free again once their calls end.
      */
     @Test
     void totalBodyBytesAreBoundedAndExcessIsRefused() {
@@ -252,7 +255,8 @@
 
     @Test
     void expectContinueIsAnsweredBeforeBody() {
-        RelayFixture.FakeCaller caller = relay.connectCaller().send(POST_HEAD + "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n");
+        RelayFixture.FakeCaller caller =
+                relay.connectCaller().send(POST_HEAD + "Expect: 100-continue\r\nContent-Length: 5\r\n\r\n");
         assertTrue(caller.takeReceived().startsWith("HTTP/1.1 100 "));
 
         caller.send("hello");
@@ -266,7 +270,10 @@
     void requestsBeforeConfigurationAreRefusedWithRetryAfter() {
         RelayFixture unconfigured = new RelayFixture();
 
-        String response = unconfigured.connectCaller().send(RelayFixture.getRequest("/safe/a", "a1")).takeReceived();
+        String response = unconfigured
+                .connectCaller()
+                .send(RelayFixture.getRequest("/safe/a", "a1"))
+                .takeReceived();
 
         assertTrue(response.startsWith("HTTP/1.1 503 "), response);
         assertTrue(response.contains("retry-after: 0.2"), response);
--- a/src/test/java/org/dogwoodwinch/relay/EventFramerTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/EventFramerTest.java
@@ -24,7 +24,7 @@
         return new String(completeEvents, StandardCharsets.UTF_8);
     }
 
-    /** However the bytes are cut on their way, all events come out, whole and once. */
+    /** However the bytes are fragmented in transit, each event is emitted complete and once. */
     @Property(seed = "4711", tries = 300)
     void anyFragmentationYieldsSameEvents(@ForAll @Size(max = 12) List<@IntRange(min = 0, max = 70) Integer> cuts) {
         EventFramer framer = new EventFramer(Optional.empty());
--- a/src/test/java/org/dogwoodwinch/relay/FailingTargetsTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/FailingTargetsTest.java
@@ -17,10 +17,10 @@
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.junit.jupiter.api.Test;
 
-/** Load on targets that open connections and then break off, or reject, each call. */
+/** Puts load on targets that accept connections and then reset or reject each call. */
 class FailingTargetsTest {
 
-    private static final int SLACK_COUNT = 3;
+    private static final int ADDITIONAL_RETRIES_COUNT = 3;
     private static final int CALLS_COUNT = 60;
     private static final long CALL_GAP_MILLIS = 50;
     private static final Pattern REQUEST_ID = Pattern.compile("request-id: (\\S+)", Pattern.CASE_INSENSITIVE);
@@ -32,9 +32,9 @@
     private final List<RelayFixture.FakeCaller> callers = new ArrayList<>();
 
     /**
-     * Callers see 502 after three sends where their route allows two, and the service gets more repeats than its quota.
-     * An engine that is to read a prompt apart resets the connection, the call is sent on to be run at once, and nobody
-     * asks the quota for that second arrival. Evidence: 596 of 597 readings that failed had arrived, and none was charged.
+     * Failure: callers saw 502 after three attempts where their route allows two, and retries exceeded the service's
+     * quota. After a reset prefill the call was sent to a decode engine at once, without a retry taken from the quota.
+     * Evidence: 596 of 597 failed prefills had arrived, and none was charged.
      */
     @Test
     void retriesAfterResetPrefillStayWithinQuota() {
@@ -42,13 +42,15 @@
 
         sendCalls(relay, "/model/a", (connection, _id) -> connection.reset());
 
-        assertTrue(retriesCount() <= SLACK_COUNT, retriesCount() + " repeats, allowed " + SLACK_COUNT);
-        assertEquals(CALLS_COUNT - SLACK_COUNT, refusedCount(), "callers told that nothing ran and when to come back");
+        assertTrue(
+                retriesCount() <= ADDITIONAL_RETRIES_COUNT,
+                retriesCount() + " retries, allowed " + ADDITIONAL_RETRIES_COUNT);
+        assertEquals(CALLS_COUNT - ADDITIONAL_RETRIES_COUNT, refusedCount(), "calls refused with Retry-After");
     }
 
     /**
-     * One instance of a data centre tells the others of parts that nobody asks for again. A call that is sent a second time
-     * names its own last part once more, which looked like the next request of a session.
+     * Failure: a retried call names its own last segment again, which looked like the next request of a session, and
+     * the instance reported segments to its data centre that are not requested again.
      */
     @Test
     void retriedCallDoesNotMarkItsOwnSegmentAsShared() {
@@ -60,22 +62,24 @@
         assertFalse(relay.cacheIndex.sharedSegments().isShared("o0"));
     }
 
-    /** The same where the reader rejects the call: that arrival counts too, and what follows is a repeat. */
+    /** A rejected prefill has arrived as well, so the attempt that follows counts as a retry. */
     @Test
     void retriesAfterRejectedPrefillStayWithinQuota() {
         RelayFixture relay = relayWithTenPrefillEngines();
 
         sendCalls(relay, "/model/a", (connection, id) -> connection.respond(NOT_RUN_RESPONSE.formatted(id)));
 
-        assertTrue(retriesCount() <= SLACK_COUNT, retriesCount() + " repeats, allowed " + SLACK_COUNT);
-        assertEquals(CALLS_COUNT - SLACK_COUNT, refusedCount(), "callers told that nothing ran and when to come back");
+        assertTrue(
+                retriesCount() <= ADDITIONAL_RETRIES_COUNT,
+                retriesCount() + " retries, allowed " + ADDITIONAL_RETRIES_COUNT);
+        assertEquals(CALLS_COUNT - ADDITIONAL_RETRIES_COUNT, refusedCount(), "calls refused with Retry-After");
     }
 
     /**
-     * Callers see 502 within milliseconds, call after call, while sound targets have room. One target of four opens each
-     * connection and resets the call: it has nothing under way and looks like the best choice for every next one, as only
-     * connections that cannot be opened count against it. Evidence: 12 of 98 engines got 1,512 of 3,754 calls; 1,365 of
-     * 1,533 resets came on connections that were new.
+     * Failure: callers saw 502 within milliseconds, call after call, while healthy targets had capacity. One target of
+     * four accepts each connection and resets the call. It has no calls in progress, so it looked like the best choice
+     * each time, as only failed connects counted against it. Evidence: 12 of 98 engines got 1,512 of 3,754 calls; 1,365
+     * of 1,533 resets came on new connections.
      */
     @Test
     void targetThatResetsEachCallGetsFewCalls() {
@@ -89,13 +93,14 @@
         });
 
         int attemptsCount = arrivalsByTargetId.getOrDefault("t3", 0);
-        assertTrue(attemptsCount <= 4, attemptsCount + " of " + CALLS_COUNT + " calls went to the broken target");
+        assertTrue(attemptsCount <= 4, attemptsCount + " of " + CALLS_COUNT + " calls were sent to the failing target");
     }
 
-    /** A target closes connections that rest; the call that crosses the close says nothing of the target. */
+    /** A target closes idle connections; a call that is sent at that moment is no evidence of a fault in the target. */
     @Test
     void resetOfReusedConnectionDoesNotExcludeTarget() {
-        RelayFixture relay = new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
+        RelayFixture relay =
+                new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
         relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         RelayFixture.FakeTargetConnection first = relay.latestTargetConnection();
         first.respond(RelayFixture.successResponse("a1", "one"));
@@ -109,10 +114,14 @@
         assertEquals(2, relay.directory.readyTargets("desk").size());
     }
 
-    /** This instance's link is full, and bytes to a target stay unacknowledged: that is no act of the target. */
+    /**
+     * The network link of this instance is saturated and sent bytes stay unacknowledged, which is no fault of the
+     * target.
+     */
     @Test
     void connectionTimeoutDoesNotExcludeTarget() {
-        RelayFixture relay = new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
+        RelayFixture relay =
+                new RelayFixture().withRoutes().withPlainTarget("t1").withPlainTarget("t2");
         relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
 
         relay.latestTargetConnection().timeOut();
@@ -120,9 +129,9 @@
         assertEquals(2, relay.directory.readyTargets("desk").size());
     }
 
-    /** Ten engines that only read and two that run; all have work, so that reading apart is sooner. */
+    /** Returns a relay to ten prefill and two decode engines; load on the latter makes a separate prefill faster. */
     private static RelayFixture relayWithTenPrefillEngines() {
-        RelayFixture relay = new RelayFixture(SLACK_COUNT).withRoutes();
+        RelayFixture relay = new RelayFixture(ADDITIONAL_RETRIES_COUNT).withRoutes();
         for (int i = 0; i < 10; i++) {
             relay.withEngine("p" + i, Stage.PREFILL);
         }
@@ -132,8 +141,12 @@
         return relay;
     }
 
-    /** Sends calls one after the other; what reads or is broken answers at once, all else stays under way. */
-    private void sendCalls(RelayFixture relay, String path, BiConsumer<RelayFixture.FakeTargetConnection, String> responder) {
+    /**
+     * Sends calls one after another; prefill engines and failing targets respond at once, all other calls stay in
+     * progress.
+     */
+    private void sendCalls(
+            RelayFixture relay, String path, BiConsumer<RelayFixture.FakeTargetConnection, String> responder) {
         for (int i = 0; i < CALLS_COUNT; i++) {
             String id = "c" + i;
             String prompt = "Model: m\r\nToken-Count: 20000,80\r\nPrompt-Prefix: s" + i + ":15000,o" + i + ":5000\r\n";
@@ -143,8 +156,9 @@
         }
     }
 
-    /** Until nothing more is sent: what follows on an answer may come on a connection that was there before. */
-    private void respondToArrivals(RelayFixture relay, BiConsumer<RelayFixture.FakeTargetConnection, String> responder) {
+    /** Repeats until no request arrives, because a retry may use a connection that was opened before. */
+    private void respondToArrivals(
+            RelayFixture relay, BiConsumer<RelayFixture.FakeTargetConnection, String> responder) {
         boolean arrived = true;
         while (arrived) {
             arrived = false;
@@ -154,7 +168,9 @@
         }
     }
 
-    private boolean respondToArrivals(RelayFixture.FakeTargetConnection connection, BiConsumer<RelayFixture.FakeTargetConnection, String> responder) {
+    private boolean respondToArrivals(
+            RelayFixture.FakeTargetConnection connection,
+            BiConsumer<RelayFixture.FakeTargetConnection, String> responder) {
         Matcher id = REQUEST_ID.matcher(connection.takeReceived());
         if (!id.find()) {
             return false;
@@ -168,7 +184,9 @@
     }
 
     private int retriesCount() {
-        return arrivalsByRequestId.values().stream().mapToInt(count -> count - 1).sum();
+        return arrivalsByRequestId.values().stream()
+                .mapToInt(count -> count - 1)
+                .sum();
     }
 
     private long refusedCount() {
--- a/src/test/java/org/dogwoodwinch/relay/MutatedMessagesTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/MutatedMessagesTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Mutated messages, from fixed seeds, on either side: none is passed on changed, and none ends the process. */
+/**
+ * Mutates requests and responses from fixed seeds: the relay forwards each one verbatim or not at all, and none ends the
+ * process.
+ */
 class MutatedMessagesTest {
 
     private static final int MUTATIONS_COUNT = 400;
@@ -44,8 +47,8 @@
     }
 
     /**
-     * A caller's bytes are changed at random. What a target gets of them is one request at most before an answer, whose
-     * line and body stand in the caller's bytes as they are.
+     * A target gets at most one request before it responds, with request line and body taken verbatim from the caller's
+     * bytes.
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15})
@@ -66,21 +69,21 @@
         }
     }
 
-    /** A connection to the target may be opened for a call whose deadline is over by then; nothing is written on it. */
+    /** A connection may be opened for a call whose deadline passes meanwhile; then nothing is written on it. */
     private static void assertForwardedVerbatim(String mutant, String forwarded) {
         if (forwarded.isEmpty()) {
             return;
         }
         String requestLine = forwarded.substring(0, forwarded.indexOf("\r\n"));
-        assertTrue(mutant.contains(requestLine), () -> requestLine + " of " + mutant);
+        assertTrue(mutant.contains(requestLine), () -> requestLine + " for mutant " + mutant);
         int bodyAt = forwarded.indexOf("\r\n\r\n") + 4;
         String body = forwarded.substring(bodyAt);
-        assertTrue(mutant.contains(body), () -> body + " of " + mutant);
+        assertTrue(mutant.contains(body), () -> body + " for mutant " + mutant);
     }
 
     /**
-     * A target's bytes are changed at random. The caller gets one answer: a success only with the signature and with a
-     * body that stands in the target's bytes, or a failure.
+     * The caller gets one response: a failure, or a success with a Server-Stamp header and a body taken verbatim from
+     * the target's bytes.
      */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25})
@@ -100,12 +103,13 @@
     }
 
     private static void assertResponseVerbatimOrFailure(String mutant, String response) {
-        assertTrue(response.startsWith("HTTP/1.1 "), () -> response + " of " + mutant);
-        assertEquals(1, response.split("HTTP/1\\.1 [0-9]{3} ", -1).length - 1, () -> response + " of " + mutant);
+        assertTrue(response.startsWith("HTTP/1.1 "), () -> response + " for mutant " + mutant);
+        assertEquals(
+                1, response.split("HTTP/1\\.1 [0-9]{3} ", -1).length - 1, () -> response + " for mutant " + mutant);
         String body = response.substring(response.indexOf("\r\n\r\n") + 4);
         if (response.startsWith("HTTP/1.1 2")) {
             assertTrue(response.toLowerCase(Locale.ROOT).contains("\r\nserver-stamp:"), () -> response);
-            assertTrue(mutant.contains(body), () -> body + " of " + mutant);
+            assertTrue(mutant.contains(body), () -> body + " for mutant " + mutant);
         }
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/OwnBreakOffs.java
+++ b/src/test/java/org/dogwoodwinch/relay/OwnBreakOffs.java
@@ -2,7 +2,7 @@
 
 import org.dogwoodwinch.forwarding.TargetHealth;
 
-/** Judges targets that break off calls for one instance alone, and tells nobody. */
+/** Records connection failures and responses of targets for one instance only, without sending them to peers. */
 public record OwnBreakOffs(TargetHealth health) implements BreakOffs {
 
     @Override
--- a/src/test/java/org/dogwoodwinch/relay/OwnLimits.java
+++ b/src/test/java/org/dogwoodwinch/relay/OwnLimits.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.forwarding.Incarnation;
 import org.dogwoodwinch.forwarding.TargetRateLimits;
 
-/** Takes what targets state of their limits for one instance alone, and tells nobody. */
+/** Records the rate limits that targets state for one instance only, without sending them to peers. */
 public record OwnLimits(TargetRateLimits limits) implements StatedLimits {
 
     @Override
--- a/src/test/java/org/dogwoodwinch/relay/PromptReadingTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/PromptReadingTest.java
@@ -14,7 +14,7 @@
 
 class PromptReadingTest {
 
-    /** One engine reads the prompt, another runs the call with that memory; the caller sees one stream. */
+    /** One engine prefills the prompt, another decodes with that KV cache; the caller sees one stream. */
     @Test
     void kvCacheOfSeparatePrefillIsUsedOnceForDecode() {
         RelayFixture relay = disaggregatedRelay();
@@ -28,13 +28,14 @@
         assertEquals("d1", decodeConnection.targetId());
         String forwarded = decodeConnection.takeReceived();
         assertTrue(forwarded.contains("kv-from: 10.0.0.2:80/h7") && !forwarded.contains("stage:"), forwarded);
-        decodeConnection.respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n") + "0\r\n\r\n");
+        decodeConnection.respond(
+                RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n") + "0\r\n\r\n");
 
         assertTrue(caller.takeReceived().endsWith("0\r\n\r\n"));
         assertEquals(List.of(), relay.releasedCaches);
     }
 
-    /** The caller leaves between reading and running: the memory that nobody will take is freed at its reader. */
+    /** Failure: no decode engine takes the KV cache, and it stays allocated on the prefill engine. */
     @Test
     void unusedKvCacheIsReleased() {
         RelayFixture relay = disaggregatedRelay();
@@ -46,7 +47,7 @@
         assertEquals(List.of("p1/h7"), relay.releasedCaches);
     }
 
-    /** The engine that reads breaks down. The call has not run: an engine that reads it itself gets it. */
+    /** The prefill engine resets the connection. The call has not run, so a decode engine prefills it itself. */
     @Test
     void callRunsOnDecodeEngineAfterPrefillFails() {
         RelayFixture relay = disaggregatedRelay();
@@ -56,12 +57,13 @@
         RelayFixture.FakeTargetConnection decodeConnection = relay.latestTargetConnection();
         assertEquals("d1", decodeConnection.targetId());
         assertFalse(decodeConnection.takeReceived().contains("kv-from"));
-        decodeConnection.respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n") + "0\r\n\r\n");
+        decodeConnection.respond(
+                RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n") + "0\r\n\r\n");
 
         assertTrue(caller.takeReceived().startsWith("HTTP/1.1 200 "));
     }
 
-    /** The caller leaves while its prompt is read: the reader sees its connection close, and nothing runs. */
+    /** The caller disconnects during the prefill: the engine's connection is closed and nothing is decoded. */
     @Test
     void callerDisconnectCancelsPrefill() {
         RelayFixture relay = disaggregatedRelay();
@@ -74,7 +76,7 @@
         assertEquals(0, relay.loads.totalAt("p1").prefillQueue().totalTokens());
     }
 
-    /** A busy instance gets its connection to the reader late, and the caller's leaving lies unread beside it. */
+    /** Failure: on a loaded instance the connect completes late, with the caller's disconnect unread beside it. */
     @Test
     void prefillIsNotSentAfterCallerDisconnects() {
         RelayFixture relay = disaggregatedRelay();
@@ -90,8 +92,8 @@
     }
 
     /**
-     * The engine at which the prompt has its home cannot be reached. It never saw the call, so another engine that only
-     * reads gets it; read where it runs, it would hold up all that runs there.
+     * The preferred engine never got the call, so another prefill engine takes it: a prefill on the decode engine would
+     * delay all calls that run there.
      */
     @Test
     void unreachablePrefillEngineIsReplacedByAnother() {
@@ -109,15 +111,16 @@
     }
 
     /**
-     * The home crashed, and another target has its address. The first call that hears so leaves it alone for a while;
-     * the next one goes elsewhere at once.
+     * The preferred engine crashed and another target has its address. After the first 421 the engine is skipped for a
+     * while, so the next call goes to another one at once.
      */
     @Test
     void misdirectedPrefillEngineIsSkippedTemporarily() {
         RelayFixture relay = disaggregatedRelay().withEngine("p2", Stage.PREFILL);
         relay.connectCaller().send(modelRequest("a1"));
         String preferredId = relay.latestTargetConnection().targetId();
-        relay.latestTargetConnection().respond("HTTP/1.1 421 Misdirected\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        relay.latestTargetConnection()
+                .respond("HTTP/1.1 421 Misdirected\r\nRequest-Id: a1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
         relay.connectCaller().send(modelRequest("a2"));
 
@@ -125,7 +128,7 @@
         assertTrue(relay.latestTargetConnection().takeReceived().contains("stage: prefill"));
     }
 
-    /** Another engine keeps the shared part: the reader is told to fetch it there, and how urgent the call is. */
+    /** Another engine caches the shared segment: the prefill engine gets its address and the priority of the call. */
     @Test
     void prefillRequestNamesEngineThatCachesSharedSegment() {
         RelayFixture relay = relayWithCachedSegment();
@@ -138,7 +141,7 @@
         assertTrue(forwarded.contains("request-priority: 2\r\n"), forwarded);
     }
 
-    /** Memory that is handed over is all of the prompt: nothing is fetched beside it. */
+    /** The transferred KV cache covers the whole prompt, so no segment is fetched in addition. */
     @Test
     void decodeRequestWithKvCacheFetchesNothingElse() {
         RelayFixture relay = relayWithCachedSegment();
@@ -154,12 +157,12 @@
     private static RelayFixture disaggregatedRelay() {
         RelayFixture relay = new RelayFixture().withRoutes();
         relay.withEngine("p1", Stage.PREFILL).withEngine("d1", Stage.DECODE);
-        // Something waits at the engine that runs, so that reading elsewhere is sooner.
+        // Queued prompts on the decode engine make a separate prefill faster.
         relay.loads.replacePeerLoads("peer", Map.of("d1", new TargetLoad(9, PrefillQueue.ofPrompt(0, 400_000))));
         return relay;
     }
 
-    /** Beside these, a busy engine that keeps the shared part. */
+    /** Returns a relay that also has a busy engine that caches the shared segment. */
     private static RelayFixture relayWithCachedSegment() {
         RelayFixture relay = disaggregatedRelay();
         relay.withTarget(new Incarnation("d2", "reader", "10.0.0.9", 88, "dc-1", 64, false, Stage.DECODE, 1));
--- a/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
+++ b/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
@@ -41,7 +41,7 @@
 import org.dogwoodwinch.request.SuspectRegistry;
 import org.dogwoodwinch.time.VirtualTimeSource;
 
-/** The whole way of a call between connections made of memory, on a paused clock. */
+/** Runs calls from caller to target over in-memory channels and a virtual clock. */
 final class RelayFixture {
 
     static final String HOST = "desk.example";
@@ -60,7 +60,7 @@
     final List<FakeTargetConnection> targetConnections = new ArrayList<>();
     final Set<String> unreachableTargetIds = new HashSet<>();
     final List<String> releasedCaches = new ArrayList<>();
-    /** Connections to these open only when the test lets them. */
+    /** Targets whose connections open only in {@link #completeDelayedConnects}. */
     final Set<String> delayedTargetIds = new HashSet<>();
 
     private final List<Runnable> delayedConnects = new ArrayList<>();
@@ -116,7 +116,7 @@
                 new ForwardingMetrics(new PrometheusRegistry()));
     }
 
-    /** Puts routes /safe/, /once/, /stream/ and /resume/ in force, all to one plain service. */
+    /** Configures the routes /safe/, /once/, /stream/ and /resume/ to one plain service, and /model/ to the engines. */
     RelayFixture withRoutes() {
         service.configure(new RouteTable(
                 1,
@@ -149,7 +149,7 @@
         return this;
     }
 
-    /** As the reader of the targets' list does when an entry is removed. */
+    /** Applies the removal of a target as the reader of the target list does. */
     RelayFixture removeTarget(String id) {
         directory.apply(id, nextOffset++, Optional.empty());
         service.forgetTarget(id);
@@ -157,7 +157,7 @@
         return this;
     }
 
-    /** As the reader of the targets' list does when a target says that it leaves. */
+    /** Applies the draining of a target as the reader of the target list does. */
     RelayFixture markDraining(String id) {
         Incarnation old = directory.find(id).orElseThrow();
         replaceIncarnation(old, old.host(), true, old.startedMillis());
@@ -165,7 +165,7 @@
         return this;
     }
 
-    /** As the reader of the targets' list does when a target has started again, elsewhere. */
+    /** Applies the restart of a target at another address as the reader of the target list does. */
     RelayFixture restartTarget(String id) {
         Incarnation old = directory.find(id).orElseThrow();
         replaceIncarnation(old, "10.0.9.9", false, old.startedMillis() + 1_000);
@@ -187,7 +187,7 @@
                 startedMillis));
     }
 
-    /** The connections that were held back open now. */
+    /** Opens the delayed connections. */
     void completeDelayedConnects() {
         List<Runnable> connects = List.copyOf(delayedConnects);
         delayedConnects.clear();
@@ -215,12 +215,12 @@
         return new FakeCaller();
     }
 
-    /** The target's end of the connection opened last. */
+    /** Returns the target's end of the connection that was opened last. */
     FakeTargetConnection latestTargetConnection() {
         return targetConnections.get(targetConnections.size() - 1);
     }
 
-    /** A request without a body. */
+    /** Returns a request without a body. */
     static String getRequest(String path, String id) {
         return "GET " + path + " HTTP/1.1\r\nHost: " + HOST + "\r\nRequest-Id: " + id + "\r\n\r\n";
     }
@@ -230,13 +230,13 @@
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A whole success of a target. */
+    /** Returns a complete success response of a target. */
     static String successResponse(String id, String body) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nServer-Stamp: s-" + id + "\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The head of a streamed success. */
+    /** Returns the head of a streamed success response. */
     static String streamResponseHead(String id) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nServer-Stamp: s-" + id
                 + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -277,7 +277,7 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    /** A caller's end of its connection. */
+    /** The caller's end of a connection. */
     final class FakeCaller {
 
         private final EmbeddedChannel channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
@@ -292,13 +292,13 @@
             return this;
         }
 
-        /** What came since the last call. */
+        /** Returns the bytes received since the previous call. */
         String takeReceived() {
             channel.runPendingTasks();
             return readOutbound(channel);
         }
 
-        /** Whether no more bytes can come. */
+        /** Returns whether the connection is closed after one second, enough for a lingering close. */
         boolean isClosedAfterOneSecond() {
             channel.runPendingTasks();
             time.advanceMillis(1_000);
@@ -315,7 +315,7 @@
         }
     }
 
-    /** A target's end of a connection. */
+    /** The target's end of a connection. */
     static final class FakeTargetConnection {
 
         private final String targetId;
@@ -330,7 +330,7 @@
             return targetId;
         }
 
-        /** What came since the last call. */
+        /** Returns the bytes received since the previous call. */
         String takeReceived() {
             channel.runPendingTasks();
             return readOutbound(channel);
--- a/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
+++ b/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
@@ -6,7 +6,7 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.forwarding.Incarnation;
 
-/** Engines that answer no question; tests override what they need. */
+/** Engine control that gets no usable response; tests override the methods that they need. */
 public class SilentEngines implements EngineControl {
 
     @Override
--- a/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
@@ -37,9 +37,8 @@
     }
 
     /**
-     * A call crashes each target that begins to run it, and its caller sends it again after every failure. The first
-     * crash makes it suspect, the second, alone on its target, proves it: from then on it is refused and no target
-     * crashes any more, while other calls are served.
+     * Failure: a call crashes each target that runs it, and its caller resends it after every failure. The first crash
+     * makes it suspect; the second, while it runs alone on its target, quarantines it. Other calls are still served.
      */
     @Test
     void callThatCrashesTargetsIsRefusedAfterSecondCrash() {
@@ -61,7 +60,7 @@
         assertTrue(relay.latestTargetConnection().takeReceived().endsWith("harmless"));
     }
 
-    /** A connection breaks and its target goes on working: the call is no suspect, however often that happens. */
+    /** Connections break while their target keeps working: the call is not quarantined, however often that happens. */
     @Test
     void connectionResetsAloneDoNotQuarantineCall() {
         listNewTarget();
@@ -75,7 +74,7 @@
         assertEquals(5, relay.targetConnections.size());
     }
 
-    /** A call stood beside the guilty one on a crashed target. Sent again it completes, and nothing is held against it. */
+    /** The call ran beside the one that crashed the target. Its completion on a later attempt clears the suspicion. */
     @Test
     void callRunningDuringCrashIsClearedByCompletion() {
         listNewTarget();
@@ -83,13 +82,14 @@
         crashTarget(relay.latestTargetConnection());
         listNewTarget();
         for (int i = 0; i < 3; i++) {
-            RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.postRequest("/once/i", "i2", "", "innocent"));
+            RelayFixture.FakeCaller caller =
+                    relay.connectCaller().send(RelayFixture.postRequest("/once/i", "i2", "", "innocent"));
             relay.latestTargetConnection().respond(RelayFixture.successResponse("i2", "done"));
             assertTrue(caller.takeReceived().endsWith("done"));
         }
     }
 
-    /** Another instance told of a proved call: it is refused here though it never ran here. */
+    /** The notices of the other instance quarantine the call here, although it never ran on this instance. */
     @Test
     void callQuarantinedByAnotherInstanceIsQuarantinedHere() {
         List<SuspicionNotice> sentNotices = new ArrayList<>();
--- a/src/test/java/org/dogwoodwinch/relay/TargetRateLimitTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/TargetRateLimitTest.java
@@ -19,7 +19,9 @@
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** Load on targets that name a limit in their answers: calls a second that they take from all instances together. */
+/**
+ * Puts load on targets whose responses state a limit: the calls per second that they take from all instances together.
+ */
 class TargetRateLimitTest {
 
     private static final long LIMITED_FROM_MILLIS = 2_000;
@@ -39,7 +41,7 @@
     private final Map<String, Double> limitsPerSecond = new HashMap<>();
     private boolean rejectsCalls;
 
-    /** Two of three generating engines name a limit and go on getting what they got before, from six instances. */
+    /** Load: two of three decode engines state a limit, and six instances keep sending the same number of calls. */
     @Test
     void decodeEnginesStayWithinStatedLimits() {
         startInstances(
@@ -56,10 +58,10 @@
 
         assertWithinLimit("d1");
         assertWithinLimit("d2");
-        assertEquals(0, refusedCount(), "refused while the third engine has room");
+        assertEquals(0, refusedCount(), "refused while the third engine has capacity");
     }
 
-    /** A reading apart is an arrival too; a share of one call for each of many instances adds up to many at once. */
+    /** A separate prefill counts against the limit too; one call for each of many instances adds up to a burst. */
     @Test
     void prefillEngineSharedByManyInstancesStaysWithinStatedLimit() {
         startInstances(
@@ -72,13 +74,15 @@
         run(20, id -> RelayFixture.postRequest("/model/a", id, promptHeaders(id, 20_000), "prompt"));
 
         assertWithinLimit("p1");
-        assertEquals(0, refusedCount(), "refused while the other reader has room");
+        assertEquals(0, refusedCount(), "refused while the other prefill engine has capacity");
     }
 
-    /** What a target rejects, and what is sent once more after a rejection, are arrivals as well. */
+    /** Rejected calls and the retries that follow a rejection count against the limit as well. */
     @Test
     void rejectingPlainTargetStaysWithinStatedLimit() {
-        startInstances(6, fixture -> fixture.withPlainTarget("t1").withPlainTarget("t2").withPlainTarget("t3"));
+        startInstances(
+                6,
+                fixture -> fixture.withPlainTarget("t1").withPlainTarget("t2").withPlainTarget("t3"));
         limitsPerSecond.put("t1", 0.5);
         rejectsCalls = true;
 
@@ -88,17 +92,18 @@
     }
 
     private void startInstances(int count, Function<RelayFixture, RelayFixture> addTargets) {
-        Set<String> instanceIds = IntStream.range(0, count).mapToObj(i -> "i" + i).collect(Collectors.toSet());
+        Set<String> instanceIds =
+                IntStream.range(0, count).mapToObj(i -> "i" + i).collect(Collectors.toSet());
         for (int i = 0; i < count; i++) {
             instances.add(addTargets.apply(new RelayFixture(50, time, "i" + i, instanceIds).withRoutes()));
         }
     }
 
-    /** Of one of twelve subjects. */
+    /** Returns the headers of a prompt whose first half is one of twelve shared segments. */
     private static String promptHeaders(String id, int tokens) {
         String sharedSegment = "s" + Math.floorMod(id.hashCode(), 12) + ":" + tokens / 2;
-        return "Model: m\r\nToken-Count: " + tokens + ",20\r\nPrompt-Prefix: " + sharedSegment + ",o" + id + ":" + tokens / 2
-                + "\r\n";
+        return "Model: m\r\nToken-Count: " + tokens + ",20\r\nPrompt-Prefix: " + sharedSegment + ",o" + id + ":"
+                + tokens / 2 + "\r\n";
     }
 
     private void run(long callGapMillis, Function<String, String> createRequest) {
@@ -137,12 +142,14 @@
                         .add(elapsedMillis());
                 String requestId = id.group(1);
                 boolean isPrefill = received.contains("stage: prefill");
-                time.schedule(RESPONSE_DELAY_MILLIS, () -> connection.respond(response(connection.targetId(), requestId, isPrefill)));
+                time.schedule(
+                        RESPONSE_DELAY_MILLIS,
+                        () -> connection.respond(createResponse(connection.targetId(), requestId, isPrefill)));
             }
         }
     }
 
-    private String response(String targetId, String requestId, boolean isPrefill) {
+    private String createResponse(String targetId, String requestId, boolean isPrefill) {
         boolean isLimited = limitsPerSecond.containsKey(targetId) && elapsedMillis() >= LIMITED_FROM_MILLIS;
         String limitHeader = isLimited ? "\r\nServer-Limit: " + limitsPerSecond.get(targetId) + "\r\n" : "\r\n";
         if (isLimited && rejectsCalls) {
@@ -160,10 +167,14 @@
         List<Long> arrivals = arrivalsMillis.getOrDefault(targetId, List.of());
         for (long windowStartMillis : arrivals) {
             long count = arrivals.stream()
-                    .filter(arrivalMillis -> arrivalMillis >= windowStartMillis && arrivalMillis < windowStartMillis + WINDOW_MILLIS)
+                    .filter(arrivalMillis ->
+                            arrivalMillis >= windowStartMillis && arrivalMillis < windowStartMillis + WINDOW_MILLIS)
                     .count();
             if (windowStartMillis >= LIMITED_FROM_MILLIS + SETTLING_MILLIS) {
-                assertTrue(count <= allowedCount, count + " calls from " + windowStartMillis + " ms on at " + targetId + ", " + allowedCount);
+                assertTrue(
+                        count <= allowedCount,
+                        count + " calls in the window from " + windowStartMillis + " ms at " + targetId + ", allowed "
+                                + allowedCount);
             }
         }
     }
--- a/src/test/java/org/dogwoodwinch/relay/TargetRemovalBeforeSendTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/TargetRemovalBeforeSendTest.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.forwarding.TargetLoad;
 import org.junit.jupiter.api.Test;
 
-/** A target's list changes between a target's choice and the first byte to it; no quota has a repeat left. */
+/** Changes the target list between the choice of a target and the first byte sent to it, with no retry in any quota. */
 class TargetRemovalBeforeSendTest {
 
     private static final double NO_RETRIES = 0;
@@ -51,7 +51,7 @@
         assertTrue(caller.takeReceived().endsWith("own"));
     }
 
-    /** A call that is not young is put off once more after its connection is there. */
+    /** A call of 100 ms or older is deferred once more after its connection opens, until all sockets were read. */
     @Test
     void targetDrainingWhileCallIsDeferredGetsNoCall() {
         RelayFixture relay = relayWithDelayedConnect();
@@ -85,7 +85,7 @@
         assertTrue(secondRelay.latestTargetConnection().takeReceived().contains("stage: prefill"));
     }
 
-    /** The memory is kept for the one that runs the call in its place. */
+    /** The KV cache is kept for the engine that decodes the call instead. */
     @Test
     void decodeEngineDrainingDuringConnectAfterPrefillGetsNoCall() {
         RelayFixture relay = disaggregatedRelay();
@@ -94,13 +94,18 @@
         relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "h7"));
         assertEquals(1, relay.targetConnections.size());
 
-        relay.markDraining("d1").markDraining("d2").withEngine("d3", Stage.DECODE).completeDelayedConnects();
+        relay.markDraining("d1")
+                .markDraining("d2")
+                .withEngine("d3", Stage.DECODE)
+                .completeDelayedConnects();
 
         assertEquals("", relay.targetConnections.get(1).takeReceived());
         assertEquals("d3", relay.latestTargetConnection().targetId());
         String forwarded = relay.latestTargetConnection().takeReceived();
         assertTrue(forwarded.contains("kv-from: 10.0.0.2:80/h7"), forwarded);
-        relay.latestTargetConnection().respond(RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n") + "0\r\n\r\n");
+        relay.latestTargetConnection()
+                .respond(
+                        RelayFixture.streamResponseHead("a1") + RelayFixture.chunk("id: 1\ndata: x\n\n") + "0\r\n\r\n");
         assertTrue(caller.takeReceived().endsWith("0\r\n\r\n"));
     }
 
