--- a/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
+++ b/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
@@ -346,14 +346,14 @@
         }
 
         void reset() {
-            failWith("Connection reset by peer");
+            fail("Connection reset by peer");
         }
 
         void timeOut() {
-            failWith("Connection timed out");
+            fail("Connection timed out");
         }
 
-        private void failWith(String message) {
+        private void fail(String message) {
             channel.pipeline().fireExceptionCaught(new IOException(message));
             channel.close().syncUninterruptibly();
         }
