--- a/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
@@ -179,8 +179,8 @@
         private final List<String> events = new ArrayList<>();
 
         @Override
-        public void changed(String _engineId, String segmentId, int cachedTokens) {
-            events.add(segmentId + "=" + cachedTokens);
+        public void changed(String _engineId, String partId, int cachedTokens) {
+            events.add(partId + "=" + cachedTokens);
         }
 
         @Override
