--- a/src/main/java/org/dogwoodwinch/relay/FrontListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerListener.java
@@ -16,28 +16,30 @@
 import org.dogwoodwinch.net.Transport;
 import org.dogwoodwinch.time.TimeSource;
 
-/** The listener of forwarded calls. */
-final class FrontListener {
+/** Listens for connections from callers whose calls are forwarded. */
+final class CallerListener {
 
-    /** The queue of connections that wait to be accepted: one that is dropped there comes back after a second. */
+    /**
+     * Length of the accept queue. A connection attempt beyond it is dropped and repeated by the client after a second.
+     */
     private static final int BACKLOG = 1_024;
 
     private final Transport transport;
-    private final CallerIntake intake;
+    private final RequestHandler handler;
     private final TimeSource time;
     private final Map<ChannelId, CallerConnection> connections = new HashMap<>();
     private Channel listener;
 
-    FrontListener(Transport transport, CallerIntake intake, TimeSource time) {
+    CallerListener(Transport transport, RequestHandler handler, TimeSource time) {
         this.transport = Objects.requireNonNull(transport, "transport");
-        this.intake = Objects.requireNonNull(intake, "intake");
+        this.handler = Objects.requireNonNull(handler, "handler");
         this.time = Objects.requireNonNull(time, "time");
     }
 
     /**
-     * Binds it.
+     * Binds the listener.
      *
-     * @param address where to listen; port 0 for any free one, not null
+     * @param address the address to listen on, port 0 for any free port, not null
      * @throws IOException if the address cannot be bound
      */
     void bind(InetSocketAddress address) throws IOException {
@@ -68,22 +70,22 @@
         return connections.size();
     }
 
-    /** Takes no more connections; those open go on. */
+    /** Stops accepting connections; open ones continue. */
     void stopAccepting() {
         Channels.close(listener);
     }
 
-    /** Closes the connections on which nothing is under way. */
+    /** Closes connections without a request that is being read, queued or under way. */
     void closeIdle() {
         for (CallerConnection connection : List.copyOf(connections.values())) {
-            if (connection.idle()) {
+            if (connection.isIdle()) {
                 connection.close();
             }
         }
     }
 
     private void accept(Channel channel) {
-        CallerConnection connection = CallerPipeline.install(channel, intake, time);
+        CallerConnection connection = CallerPipeline.install(channel, handler, time);
         connections.put(channel.id(), connection);
         channel.closeFuture().addListener(_closed -> connections.remove(channel.id()));
     }
--- a/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallerPipeline.java
@@ -7,33 +7,33 @@
 import org.dogwoodwinch.forwarding.CallerLimits;
 import org.dogwoodwinch.time.TimeSource;
 
-/** What handles a caller's connection. */
+/** Installs the channel handlers of a connection from a caller. */
 final class CallerPipeline {
 
     private CallerPipeline() {}
 
     /**
-     * Adds the handlers.
+     * Adds the handlers to a channel.
      *
-     * @param channel the connection, not null
-     * @param intake takes its requests, not null
-     * @param time the clock and timers, not null
-     * @return the last handler
+     * @param channel the channel of the connection, not null
+     * @param handler handles the requests, not null
+     * @param time clock and timers of the event loop, not null
+     * @return the last handler of the pipeline
      */
-    static CallerConnection install(Channel channel, CallerIntake intake, TimeSource time) {
-        CallerLimits limits = intake.limits();
-        CallerConnection connection = new CallerConnection(intake, time, limits);
+    static CallerConnection install(Channel channel, RequestHandler handler, TimeSource time) {
+        CallerLimits limits = handler.limits();
+        CallerConnection connection = new CallerConnection(handler, time, limits);
         channel.pipeline()
-                .addLast(new ArrivalNote(connection))
+                .addLast(new ArrivalRecorder(connection))
                 .addLast(new HttpResponseEncoder(), new StrictRequestDecoder(limits), connection);
         return connection;
     }
 
-    /** Notes when the first byte of a request arrives: its deadline runs from there, not from the end of its body. */
-    private static final class ArrivalNote extends ChannelInboundHandlerAdapter {
+    /** Records the arrival of the first byte of a request, from which its deadline is counted. */
+    private static final class ArrivalRecorder extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
-        ArrivalNote(CallerConnection connection) {
+        ArrivalRecorder(CallerConnection connection) {
             this.connection = connection;
         }
 
--- a/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
@@ -33,8 +33,9 @@
 import org.dogwoodwinch.time.TimeSource;
 
 /**
- * Calls with short answers: to the platform's store and to the control interfaces of targets. Each has a time bound, as
- * a connection may go silent for good; one that was late is closed and never used again. Used on one event loop alone.
+ * A client for short requests to the platform's store and to the control interfaces of targets. Each call has a
+ * time-out, since a connection may stop responding for good; after a time-out, its connection is closed and not reused.
+ * Confined to one event loop.
  */
 public final class ControlCaller {
 
@@ -44,15 +45,15 @@
     private final EventLoop loop;
     private final TimeSource time;
     private final ConnectionPolicy policy;
-    private final Map<InetSocketAddress, Deque<Line>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, Deque<PooledConnection>> idle = new HashMap<>();
 
     /**
-     * Creates a caller without connections.
+     * Creates a client without connections.
      *
-     * @param transport the sockets, not null
-     * @param loop runs everything, not null
-     * @param time bounds the calls, not null
-     * @param policy the connections' times, not null
+     * @param transport the socket transport, not null
+     * @param loop the event loop of all connections and callbacks, not null
+     * @param time timers for the time-outs, not null
+     * @param policy time-outs of the connections, not null
      */
     public ControlCaller(Transport transport, EventLoop loop, TimeSource time, ConnectionPolicy policy) {
         this.transport = Objects.requireNonNull(transport, "transport");
@@ -62,17 +63,17 @@
     }
 
     /**
-     * Makes a call.
+     * Sends a call, on an idle connection if there is one.
      *
-     * @param address the peer, not null
-     * @param call the call, not null
-     * @param timeoutMillis how long the answer may take, opening a connection included
-     * @return completes on the event loop, never exceptionally
+     * @param address the address of the server, not null
+     * @param call the call to send, not null
+     * @param timeoutMillis the time-out for the response, including the time to open a connection
+     * @return a stage that completes on the event loop, never exceptionally
      */
     public CompletionStage<ControlReply> call(InetSocketAddress address, ControlCall call, long timeoutMillis) {
         Exchange exchange = new Exchange(call, time);
-        exchange.bound(timeoutMillis);
-        Line kept = takeIdle(address);
+        exchange.timeout(timeoutMillis);
+        PooledConnection kept = pollIdle(address);
         if (kept != null) {
             kept.send(exchange);
         } else {
@@ -81,23 +82,23 @@
         return exchange.reply;
     }
 
-    private Line takeIdle(InetSocketAddress address) {
-        Deque<Line> lines = idle.get(address);
-        if (lines == null) {
+    private PooledConnection pollIdle(InetSocketAddress address) {
+        Deque<PooledConnection> connections = idle.get(address);
+        if (connections == null) {
             return null;
         }
-        Line line = lines.pollFirst();
-        while (line != null && !line.channel.isActive()) {
-            line = lines.pollFirst();
+        PooledConnection connection = connections.pollFirst();
+        while (connection != null && !connection.channel.isActive()) {
+            connection = connections.pollFirst();
         }
-        if (lines.isEmpty()) {
+        if (connections.isEmpty()) {
             idle.remove(address);
         }
-        return line;
+        return connection;
     }
 
     private void open(InetSocketAddress address, Exchange exchange) {
-        Line line = new Line(address);
+        PooledConnection connection = new PooledConnection(address);
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(transport.channelClass())
@@ -106,7 +107,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES), line);
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES), connection);
                     }
                 });
         transport.setUnacknowledgedTimeout(bootstrap, policy.unacknowledgedMillis());
@@ -115,16 +116,17 @@
             if (!connecting.isSuccess()) {
                 exchange.end(new ControlReply.Lost("connect_failed"));
             } else if (exchange.reply.isDone()) {
-                keep(line);
+                returnToPool(connection);
             } else {
-                line.send(exchange);
+                connection.send(exchange);
             }
         });
     }
 
-    private void keep(Line line) {
-        if (line.channel.isActive()) {
-            idle.computeIfAbsent(line.address, _address -> new ArrayDeque<>()).addFirst(line);
+    private void returnToPool(PooledConnection connection) {
+        if (connection.channel.isActive()) {
+            idle.computeIfAbsent(connection.address, _address -> new ArrayDeque<>())
+                    .addFirst(connection);
         }
     }
 
@@ -132,35 +134,35 @@
         private final ControlCall call;
         private final TimeSource time;
         private final CompletableFuture<ControlReply> reply = new CompletableFuture<>();
-        private Line line;
-        private Cancellable bound;
+        private PooledConnection connection;
+        private Cancellable timeout;
 
         Exchange(ControlCall call, TimeSource time) {
             this.call = call;
             this.time = time;
         }
 
-        void bound(long timeoutMillis) {
-            bound = time.schedule(timeoutMillis, () -> {
-                if (line != null) {
-                    Channels.close(line.channel);
+        void timeout(long timeoutMillis) {
+            timeout = time.schedule(timeoutMillis, () -> {
+                if (connection != null) {
+                    Channels.close(connection.channel);
                 }
                 end(new ControlReply.Lost("timeout"));
             });
         }
 
         void end(ControlReply outcome) {
-            bound.cancel();
+            timeout.cancel();
             reply.complete(outcome);
         }
     }
 
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class PooledConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final InetSocketAddress address;
         private Channel channel;
         private Exchange current;
 
-        Line(InetSocketAddress address) {
+        PooledConnection(InetSocketAddress address) {
             this.address = address;
         }
 
@@ -171,7 +173,7 @@
 
         void send(Exchange exchange) {
             current = exchange;
-            exchange.line = this;
+            exchange.connection = this;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     exchange.call.method(),
@@ -189,7 +191,7 @@
             current = null;
             boolean usable = done != null && response.decoderResult().isSuccess();
             if (usable && HttpUtil.isKeepAlive(response)) {
-                keep(this);
+                returnToPool(this);
             } else {
                 Channels.close(channel);
             }
@@ -203,16 +205,16 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext _context) {
-            lose("connection_closed");
+            failExchange("connection_closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext _context, Throwable cause) {
-            lose("connection_failed: " + cause);
+            failExchange("connection_failed: " + cause);
             Channels.close(channel);
         }
 
-        private void lose(String reason) {
+        private void failExchange(String reason) {
             Exchange lost = current;
             current = null;
             if (lost != null) {
--- a/src/main/java/org/dogwoodwinch/relay/EventFramer.java
+++ b/src/main/java/org/dogwoodwinch/relay/EventFramer.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of events at their ends and remembers the id of the last whole one.
+ * Splits an event stream at event boundaries and records the id of the last complete event.
  *
- * <p>Failure: a target crashes in the middle of an event and another goes on after the last whole one; the caller would
- * get half an event, then a new one. So only whole events are passed on.
+ * <p>Failure: a target crashes within an event and another one resumes after the last complete event, so the caller
+ * would receive a partial event followed by a new one. Only complete events are passed on.
  */
 final class EventFramer {
 
@@ -23,58 +23,58 @@
         this.lastEventId = Objects.requireNonNull(lastEventId, "lastEventId");
     }
 
-    /** The id after which another target has to go on; empty before the first event. */
+    /** Returns the id of the event after which another target has to resume; empty before the first event. */
     Optional<String> lastEventId() {
         return lastEventId;
     }
 
-    /** Whether bytes of an event came without its end. */
-    boolean partial() {
+    /** Returns whether an incomplete event is buffered. */
+    boolean hasPartialEvent() {
         return pending.length > 0;
     }
 
-    void dropPartial() {
+    void discardPartial() {
         pending = new byte[0];
     }
 
     /**
-     * Takes a piece and returns what is whole by now.
+     * Appends bytes of the stream and returns the events that are now complete.
      *
-     * @param piece the next bytes, not null; not consumed
-     * @return whole events, empty where none ended
+     * @param chunk the next bytes, not null; its reader index is not changed
+     * @return the bytes of complete events; empty if none is complete
      */
-    byte[] take(ByteBuf piece) {
-        byte[] all = Arrays.copyOf(pending, pending.length + piece.readableBytes());
-        piece.getBytes(piece.readerIndex(), all, pending.length, piece.readableBytes());
+    byte[] append(ByteBuf chunk) {
+        byte[] buffered = Arrays.copyOf(pending, pending.length + chunk.readableBytes());
+        chunk.getBytes(chunk.readerIndex(), buffered, pending.length, chunk.readableBytes());
         int end = 0;
         int lineStart = 0;
         Optional<String> idOfEvent = Optional.empty();
-        for (int i = 0; i < all.length; i++) {
-            if (all[i] != '\n') {
+        for (int i = 0; i < buffered.length; i++) {
+            if (buffered[i] != '\n') {
                 continue;
             }
-            int lineEnd = i > lineStart && all[i - 1] == '\r' ? i - 1 : i;
+            int lineEnd = i > lineStart && buffered[i - 1] == '\r' ? i - 1 : i;
             if (lineEnd == lineStart) {
                 end = i + 1;
                 lastEventId = idOfEvent.isPresent() ? idOfEvent : lastEventId;
                 idOfEvent = Optional.empty();
             } else {
-                Optional<String> id = idIn(all, lineStart, lineEnd);
+                Optional<String> id = parseId(buffered, lineStart, lineEnd);
                 idOfEvent = id.isPresent() ? id : idOfEvent;
             }
             lineStart = i + 1;
         }
-        byte[] whole = Arrays.copyOf(all, end);
-        pending = Arrays.copyOfRange(all, end, all.length);
+        byte[] whole = Arrays.copyOf(buffered, end);
+        pending = Arrays.copyOfRange(buffered, end, buffered.length);
         return whole;
     }
 
-    private static Optional<String> idIn(byte[] all, int start, int end) {
+    private static Optional<String> parseId(byte[] buffered, int start, int end) {
         if (end - start < ID_FIELD.length
-                || !Arrays.equals(all, start, start + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
+                || !Arrays.equals(buffered, start, start + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
             return Optional.empty();
         }
         int valueStart = start + ID_FIELD.length;
-        return Optional.of(new String(all, valueStart, end - valueStart, StandardCharsets.UTF_8).strip());
+        return Optional.of(new String(buffered, valueStart, end - valueStart, StandardCharsets.UTF_8).strip());
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -29,38 +29,41 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Forwards calls by the configuration in force. Used on one event loop alone. */
-public final class ForwardingService implements CallerIntake {
+/** Forwards callers' requests to targets by the configuration in force. Confined to one event loop. */
+public final class ForwardingService implements RequestHandler {
 
     private static final Logger log = LoggerFactory.getLogger(ForwardingService.class);
 
-    /** A sixth of the smallest heap that the deploy file gives: a body is there twice while it is sent. */
-    private static final long MAX_HELD_BODY_BYTES = 16_777_216;
+    /**
+     * Maximum memory of request bodies: a sixth of the smallest heap that the deployment configures, since a body is in
+     * memory twice while it is sent.
+     */
+    private static final long MAX_BODY_MEMORY_BYTES = 16_777_216;
 
     private final CallHeaders callHeaders;
     private final UniformRandomProvider random;
     private final TimeSource time;
-    private final RelayParts parts;
+    private final RelayContext context;
     private final RelayReport report;
     private final TargetHealth health;
-    private Optional<FrontListener> listener = Optional.empty();
-    private final HeldBytes heldBytes = new HeldBytes(MAX_HELD_BODY_BYTES);
+    private Optional<CallerListener> listener = Optional.empty();
+    private final BodyMemory bodyMemory = new BodyMemory(MAX_BODY_MEMORY_BYTES);
     private int openCount;
-    private Optional<RouteTable> table = Optional.empty();
-    private boolean leaving;
-    private boolean taking = true;
+    private Optional<RouteTable> routeTable = Optional.empty();
+    private boolean draining;
+    private boolean accepting = true;
 
     /**
-     * Creates a service that does not listen yet.
+     * Creates a service that does not listen for connections yet.
      *
      * @param connector opens connections to targets, not null
-     * @param time the event loop's clock and timers, not null
-     * @param callHeaders reads and writes headers, not null
-     * @param random chooses among services and targets, not null
-     * @param policy the connections' times, not null
-     * @param control asks engines, not null
-     * @param decisions what decides, not null
-     * @param metrics counts, not null
+     * @param time clock and timers of the event loop, not null
+     * @param callHeaders parses and builds HTTP headers, not null
+     * @param random chooses among the services of a route, not null
+     * @param policy time-outs of connections to targets, not null
+     * @param control client of the engines' control interfaces, not null
+     * @param decisions components that decide about calls, not null
+     * @param metrics counters and histograms of forwarded calls, not null
      */
     public ForwardingService(
             TargetConnector connector,
@@ -76,10 +79,10 @@
         this.time = Objects.requireNonNull(time, "time");
         this.report = new LoggingReport(metrics, decisions.limits());
         this.health = decisions.health();
-        this.parts = new RelayParts(
+        this.context = new RelayContext(
                 time,
                 callHeaders,
-                new TargetConnections(
+                new TargetConnectionPool(
                         connector,
                         callHeaders,
                         time,
@@ -90,173 +93,176 @@
                 decisions.chooser(),
                 control,
                 decisions.loads(),
-                decisions.parts(),
-                decisions.rates(),
+                decisions.cacheIndex(),
+                decisions.prefillRates(),
                 decisions.retryPolicy(),
                 decisions.budget(),
                 new Suspicions(decisions.quarantine(), time),
                 health,
                 decisions.statedLimits(),
-                decisions.breakOffs(),
+                decisions.connectionAborts(),
                 report,
-                decisions.sharersCount());
+                decisions.sharingInstancesCount());
     }
 
     /**
-     * What decides about calls.
+     * The components that decide about calls.
      *
      * @param chooser chooses targets, not null
-     * @param loads what is under way at targets, not null
-     * @param parts which parts of prompts engines keep, not null
-     * @param rates how fast engines read, not null
-     * @param retryPolicy decides what follows on a failed send, not null
-     * @param budget bounds repeats, not null
-     * @param quarantine knows the calls that crash targets, not null
-     * @param health knows the targets that could not be reached of late, not null
-     * @param limits knows the targets that name a limit, not null
-     * @param statedLimits hears of them, not null
-     * @param breakOffs judges the targets that break off calls, not null
-     * @param sharersCount the instances that share a target's connections, asked each time, not null
+     * @param loads tracks the calls under way at targets, not null
+     * @param cacheIndex prompt segments in the KV caches of engines, not null
+     * @param prefillRates estimated prefill rates of engines, not null
+     * @param retryPolicy chooses the next step after a failed send, not null
+     * @param budget limits retries, not null
+     * @param quarantine status of calls that crash targets, not null
+     * @param health tracks targets that were recently unreachable, not null
+     * @param limits rate limits of targets that state one, not null
+     * @param statedLimits receives the rate limits that targets state in responses, not null
+     * @param connectionAborts tracks targets that close new connections without a response, not null
+     * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on
+     *     each use, not null
      */
     public record Decisions(
             TargetChooser chooser,
             LoadTracker loads,
-            KvCacheIndex parts,
-            PrefillRates rates,
+            KvCacheIndex cacheIndex,
+            PrefillRates prefillRates,
             RetryPolicy retryPolicy,
             RetryBudget budget,
             Quarantine quarantine,
             TargetHealth health,
             TargetRateLimits limits,
             StatedLimits statedLimits,
-            BreakOffs breakOffs,
-            IntSupplier sharersCount) {}
+            BreakOffs connectionAborts,
+            IntSupplier sharingInstancesCount) {}
 
     /**
-     * Listens for callers.
+     * Starts to accept connections from callers.
      *
-     * @param transport the sockets, not null
-     * @param address where, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
      * @throws IOException if the address cannot be bound
      */
     public void listen(Transport transport, InetSocketAddress address) throws IOException {
-        FrontListener bound = new FrontListener(transport, this, time);
+        CallerListener bound = new CallerListener(transport, this, time);
         bound.bind(address);
         listener = Optional.of(bound);
     }
 
     /**
-     * Returns the port that callers connect to.
+     * Returns the port on which the service accepts callers.
      *
-     * @return the port; zero where it does not listen
+     * @return the port; zero if the service does not listen
      */
     public int port() {
-        return listener.map(FrontListener::port).orElse(0);
+        return listener.map(CallerListener::port).orElse(0);
     }
 
     /**
-     * Listens for short questions such as the balancer's.
+     * Serves readiness checks such as those of the load balancer.
      *
-     * @param transport the sockets, not null
-     * @param address where, not null
-     * @param ready whether the instance is ready, asked each time, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
+     * @param ready supplies whether the instance is ready, evaluated on each request, not null
      * @return the listening channel
      * @throws IOException if the address cannot be bound
      */
     public static Channel listenReady(Transport transport, InetSocketAddress address, Supplier<Boolean> ready)
             throws IOException {
-        return ReadyListener.bind(transport, address, _path -> {
+        return PageListener.bind(transport, address, _path -> {
             boolean now = ready.get();
-            return new ReadyListener.Page(
-                    now ? 200 : OwnAnswers.UNAVAILABLE, "text/plain", now ? "ready" : "not ready");
+            return new PageListener.Page(
+                    now ? 200 : LocalResponses.UNAVAILABLE, "text/plain", now ? "ready" : "not ready");
         });
     }
 
     /**
-     * Shows metrics.
+     * Serves metrics in the Prometheus text format.
      *
-     * @param transport the sockets, not null
-     * @param address where, not null
-     * @param metrics what is shown, not null
+     * @param transport the socket transport, not null
+     * @param address the address to listen on, not null
+     * @param metrics the metrics to serve, not null
      * @return the listening channel
      * @throws IOException if the address cannot be bound
      */
     public static Channel listenMetrics(Transport transport, InetSocketAddress address, ForwardingMetrics metrics)
             throws IOException {
-        return ReadyListener.bind(
-                transport, address, _path -> new ReadyListener.Page(200, "text/plain; version=0.0.4", metrics.text()));
+        return PageListener.bind(
+                transport, address, _path -> new PageListener.Page(200, "text/plain; version=0.0.4", metrics.text()));
     }
 
     /**
-     * Puts a configuration in force unless it is older than the one in force.
+     * Applies a configuration unless its version is older than or equal to that of the current one.
      *
-     * @param fresh the configuration, not null
-     * @return whether it was put in force
+     * @param newTable the configuration to apply, not null
+     * @return whether the configuration was applied
      */
-    public boolean configure(RouteTable fresh) {
-        if (table.isPresent() && table.get().version() >= fresh.version()) {
+    public boolean configure(RouteTable newTable) {
+        if (routeTable.isPresent() && routeTable.get().version() >= newTable.version()) {
             return false;
         }
-        table = Optional.of(fresh);
+        routeTable = Optional.of(newTable);
         return true;
     }
 
     /**
-     * Says whether a service's targets are model engines.
+     * Returns whether a service's targets are model engines.
      *
      * @param serviceName the service's name, not null
-     * @return false for plain services and unknown ones
+     * @return true for a model service; false for other and unknown services
      */
     public boolean servesModel(String serviceName) {
-        return table.flatMap(current -> current.service(serviceName))
+        return routeTable
+                .flatMap(current -> current.service(serviceName))
                 .flatMap(ServiceEntry::engine)
                 .isPresent();
     }
 
     /**
-     * Returns the services of model engines.
+     * Returns the services whose targets are model engines.
      *
-     * @return their names by the configuration in force
+     * @return the names in the configuration in force
      */
     public Set<String> modelServices() {
-        return table.map(RouteTable::modelServices).orElseGet(Set::of);
+        return routeTable.map(RouteTable::modelServices).orElseGet(Set::of);
     }
 
     /**
-     * Returns how long an engine is away when it changes its stage.
+     * Returns how long an engine is unavailable during a stage change.
      *
      * @param serviceName the service's name, not null
-     * @return milliseconds by the configuration in force; zero where none is stated
+     * @return milliseconds from the configuration in force; zero if it states none
      */
     public long switchMillis(String serviceName) {
-        return table.flatMap(current -> current.service(serviceName))
+        return routeTable
+                .flatMap(current -> current.service(serviceName))
                 .flatMap(ServiceEntry::engine)
                 .map(EngineTraits::stageChangeMillis)
                 .orElse(0L);
     }
 
     /**
-     * Says whether a configuration is in force.
+     * Returns whether a configuration is in force.
      *
-     * @return false before the first one
+     * @return false before the first configuration was applied
      */
     public boolean configured() {
-        return table.isPresent();
+        return routeTable.isPresent();
     }
 
     /**
-     * A target was found gone without having said that it leaves.
+     * Handles a target that disappeared without having announced that it drains.
      *
      * @param targetId its id, not null
      */
     public void targetFoundGone(String targetId) {
-        parts.breakOffs().forget(targetId);
-        parts.statedLimits().forget(targetId);
-        parts.suspicions().foundGone(targetId);
+        context.connectionAborts().forget(targetId);
+        context.statedLimits().forget(targetId);
+        context.suspicions().handleTargetLost(targetId);
     }
 
     /**
-     * A target takes another part of the work than before, and is back for it.
+     * Handles a target that completed a stage change and accepts calls again.
      *
      * @param targetId its id, not null
      */
@@ -265,135 +271,135 @@
     }
 
     /**
-     * A target has started again under its id: it holds and knows nothing of before.
+     * Handles a target that restarted under the same id and so lost all earlier state.
      *
-     * <p>Failure: what is believed of the earlier start is used at the later one. Calls go where their prompt is thought
-     * to be kept and wait until it is read, connections are those of a process that is gone, and the target is left alone
-     * for what the earlier one did.
+     * <p>Failure: state of the earlier incarnation is applied to the new one. Calls are routed to it for cached prompts
+     * that it has to prefill again, pooled connections belong to a process that no longer exists, and the target is
+     * avoided because of errors of the earlier incarnation.
      *
      * @param targetId its id, not null
      */
     public void targetStartedAgain(String targetId) {
         targetFoundGone(targetId);
         forgetTarget(targetId);
-        parts.parts().removeEngine(targetId);
+        context.cacheIndex().removeEngine(targetId);
     }
 
     private void targetUnreachable(String targetId) {
-        report.unreachable(targetId, health.recordUnreachable(targetId), "connect_failed");
-        parts.suspicions().foundGone(targetId);
+        report.targetUnreachable(targetId, health.recordUnreachable(targetId), "connect_failed");
+        context.suspicions().handleTargetLost(targetId);
     }
 
-    /** Closes all kept connections to targets: after a suspension nobody knows how long they were idle. */
+    /** Closes all idle connections to targets, since after a suspension of the process their idle time is unknown. */
     public void dropKeptConnections() {
-        parts.connections().dropKept();
+        context.connections().closeIdle();
     }
 
     /**
-     * Closes the kept connections of a target that is gone.
+     * Closes the idle connections to a target that is gone.
      *
      * @param targetId its id, not null
      */
     public void forgetTarget(String targetId) {
-        parts.connections().forget(targetId);
+        context.connections().removeTarget(targetId);
     }
 
-    /** From now on answers ask callers to use other connections. */
+    /** Starts draining: from now on, responses ask callers to close their connections. */
     public void leave() {
-        leaving = true;
+        draining = true;
     }
 
     /**
-     * Takes no more connections and closes those on which nothing is under way; a request that comes on another is told
-     * to go elsewhere.
+     * Stops accepting connections and closes idle ones; later requests on the remaining connections are refused.
      *
-     * <p>Failure: the balancer sends callers on while few instances of a data centre are ready, and callers keep their
-     * connections. A call taken shortly before the process has to end would be cut in the middle of its run.
+     * <p>Failure: the load balancer keeps sending callers to this instance while few instances of its data centre are
+     * ready, and callers keep their connections open. A call accepted shortly before the process has to exit would be
+     * cut off while it runs.
      */
     public void stopTaking() {
-        if (taking) {
-            taking = false;
+        if (accepting) {
+            accepting = false;
             logState("stopped_taking");
-            listener.ifPresent(FrontListener::stopAccepting);
+            listener.ifPresent(CallerListener::stopAccepting);
         }
         closeIdle();
     }
 
     private void closeIdle() {
-        listener.ifPresent(FrontListener::closeIdle);
+        listener.ifPresent(CallerListener::closeIdle);
     }
 
     /**
-     * Returns the calls under way.
+     * Returns the number of calls under way.
      *
-     * @return how many have no complete answer yet
+     * @return the calls without a complete response
      */
     public int openCount() {
         return openCount;
     }
 
     /**
-     * Returns the connections of callers.
+     * Returns the number of connections from callers.
      *
-     * @return how many are open
+     * @return the open connections
      */
     public int callersCount() {
-        return listener.map(FrontListener::connectionsCount).orElse(0);
+        return listener.map(CallerListener::connectionsCount).orElse(0);
     }
 
     @Override
     public CallerLimits limits() {
-        return table.map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
+        return routeTable.map(RouteTable::limits).orElse(CallerLimits.DEFAULT);
     }
 
     @Override
-    public boolean leaving() {
-        return leaving;
+    public boolean draining() {
+        return draining;
     }
 
     @Override
-    public HeldBytes heldBytes() {
-        return heldBytes;
+    public BodyMemory bodyMemory() {
+        return bodyMemory;
     }
 
     @Override
-    public void refused(int status, String reason) {
-        report.refusedEarly("", status, reason);
+    public void recordRefusal(int status, String reason) {
+        report.refusedBeforeRouting("", status, reason);
     }
 
     @Override
-    public OpenCall take(IncomingCall call, CallerSide caller, Runnable onDone) {
+    public ActiveCall handle(IncomingCall call, CallerResponse caller, Runnable onDone) {
         CallFacts facts = callHeaders.readCall(call.headers());
-        if (!taking) {
-            return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "stopping");
+        if (!accepting) {
+            return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "stopping");
         }
-        if (table.isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "no configuration yet");
+        if (routeTable.isEmpty()) {
+            return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "no configuration yet");
         }
-        RouteTable current = table.get();
+        RouteTable current = routeTable.get();
         Optional<ServiceRoute> route = current.findRoute(call.headers().get("host"), call.uri());
         if (route.isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.NOT_FOUND, "no route");
+            return refuse(facts, caller, onDone, LocalResponses.NOT_FOUND, "no route");
         }
         if (facts.requestId().isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.BAD_REQUEST, "one request id is needed");
+            return refuse(facts, caller, onDone, LocalResponses.BAD_REQUEST, "one request id is needed");
         }
         String serviceName = route.get().chooseService(random.nextDouble());
         Optional<ServiceEntry> service = current.service(serviceName);
         if (service.isEmpty()) {
-            return refuse(facts, caller, onDone, OwnAnswers.UNAVAILABLE, "unknown service");
+            return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "unknown service");
         }
         return begin(call, facts, route.get(), service.get(), caller, onDone);
     }
 
-    private OpenCall begin(
+    private ActiveCall begin(
             IncomingCall call,
             CallFacts facts,
             ServiceRoute route,
             ServiceEntry service,
-            CallerSide caller,
+            CallerResponse caller,
             Runnable onDone) {
-        CallRelay relay = new CallRelay(parts, call, facts, route, service, caller, () -> {
+        CallRelay relay = new CallRelay(context, call, facts, route, service, caller, () -> {
             openCount--;
             onDone.run();
         });
@@ -402,27 +408,28 @@
         return relay;
     }
 
-    private OpenCall refuse(CallFacts facts, CallerSide caller, Runnable onDone, int status, String reason) {
-        report.refusedEarly(facts.requestId().orElse(""), status, reason);
-        if (OwnAnswers.promisesNotRun(status)) {
-            OwnAnswers.refuse(caller, status, reason, parts.retryPolicy().retryAfterMillis());
+    private ActiveCall refuse(CallFacts facts, CallerResponse caller, Runnable onDone, int status, String reason) {
+        report.refusedBeforeRouting(facts.requestId().orElse(""), status, reason);
+        if (LocalResponses.guaranteesNotRun(status)) {
+            LocalResponses.sendRetryable(
+                    caller, status, reason, context.retryPolicy().retryAfterMillis());
         } else {
-            OwnAnswers.write(caller, status, reason);
+            LocalResponses.sendError(caller, status, reason);
         }
         onDone.run();
-        return OpenCall.NONE;
+        return ActiveCall.NONE;
     }
 
     /**
-     * Logs what is held.
+     * Logs the numbers of calls and connections and the version of the configuration.
      *
-     * @param event the event's name, not null
+     * @param event the name of the log event, not null
      */
     public void logState(String event) {
         LogEvent.of(event)
                 .with("open", openCount)
                 .with("callers", callersCount())
-                .with("version", table.map(RouteTable::version).orElse(-1L))
+                .with("version", routeTable.map(RouteTable::version).orElse(-1L))
                 .info(log);
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
+++ b/src/main/java/org/dogwoodwinch/relay/LoggingReport.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts every decision about a call and logs those that are no routine success. */
+/** Counts decisions about calls in the metrics and logs refusals, failures and disconnects. */
 final class LoggingReport implements RelayReport {
 
     private static final Logger log = LoggerFactory.getLogger(LoggingReport.class);
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void refusedEarly(String requestId, int status, String reason) {
+    public void refusedBeforeRouting(String requestId, int status, String reason) {
         metrics.refused(status, reason);
         LogEvent.of("call_refused")
                 .with("request", requestId)
@@ -36,20 +36,20 @@
 
     @Override
     public void quarantined(CallRelay call) {
-        metrics.refused(OwnAnswers.UNAVAILABLE, "quarantined");
-        about("call_quarantined", call).info(log);
+        metrics.refused(LocalResponses.UNAVAILABLE, "quarantined");
+        callEvent("call_quarantined", call).info(log);
     }
 
     @Override
     public void noTarget(CallRelay call) {
-        metrics.refused(OwnAnswers.UNAVAILABLE, "no_target");
-        about("no_target", call)
+        metrics.refused(LocalResponses.UNAVAILABLE, "no_target");
+        callEvent("no_target", call)
                 .with("limitUsedUp", limits.exhaustedTargetIds())
                 .info(log);
     }
 
     @Override
-    public void unreachable(String targetId, long pauseMillis, String reason) {
+    public void targetUnreachable(String targetId, long pauseMillis, String reason) {
         LogEvent.of("target_unreachable")
                 .with("target", targetId)
                 .with("reason", reason)
@@ -58,12 +58,12 @@
     }
 
     @Override
-    public void promptNotRead(CallRelay call, Incarnation reader, String reason, NextStep step, double budgetLeft) {
+    public void prefillFailed(CallRelay call, Incarnation engine, String reason, NextStep step, double budgetLeft) {
         String next = step.getClass().getSimpleName();
         metrics.sendFailed("not_run", "prompt_" + reason, next);
         LogEvent.of("prompt_not_read")
                 .with("request", call.requestId())
-                .with("target", reader.id())
+                .with("target", engine.id())
                 .with("reason", reason)
                 .with("next", next)
                 .with("budgetLeft", Math.floor(budgetLeft))
@@ -71,18 +71,18 @@
     }
 
     @Override
-    public void repeat(String service, Repeat what) {
-        metrics.repeat(service, lower(what));
+    public void retryDecided(String service, RetryDecision decision) {
+        metrics.retryDecided(service, lowerCaseName(decision));
     }
 
     @Override
     public void sendFailed(CallRelay call, SendOutcome outcome, NextStep step, double budgetLeft) {
-        String known = known(outcome);
-        String reason = reason(outcome);
+        String knowledge = knowledgeOf(outcome);
+        String reason = reasonOf(outcome);
         String next = step.getClass().getSimpleName();
-        metrics.sendFailed(known, reason, next);
-        about("send_failed", call)
-                .with("known", known)
+        metrics.sendFailed(knowledge, reason, next);
+        callEvent("send_failed", call)
+                .with("known", knowledge)
                 .with("reason", reason)
                 .with("next", next)
                 .with("budgetLeft", Math.floor(budgetLeft))
@@ -90,36 +90,38 @@
     }
 
     @Override
-    public void limitReached(CallRelay call, boolean mayHaveRun) {
-        metrics.refused(mayHaveRun ? OwnAnswers.GATEWAY_TIMEOUT : OwnAnswers.UNAVAILABLE, "time_limit");
-        about("time_limit", call).with("mayHaveRun", mayHaveRun).info(log);
+    public void deadlineExceeded(CallRelay call, boolean mayHaveRun) {
+        metrics.refused(mayHaveRun ? LocalResponses.GATEWAY_TIMEOUT : LocalResponses.UNAVAILABLE, "time_limit");
+        callEvent("time_limit", call).with("mayHaveRun", mayHaveRun).info(log);
     }
 
     @Override
     public void sent(
             String requestId,
             Incarnation target,
-            ForwardingPlan.PrefillWork reading,
+            ForwardingPlan.PrefillWork prefillWork,
             long aheadTokens,
             SendPurpose purpose) {
-        metrics.sent(lower(purpose), limits.isRateLimited(target.id()));
+        metrics.sent(lowerCaseName(purpose), limits.isRateLimited(target.id()));
         if (log.isDebugEnabled()) {
             LogEvent.of("call_sent")
                     .with("request", requestId)
                     .with("target", target.id())
                     .with("stage", target.stage())
-                    .with("level", reading.level())
-                    .with("unreadTokens", reading.prefillTokens())
+                    .with("level", prefillWork.level())
+                    .with("unreadTokens", prefillWork.prefillTokens())
                     .with("aheadTokens", aheadTokens)
-                    .with("keeper", reading.cacheSource().map(Incarnation::id).orElse(""))
-                    .with("purpose", lower(purpose))
+                    .with(
+                            "keeper",
+                            prefillWork.cacheSource().map(Incarnation::id).orElse(""))
+                    .with("purpose", lowerCaseName(purpose))
                     .with("limitUsedUp", limits.exhaustedTargetIds())
                     .debug(log);
         }
     }
 
     @Override
-    public void leftBeforeSend(String requestId, Incarnation target) {
+    public void targetLeftBeforeSend(String requestId, Incarnation target) {
         LogEvent.of("target_left_before_send")
                 .with("request", requestId)
                 .with("target", target.id())
@@ -131,22 +133,22 @@
     public void firstByte(CallRelay call) {
         metrics.firstByte(call.ageMillis());
         if (log.isDebugEnabled()) {
-            about("first_byte", call).debug(log);
+            callEvent("first_byte", call).debug(log);
         }
     }
 
     @Override
     public void succeeded(CallRelay call) {
-        metrics.answered(kind(call), call.ageMillis());
+        metrics.answered(routeKind(call), call.ageMillis());
     }
 
     @Override
-    public void callerGone(CallRelay call) {
-        metrics.callerGone(kind(call));
-        about("caller_gone", call).info(log);
+    public void callerDisconnected(CallRelay call) {
+        metrics.callerDisconnected(routeKind(call));
+        callEvent("caller_gone", call).info(log);
     }
 
-    private static LogEvent about(String event, CallRelay call) {
+    private static LogEvent callEvent(String event, CallRelay call) {
         return LogEvent.of(event)
                 .with("request", call.requestId())
                 .with("route", call.route().name())
@@ -158,15 +160,15 @@
                 .with("ageMillis", call.ageMillis());
     }
 
-    private static String lower(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String kind(CallRelay call) {
-        return lower(call.route().kind());
+    private static String routeKind(CallRelay call) {
+        return lowerCaseName(call.route().kind());
     }
 
-    private static String known(SendOutcome outcome) {
+    private static String knowledgeOf(SendOutcome outcome) {
         if (outcome instanceof SendOutcome.NotSent) {
             return "not_sent";
         }
@@ -176,12 +178,12 @@
         return outcome instanceof SendOutcome.Unknown ? "unknown" : "ran";
     }
 
-    private static String reason(SendOutcome outcome) {
+    private static String reasonOf(SendOutcome outcome) {
         if (outcome instanceof SendOutcome.NotSent notSent) {
             return notSent.reason();
         }
-        if (outcome instanceof SendOutcome.NotPrefilled notRead) {
-            return notRead.reason();
+        if (outcome instanceof SendOutcome.NotPrefilled notPrefilled) {
+            return notPrefilled.reason();
         }
         if (outcome instanceof SendOutcome.Unknown unknown) {
             return unknown.reason();
--- /dev/null
+++ b/src/main/java/org/dogwoodwinch/relay/RelayContext.java
@@ -0,0 +1,132 @@
+package org.dogwoodwinch.relay;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.util.Objects;
+import java.util.function.IntSupplier;
+import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.forwarding.KvCacheIndex;
+import org.dogwoodwinch.forwarding.LoadTracker;
+import org.dogwoodwinch.forwarding.PrefillRates;
+import org.dogwoodwinch.forwarding.RetryBudget;
+import org.dogwoodwinch.forwarding.RetryPolicy;
+import org.dogwoodwinch.forwarding.ServiceEntry;
+import org.dogwoodwinch.forwarding.TargetChooser;
+import org.dogwoodwinch.forwarding.TargetHealth;
+import org.dogwoodwinch.time.TimeSource;
+
+/**
+ * The services that all relays of a process share.
+ *
+ * @param time clock and timers of the event loop, not null
+ * @param callHeaders parses and builds HTTP headers, not null
+ * @param connections pool of connections to targets, not null
+ * @param chooser chooses targets, not null
+ * @param control client of the engines' control interfaces, not null
+ * @param loads tracks the calls under way at targets, not null
+ * @param cacheIndex prompt segments in the KV caches of engines, not null
+ * @param prefillRates estimated prefill rates of engines, not null
+ * @param retryPolicy chooses the next step after a failed send, not null
+ * @param budget limits retries, not null
+ * @param suspicions tracks calls suspected of crashing targets, not null
+ * @param health tracks targets that were recently unreachable, not null
+ * @param statedLimits receives the rate limits that targets state in responses, not null
+ * @param connectionAborts tracks targets that close new connections without a response, not null
+ * @param report receives decisions about calls for metrics and logs, not null
+ * @param sharingInstancesCount supplies the number of instances that share a target's connections, evaluated on each
+ *     use, not null
+ */
+record RelayContext(
+        TimeSource time,
+        CallHeaders callHeaders,
+        TargetConnectionPool connections,
+        TargetChooser chooser,
+        EngineControl control,
+        LoadTracker loads,
+        KvCacheIndex cacheIndex,
+        PrefillRates prefillRates,
+        RetryPolicy retryPolicy,
+        RetryBudget budget,
+        Suspicions suspicions,
+        TargetHealth health,
+        StatedLimits statedLimits,
+        BreakOffs connectionAborts,
+        RelayReport report,
+        IntSupplier sharingInstancesCount) {
+
+    private static final long MIN_DEFERRED_AGE_MILLIS = 100;
+
+    RelayContext {
+        Objects.requireNonNull(time, "time");
+        Objects.requireNonNull(callHeaders, "callHeaders");
+        Objects.requireNonNull(connections, "connections");
+        Objects.requireNonNull(chooser, "chooser");
+        Objects.requireNonNull(control, "control");
+        Objects.requireNonNull(loads, "loads");
+        Objects.requireNonNull(cacheIndex, "cacheIndex");
+        Objects.requireNonNull(prefillRates, "prefillRates");
+        Objects.requireNonNull(retryPolicy, "retryPolicy");
+        Objects.requireNonNull(budget, "budget");
+        Objects.requireNonNull(suspicions, "suspicions");
+        Objects.requireNonNull(health, "health");
+        Objects.requireNonNull(statedLimits, "statedLimits");
+        Objects.requireNonNull(connectionAborts, "connectionAborts");
+        Objects.requireNonNull(report, "report");
+        Objects.requireNonNull(sharingInstancesCount, "sharingInstancesCount");
+    }
+
+    /**
+     * Returns the maximum number of connections from this instance to one target.
+     *
+     * <p>Failure: a target resets connections beyond its limit, and the calls on them may have run. The limit is
+     * divided equally among all instances that may exist, so the sum cannot exceed it.
+     */
+    int connectionsPerTarget(ServiceEntry service) {
+        return Math.max(1, service.maxConnectionsCount() / sharingInstancesCount.getAsInt());
+    }
+
+    /**
+     * Continues a call after pending input from callers was read, if the call is old enough that its caller may have
+     * disconnected. Younger calls continue at once.
+     *
+     * <p>Failure: a busy instance processes an engine's response a second late, while the disconnect of the caller is
+     * still unread on its socket, and sends the call on although nobody waits for it. The event loop reads pending
+     * input before it runs a deferred task. Callers disconnect after two seconds or more, or, with a short deadline,
+     * after half of a latency objective.
+     */
+    void afterCallerReads(long callArrivalMillis, Runnable next) {
+        if (time.monotonicMillis() - callArrivalMillis < MIN_DEFERRED_AGE_MILLIS) {
+            next.run();
+        } else {
+            time.schedule(0, next);
+        }
+    }
+
+    /** Records a response, which may show that another target now has the address of the one that was meant. */
+    void recordResponse(String targetId, boolean misdirected) {
+        if (misdirected) {
+            report.targetUnreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
+        } else {
+            connectionAborts.answered(targetId);
+        }
+    }
+
+    /** Records that a target accepted a connection and closed it without a response to the call. */
+    void recordAbort(String targetId) {
+        report.targetUnreachable(targetId, connectionAborts.brokeOff(targetId), "broke_off");
+    }
+
+    /**
+     * Records the rate limit that the head of a response states. A response from another target at the same address is
+     * ignored, and the absence of a rate limit counts only in a successful response.
+     */
+    void recordResponseHead(Incarnation target, AnswerFacts facts, long sentMillis) {
+        if (!facts.isMisdirected() && (facts.limitPerSecond().isPresent() || facts.isSuccess())) {
+            statedLimits.answered(target, facts.limitPerSecond(), sentMillis);
+        }
+    }
+
+    ByteBuf copy(byte[] bytes) {
+        return Unpooled.wrappedBuffer(bytes);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
@@ -0,0 +1,168 @@
+package org.dogwoodwinch.relay;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.HttpHeaders;
+import java.io.ByteArrayOutputStream;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.dogwoodwinch.bytes.Bytes;
+import org.dogwoodwinch.forwarding.ForwardingPlan;
+import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.forwarding.Prompt;
+import org.dogwoodwinch.forwarding.ServiceEntry;
+
+/**
+ * Prefills the prompt of a call on one engine so that another can run the call. The call itself does not run on this
+ * engine, so after any failure it may still be run on another one. Confined to one event loop.
+ */
+final class RemotePrefill implements ResponseSink {
+
+    private static final int MAX_BODY_BYTES = 65_536;
+
+    private final RelayContext context;
+    private final ServiceEntry service;
+    private final Incarnation engine;
+    private final Prompt prompt;
+    private final ForwardingPlan.PrefillWork prefillWork;
+    private final Consumer<PrefillOutcome> onOutcome;
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private Optional<TargetConnection> connection = Optional.empty();
+    private Optional<InFlightSend> inFlight = Optional.empty();
+    private AnswerFacts responseHead;
+    private boolean ended;
+
+    /**
+     * Creates a prefill that sends nothing before {@link #start}.
+     *
+     * @param context the services that all relays share, not null
+     * @param service the service that the engine belongs to, not null
+     * @param engine the engine that prefills the prompt, not null
+     * @param prompt the prompt of the call, not null
+     * @param prefillWork the tokens to prefill and their queue level, not null
+     * @param onOutcome receives the outcome, unless {@link #cancel} is called before, not null
+     */
+    RemotePrefill(
+            RelayContext context,
+            ServiceEntry service,
+            Incarnation engine,
+            Prompt prompt,
+            ForwardingPlan.PrefillWork prefillWork,
+            Consumer<PrefillOutcome> onOutcome) {
+        this.context = Objects.requireNonNull(context, "context");
+        this.service = Objects.requireNonNull(service, "service");
+        this.engine = Objects.requireNonNull(engine, "engine");
+        this.prompt = Objects.requireNonNull(prompt, "prompt");
+        this.prefillWork = Objects.requireNonNull(prefillWork, "prefillWork");
+        this.onOutcome = Objects.requireNonNull(onOutcome, "onOutcome");
+    }
+
+    Incarnation engine() {
+        return engine;
+    }
+
+    /**
+     * Sends the prefill request.
+     *
+     * @param arrivalMillis when the call arrived, in monotonic milliseconds
+     * @param outbound supplies the request to the engine, evaluated when it is sent, not null
+     */
+    void start(long arrivalMillis, Supplier<OutboundCall> outbound) {
+        context.connections()
+                .acquire(engine, context.connectionsPerTarget(service), new TargetConnectionPool.AcquireCallback() {
+                    @Override
+                    public void acquired(TargetConnection acquired) {
+                        context.afterCallerReads(arrivalMillis, () -> send(acquired, outbound));
+                    }
+
+                    @Override
+                    public void notAcquired(String reason) {
+                        finish(new PrefillOutcome.NotSent(reason));
+                    }
+                });
+    }
+
+    private void send(TargetConnection acquired, Supplier<OutboundCall> call) {
+        if (ended) {
+            context.connections().release(acquired);
+            return;
+        }
+        OutboundCall outbound = call.get();
+        if (!context.chooser().isCurrent(engine)) {
+            context.connections().release(acquired);
+            context.report().targetLeftBeforeSend(outbound.requestId(), engine);
+            finish(new PrefillOutcome.NotSent("target_left"));
+            return;
+        }
+        connection = Optional.of(acquired);
+        InFlightSend started = InFlightSend.start(context, engine, Optional.of(prompt), prefillWork);
+        inFlight = Optional.of(started);
+        context.report().sent(outbound.requestId(), engine, prefillWork, started.aheadTokens(), SendPurpose.READING);
+        acquired.send(outbound, this);
+    }
+
+    /** Cancels the prefill by closing its connection, on which the engine drops the work. */
+    void cancel() {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        connection.ifPresent(open -> {
+            open.abort();
+            releaseSend();
+        });
+    }
+
+    @Override
+    public void onHead(AnswerFacts facts, HttpHeaders _headers) {
+        responseHead = facts;
+        inFlight.ifPresent(started -> started.recordResponseHead(facts));
+    }
+
+    @Override
+    public void onBody(ByteBuf chunk) {
+        if (body.size() + chunk.readableBytes() <= MAX_BODY_BYTES) {
+            body.writeBytes(ByteBufUtil.getBytes(chunk));
+        }
+    }
+
+    @Override
+    public void onEnd() {
+        context.recordResponse(engine.id(), responseHead.isMisdirected());
+        if (responseHead.status() == 200) {
+            inFlight.ifPresent(InFlightSend::recordPrefillDone);
+        }
+        releaseSend();
+        if (responseHead.status() != 200) {
+            finish(new PrefillOutcome.Failed("status_" + responseHead.status()));
+            return;
+        }
+        Optional<PromptMemory> memory = context.control().readMemory(engine, Bytes.of(body.toByteArray()));
+        finish(memory.<PrefillOutcome>map(PrefillOutcome.Completed::new)
+                .orElseGet(() -> new PrefillOutcome.NoCacheHandle("no_handle")));
+    }
+
+    @Override
+    public void onLost(String reason, boolean connectionAborted) {
+        releaseSend();
+        if (connectionAborted) {
+            context.recordAbort(engine.id());
+        }
+        finish(new PrefillOutcome.Failed(reason));
+    }
+
+    private void releaseSend() {
+        connection = Optional.empty();
+        inFlight.ifPresent(InFlightSend::end);
+        inFlight = Optional.empty();
+    }
+
+    private void finish(PrefillOutcome outcome) {
+        if (!ended) {
+            ended = true;
+            onOutcome.accept(outcome);
+        }
+    }
+}
--- a/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
+++ b/src/main/java/org/dogwoodwinch/relay/StrictRequestDecoder.java
@@ -12,17 +12,18 @@
 import org.dogwoodwinch.forwarding.CallerLimits;
 
 /**
- * Decodes requests and refuses whatever a target might frame in another way.
+ * Decodes requests and refuses those that a target might frame differently.
  *
- * <p>Failure: a request whose end two readers see in two places smuggles a second one past this system.
+ * <p>Failure: if two parsers see the end of a request at different positions, a caller can hide a second request in it
+ * (request smuggling).
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
-    private static final int MAX_PIECE_BYTES = 65_536;
+    private static final int MAX_CHUNK_BYTES = 65_536;
 
     private boolean inHead = true;
-    private boolean afterLine;
-    private boolean folded;
+    private boolean atLineStart;
+    private boolean hasFoldedLine;
     private final StringBuilder firstLine = new StringBuilder();
     private boolean firstLineDone;
 
@@ -30,40 +31,40 @@
         super(new HttpDecoderConfig()
                 .setMaxInitialLineLength(limits.maxHeaderBytes())
                 .setMaxHeaderSize(limits.maxHeaderBytes())
-                .setMaxChunkSize(MAX_PIECE_BYTES)
+                .setMaxChunkSize(MAX_CHUNK_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setStrictLineParsing(true)
                 .setUseRfc9112TransferEncoding(true));
     }
 
     /**
-     * Fails a head in which a line goes on in the next one: the decoder joins the two, other readers drop or refuse them.
+     * Refuses a head with a folded line. The decoder joins the two lines, while other parsers drop or refuse them.
      */
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
         boolean wasInHead = inHead;
-        int from = buffer.readerIndex();
-        int known = out.size();
+        int start = buffer.readerIndex();
+        int decodedBefore = out.size();
         super.decode(context, buffer, out);
         if (wasInHead) {
-            look(buffer, from, buffer.readerIndex());
+            scanHead(buffer, start, buffer.readerIndex());
         }
-        for (Object decoded : out.subList(known, out.size())) {
-            note(decoded);
+        for (Object decoded : out.subList(decodedBefore, out.size())) {
+            checkDecoded(decoded);
         }
     }
 
-    private void look(ByteBuf buffer, int from, int to) {
-        for (int i = from; i < to; i++) {
+    private void scanHead(ByteBuf buffer, int start, int end) {
+        for (int i = start; i < end; i++) {
             byte next = buffer.getByte(i);
-            noteFirstLine(next);
-            folded |= afterLine && (next == ' ' || next == '\t');
-            afterLine = next == '\n';
+            recordFirstLine(next);
+            hasFoldedLine |= atLineStart && (next == ' ' || next == '\t');
+            atLineStart = next == '\n';
         }
     }
 
-    /** Empty lines before a request are passed over, as other servers do. */
-    private void noteFirstLine(byte next) {
+    /** Records the request line. Empty lines before it are skipped, as other servers do. */
+    private void recordFirstLine(byte next) {
         if (firstLineDone) {
             return;
         }
@@ -74,21 +75,25 @@
         }
     }
 
-    /** The decoder takes several spaces and control characters where one space stands; others may not. */
-    private boolean readAsWritten(HttpRequest request) {
+    /**
+     * Returns whether the request line has single spaces between its parts. The decoder also accepts several spaces or
+     * control characters there, which other parsers may not.
+     */
+    private boolean requestLineMatches(HttpRequest request) {
         String expected = request.method().name() + " " + request.uri() + " "
                 + request.protocolVersion().text();
         return expected.contentEquals(firstLine);
     }
 
-    private void note(Object decoded) {
+    private void checkDecoded(Object decoded) {
         if (decoded instanceof HttpRequest request) {
             inHead = false;
-            if (request.decoderResult().isSuccess() && (folded || !readAsWritten(request))) {
-                request.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("ambiguous head")));
+            if (request.decoderResult().isSuccess() && (hasFoldedLine || !requestLineMatches(request))) {
+                request.setDecoderResult(DecoderResult.failure(
+                        new IllegalArgumentException("ambiguous request head: folded line or irregular request line")));
             }
-            folded = false;
-            afterLine = false;
+            hasFoldedLine = false;
+            atLineStart = false;
             firstLine.setLength(0);
             firstLineDone = false;
         }
@@ -97,13 +102,13 @@
         }
     }
 
-    /** Whether bytes wait that are no whole head yet. */
-    boolean holdsBytes() {
+    /** Returns whether bytes are buffered that do not form a complete head yet. */
+    boolean hasBufferedBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage _message) {
-        throw new IllegalArgumentException("both a length and chunks");
+        throw new IllegalArgumentException("message has both Content-Length and Transfer-Encoding: chunked");
     }
 }
--- /dev/null
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnectionPool.java
@@ -0,0 +1,202 @@
+package org.dogwoodwinch.relay;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelInitializer;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import org.dogwoodwinch.forwarding.Incarnation;
+import org.dogwoodwinch.time.TimeSource;
+
+/**
+ * A pool of connections to targets. Confined to one event loop.
+ *
+ * <p>Connections are pooled by target id and never by address, since an address may be reassigned to another target.
+ */
+final class TargetConnectionPool {
+
+    /** Receives a connection, or the reason why there is none. In the latter case, no byte was written. */
+    interface AcquireCallback {
+
+        /**
+         * Receives a connection for the exclusive use of this call.
+         *
+         * @param connection the connection, not null
+         */
+        void acquired(TargetConnection connection);
+
+        /**
+         * Receives the reason why no connection was acquired.
+         *
+         * @param reason the reason for logs and metrics, not null
+         */
+        void notAcquired(String reason);
+    }
+
+    private final TargetConnector connector;
+    private final CallHeaders callHeaders;
+    private final TimeSource time;
+    private final ConnectionPolicy policy;
+    private final Predicate<String> rateLimit;
+    private final Runnable onOpened;
+    private final Consumer<String> onUnreachable;
+    private final Map<String, TargetPool> pools = new HashMap<>();
+
+    TargetConnectionPool(
+            TargetConnector connector,
+            CallHeaders callHeaders,
+            TimeSource time,
+            ConnectionPolicy policy,
+            Predicate<String> mayArrive,
+            Runnable onOpened,
+            Consumer<String> onUnreachable) {
+        this.connector = Objects.requireNonNull(connector, "connector");
+        this.callHeaders = Objects.requireNonNull(callHeaders, "callHeaders");
+        this.time = Objects.requireNonNull(time, "time");
+        this.policy = Objects.requireNonNull(policy, "policy");
+        this.rateLimit = Objects.requireNonNull(mayArrive, "mayArrive");
+        this.onOpened = Objects.requireNonNull(onOpened, "onOpened");
+        this.onUnreachable = Objects.requireNonNull(onUnreachable, "onUnreachable");
+    }
+
+    /**
+     * Acquires an idle connection or opens one. Every send to a target acquires its connection here and so takes from
+     * the target's rate limit exactly once.
+     *
+     * @param target the target to connect to, not null
+     * @param maxConnections the maximum number of connections from this instance to the target
+     * @param callback receives the outcome on the event loop, possibly before this method returns, not null
+     */
+    void acquire(Incarnation target, int maxConnections, AcquireCallback callback) {
+        TargetPool pool = pools.computeIfAbsent(target.id(), _id -> new TargetPool());
+        Optional<TargetConnection> pooled = pollUsable(pool);
+        if (pooled.isEmpty() && pool.openCount >= maxConnections) {
+            callback.notAcquired("connections_in_use");
+        } else if (!rateLimit.test(target.id())) {
+            pooled.ifPresent(pool.idle::addFirst);
+            removeIfEmpty(target.id(), pool);
+            callback.notAcquired("limit_used_up");
+        } else if (pooled.isPresent()) {
+            callback.acquired(pooled.get());
+        } else {
+            open(target, pool, callback);
+        }
+    }
+
+    private Optional<TargetConnection> pollUsable(TargetPool pool) {
+        long nowMillis = time.monotonicMillis();
+        TargetConnection pooled = pool.idle.pollFirst();
+        while (pooled != null && (!pooled.isOpen() || pooled.isStale(nowMillis, policy.idleMarginMillis()))) {
+            pooled.close();
+            pooled = pool.idle.pollFirst();
+        }
+        return Optional.ofNullable(pooled);
+    }
+
+    /**
+     * Returns an acquired connection that was not used.
+     *
+     * @param connection the connection, not null
+     */
+    void release(TargetConnection connection) {
+        returnToPool(connection);
+    }
+
+    /**
+     * Closes the idle connections to a target that is gone; calls under way continue.
+     *
+     * @param id the target's id, not null
+     */
+    void removeTarget(String id) {
+        TargetPool pool = pools.get(id);
+        if (pool == null) {
+            return;
+        }
+        pool.removed = true;
+        List<TargetConnection> pooled = List.copyOf(pool.idle);
+        pool.idle.clear();
+        pooled.forEach(TargetConnection::close);
+        removeIfEmpty(id, pool);
+    }
+
+    /** Closes all idle connections; calls under way continue. */
+    void closeIdle() {
+        for (TargetPool pool : List.copyOf(pools.values())) {
+            List<TargetConnection> pooled = List.copyOf(pool.idle);
+            pool.idle.clear();
+            pooled.forEach(TargetConnection::close);
+        }
+    }
+
+    private void open(Incarnation target, TargetPool pool, AcquireCallback callback) {
+        pool.openCount++;
+        pool.removed = false;
+        TargetResponseDecoder decoder = new TargetResponseDecoder();
+        TargetConnection connection = new TargetConnection(
+                target, callHeaders, decoder, this::returnToPool, closed -> closed(closed.target(), pool));
+        connector.connect(target, new Pipeline(decoder, connection), new TargetConnector.Outcome() {
+            @Override
+            public void connected() {
+                onOpened.run();
+                callback.acquired(connection);
+            }
+
+            @Override
+            public void failed() {
+                closed(target, pool);
+                onUnreachable.accept(target.id());
+                callback.notAcquired("connect_failed");
+            }
+        });
+    }
+
+    private void returnToPool(TargetConnection connection) {
+        TargetPool pool = pools.get(connection.target().id());
+        if (pool == null || pool.removed || !connection.isOpen()) {
+            connection.close();
+            return;
+        }
+        connection.markIdle(time.monotonicMillis());
+        pool.idle.addFirst(connection);
+    }
+
+    private void closed(Incarnation target, TargetPool pool) {
+        pool.openCount--;
+        pool.idle.removeIf(connection -> !connection.isOpen());
+        removeIfEmpty(target.id(), pool);
+    }
+
+    private void removeIfEmpty(String id, TargetPool pool) {
+        if (pool.openCount <= 0) {
+            pools.remove(id, pool);
+        }
+    }
+
+    private static final class TargetPool {
+        private final Deque<TargetConnection> idle = new ArrayDeque<>();
+        private int openCount;
+        private boolean removed;
+    }
+
+    private static final class Pipeline extends ChannelInitializer<Channel> {
+        private final TargetResponseDecoder decoder;
+        private final TargetConnection connection;
+
+        Pipeline(TargetResponseDecoder decoder, TargetConnection connection) {
+            this.decoder = decoder;
+            this.connection = connection;
+        }
+
+        @Override
+        protected void initChannel(Channel channel) {
+            channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
+        }
+    }
+}
--- a/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
+++ b/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
@@ -6,16 +6,16 @@
 import org.dogwoodwinch.bytes.Bytes;
 import org.dogwoodwinch.forwarding.Incarnation;
 
-/** Engines that answer no question; tests override what they need. */
+/** Engine control that gets no usable response; tests override the methods that they need. */
 public class SilentEngines implements EngineControl {
 
     @Override
-    public Optional<PromptMemory> readMemory(Incarnation _reader, Bytes _body) {
+    public Optional<PromptMemory> readMemory(Incarnation _prefillEngine, Bytes _body) {
         return Optional.empty();
     }
 
     @Override
-    public void release(Incarnation _reader, PromptMemory _memory) {}
+    public void release(Incarnation _prefillEngine, PromptMemory _kvCache) {}
 
     @Override
     public CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation _engine, long _sinceNumber) {
