--- a/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
+++ b/src/main/java/org/dogwoodwinch/daemon/BrokenTargets.java
@@ -12,7 +12,7 @@
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
-import org.dogwoodwinch.relay.BreakOffs;
+import org.dogwoodwinch.relay.ConnectionAborts;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,7 +28,7 @@
  * that detected the failure, so that one instance sends the next probe and publishes the result before the others
  * probe. If several instances detected the failure, the first by name probes.
  */
-final class BrokenTargets implements BreakOffs {
+final class BrokenTargets implements ConnectionAborts {
 
     private static final Logger log = LoggerFactory.getLogger(BrokenTargets.class);
 
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public long brokeOff(String targetId) {
+    public long recordAbort(String targetId) {
         boolean newlyEjected = !health.isEjected(targetId);
         long ejectionMillis = health.recordBrokenConnection(targetId);
         if (newlyEjected && ejectionMillis > 0) {
@@ -86,7 +86,7 @@
      * answer belongs to a call that was sent before it.
      */
     @Override
-    public void answered(String targetId) {
+    public void recordResponse(String targetId) {
         health.recordAnswer(targetId);
         if (!health.isEjected(targetId) && ejectedTargets.remove(targetId)) {
             probedTargets.remove(targetId);
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void forget(String targetId) {
+    public void removeTarget(String targetId) {
         ejectedTargets.remove(targetId);
         probedTargets.remove(targetId);
         health.remove(targetId);
--- a/src/main/java/org/dogwoodwinch/daemon/ConfigurationReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ConfigurationReader.java
@@ -37,7 +37,7 @@
             RouteTable table = ConfigurationDecoder.decode(record.value().get());
             boolean inForce = service.configure(table);
             if (inForce) {
-                metrics.showConfiguration(table.version());
+                metrics.setConfigurationVersion(table.version());
             }
             LogEvent.of("configuration_read")
                     .with("version", table.version())
@@ -61,13 +61,13 @@
 
     @Override
     public void onReconnected() {
-        metrics.showStore(true);
+        metrics.setStoreReachable(true);
         LogEvent.of("store_regained").with("stream", "configuration").info(log);
     }
 
     @Override
     public void onDisconnected(String reason) {
-        metrics.showStore(false);
+        metrics.setStoreReachable(false);
         LogEvent.of("store_lost")
                 .with("stream", "configuration")
                 .with("reason", reason)
--- a/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
+++ b/src/main/java/org/dogwoodwinch/daemon/FleetExchange.java
@@ -95,7 +95,7 @@
                 transport,
                 members::others,
                 new TrafficMetrics(metrics));
-        exchange.beforeEachRound(() -> metrics.showInstances(maxInstanceCount()));
+        exchange.beforeEachRound(() -> metrics.setInstances(maxInstanceCount()));
         this.streams = new StreamSharing(exchange, time);
         this.follower = new StreamFollower(
                 streams.share(MemberList.TOPIC, memberStream, MEMBERS_REPLICA_POLICY),
@@ -209,18 +209,19 @@
         public void onEntrySent(PeerTopic topic, int entryBytes, int recipientCount) {
             counters.computeIfAbsent(
                             topic,
-                            entryTopic -> metrics.toldPeers(entryTopic.name().toLowerCase(Locale.ROOT)))
+                            entryTopic ->
+                                    metrics.peerBytesCounter(entryTopic.name().toLowerCase(Locale.ROOT)))
                     .accept((long) entryBytes * recipientCount);
         }
 
         @Override
         public void onTransitTime(long transitMillis) {
-            metrics.showPeerWay(transitMillis);
+            metrics.setPeerDelayMillis(transitMillis);
         }
 
         @Override
         public void onEntryDropped(PeerTopic topic) {
-            metrics.peerWordDropped(topic.name().toLowerCase(Locale.ROOT));
+            metrics.peerMessageDropped(topic.name().toLowerCase(Locale.ROOT));
         }
 
         @Override
--- a/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
+++ b/src/main/java/org/dogwoodwinch/daemon/ForwardingDaemon.java
@@ -40,10 +40,10 @@
 import org.dogwoodwinch.platform.StoreClient;
 import org.dogwoodwinch.relay.CacheWatch;
 import org.dogwoodwinch.relay.ConnectionPolicy;
-import org.dogwoodwinch.relay.ControlCaller;
+import org.dogwoodwinch.relay.ControlClient;
 import org.dogwoodwinch.relay.ForwardingMetrics;
 import org.dogwoodwinch.relay.ForwardingService;
-import org.dogwoodwinch.relay.SocketConnector;
+import org.dogwoodwinch.relay.TcpTargetConnector;
 import org.dogwoodwinch.settings.ForwardingSettings;
 import org.dogwoodwinch.settings.SettingsChange;
 import org.dogwoodwinch.time.TimeSource;
@@ -147,8 +147,8 @@
         LoadTracker loads = new LoadTracker();
         KvCacheIndex cacheIndex = new KvCacheIndex();
         PrefillRates rates = new PrefillRates(INITIAL_TOKENS_PER_MILLI);
-        ControlCaller caller =
-                new ControlCaller(transport, transport.eventLoopGroup().next(), time, connections);
+        ControlClient caller =
+                new ControlClient(transport, transport.eventLoopGroup().next(), time, connections);
         EngineClient engines = new EngineClient(caller, ENGINE_TIMEOUT_MILLIS, ENGINE_LONG_POLL_MILLIS);
         StoreClient store = new StoreClient(
                 caller,
@@ -178,14 +178,14 @@
         brokenTargets.start();
         LimitSharing limitSharing = new LimitSharing(fleet.exchange(), limits, limitShares, this::startedMillis, time);
         limitSharing.start();
-        fleet.exchange().beforeEachRound(() -> metrics.showLimited(limits.limitedCount()));
+        fleet.exchange().beforeEachRound(() -> metrics.setRateLimitedTargets(limits.limitedCount()));
         this.budget = new RetryBudget(
                 settings.retries().ratio(),
                 () -> fleet.ownShareOf(this.settings.retries().slackCount()),
                 settings.retries().windowMillis(),
                 time.monotonicMillis());
         this.service = new ForwardingService(
-                new SocketConnector(transport, connections),
+                new TcpTargetConnector(transport, connections),
                 time,
                 new PlatformHeaders(),
                 random,
@@ -243,7 +243,7 @@
                         directory,
                         loads,
                         service::modelServices,
-                        service::switchMillis,
+                        service::stageChangeMillis,
                         _service -> new StagePlanner(StagePlanPolicy.DEFAULT, rates),
                         fleet.exchange()::isRelay,
                         () -> fleet.exchange().isFleetTaskAssignedToSelf(StageOrders.TOPIC),
@@ -300,7 +300,7 @@
     }
 
     private void onClockJump() {
-        service.dropKeptConnections();
+        service.closeIdleConnections();
         fleet.exchange().onSuspension();
     }
 
@@ -360,7 +360,7 @@
         transport.eventLoopGroup().next().execute(() -> {
             stopping = true;
             stopRequestedAtMillis = time.monotonicMillis();
-            service.leave();
+            service.startDraining();
             fleet.leave();
             service.logState("leaving");
             awaitDrain(stopped);
@@ -379,18 +379,18 @@
     }
 
     private boolean isReady() {
-        return !stopping && service.configured() && targetsReader.hasReadSnapshot();
+        return !stopping && service.isConfigured() && targetsReader.hasReadSnapshot();
     }
 
     private void awaitDrain(CompletableFuture<Integer> stopped) {
         long elapsedMillis = time.monotonicMillis() - stopRequestedAtMillis;
         if (elapsedMillis >= settings.stop().notReadyMillis()) {
-            service.stopTaking();
+            service.stopAccepting();
             boolean graceElapsed = elapsedMillis >= settings.stop().graceMillis() - FORCED_CLOSE_LEAD_MILLIS;
-            boolean drained = service.openCount() == 0 && service.callersCount() == 0;
+            boolean drained = service.openCallsCount() == 0 && service.callerConnectionsCount() == 0;
             if (graceElapsed || drained) {
                 service.logState("stopped");
-                stopped.complete(service.openCount());
+                stopped.complete(service.openCallsCount());
                 return;
             }
         }
--- a/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/KeptSharing.java
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void changed(String engineId, String partId, int keptTokens) {
+    public void onSegmentChange(String engineId, String partId, int keptTokens) {
         PublishedState state = watchedEngines.computeIfAbsent(engineId, _id -> new PublishedState());
         if (keptTokens >= MIN_TOKENS && isWorthPublishing(partId)) {
             state.segmentIds.add(partId);
@@ -86,12 +86,12 @@
     }
 
     @Override
-    public void listed(String engineId) {
+    public void onReset(String engineId) {
         watchedEngines.computeIfAbsent(engineId, _id -> new PublishedState()).nextFullListMillis = Long.MIN_VALUE;
     }
 
     @Override
-    public void unwatched(String engineId) {
+    public void onPollingStopped(String engineId) {
         watchedEngines.remove(engineId);
     }
 
--- a/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
+++ b/src/main/java/org/dogwoodwinch/daemon/LimitSharing.java
@@ -16,7 +16,7 @@
 import org.dogwoodwinch.peer.PeerTopic;
 import org.dogwoodwinch.peer.PeerUpdate;
 import org.dogwoodwinch.peer.RelayExchange;
-import org.dogwoodwinch.relay.StatedLimits;
+import org.dogwoodwinch.relay.StatedRateLimits;
 import org.dogwoodwinch.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -31,7 +31,7 @@
  * <p>Changes are published at once. The few instances that hold a share of the limit repeat it, and an instance that
  * has missed the end of a limit discards it when it is no longer repeated.
  */
-final class LimitSharing implements StatedLimits {
+final class LimitSharing implements StatedRateLimits {
 
     private static final Logger log = LoggerFactory.getLogger(LimitSharing.class);
 
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void answered(Incarnation target, OptionalDouble callsPerSecond, long sentMillis) {
+    public void recordResponse(Incarnation target, OptionalDouble callsPerSecond, long sentMillis) {
         if (target.startedMillis() != startedMillis.applyAsLong(target.id())) {
             return;
         }
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void forget(String targetId) {
+    public void removeTarget(String targetId) {
         limits.remove(targetId);
         publishedAtMillis.remove(targetId);
     }
--- a/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
+++ b/src/main/java/org/dogwoodwinch/daemon/TargetsReader.java
@@ -105,10 +105,10 @@
                 .with("bornMillis", listed.map(Incarnation::startedMillis).orElse(0L))
                 .info(log);
         if (isRestarted(previous, listed)) {
-            service.targetStartedAgain(id);
+            service.handleTargetRestart(id);
         }
         if (previous.isPresent() && !previous.map(Incarnation::stage).equals(listed.map(Incarnation::stage))) {
-            service.targetChangedStage(id);
+            service.handleStageChange(id);
         }
         updateAvailability(id, listed, wasReady);
     }
@@ -121,12 +121,12 @@
 
     private void updateAvailability(String id, Optional<Incarnation> listed, boolean wasReady) {
         if (listed.isEmpty() || listed.get().draining()) {
-            service.forgetTarget(id);
+            service.removeTarget(id);
         }
         if (listed.isEmpty() && wasReady) {
-            service.targetFoundGone(id);
+            service.handleTargetLost(id);
         }
-        metrics.showTargets(directory.readyCount());
+        metrics.setReadyTargets(directory.readyCount());
     }
 
     /**
--- a/src/main/java/org/dogwoodwinch/platform/EngineClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/EngineClient.java
@@ -21,14 +21,14 @@
 import org.dogwoodwinch.logging.LogEvent;
 import org.dogwoodwinch.net.Addresses;
 import org.dogwoodwinch.relay.CacheChanges;
-import org.dogwoodwinch.relay.CacheList;
-import org.dogwoodwinch.relay.ControlCall;
-import org.dogwoodwinch.relay.ControlCaller;
+import org.dogwoodwinch.relay.CacheSnapshot;
+import org.dogwoodwinch.relay.ControlClient;
 import org.dogwoodwinch.relay.ControlReply;
+import org.dogwoodwinch.relay.ControlRequest;
 import org.dogwoodwinch.relay.EngineControl;
+import org.dogwoodwinch.relay.KvCacheHandle;
 import org.dogwoodwinch.relay.OrderOutcome;
 import org.dogwoodwinch.relay.OrderState;
-import org.dogwoodwinch.relay.PromptMemory;
 import org.dogwoodwinch.relay.StageOrder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -55,7 +55,7 @@
 
     private static final int LIST_CACHED_TOKENS_COLUMN = 2;
 
-    private final ControlCaller controlCaller;
+    private final ControlClient controlCaller;
     private final long timeoutMillis;
     private final long longPollMillis;
 
@@ -68,17 +68,19 @@
      * @param longPollMillis how long an engine may hold a request for cache events while nothing changes, in
      *     milliseconds
      */
-    public EngineClient(ControlCaller controlCaller, long timeoutMillis, long longPollMillis) {
+    public EngineClient(ControlClient controlCaller, long timeoutMillis, long longPollMillis) {
         this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
         this.timeoutMillis = timeoutMillis;
         this.longPollMillis = longPollMillis;
     }
 
     @Override
-    public Optional<PromptMemory> readMemory(Incarnation prefillEngine, Bytes body) {
+    public Optional<KvCacheHandle> parseCacheHandle(Incarnation prefillEngine, Bytes body) {
         try {
             String handle = JsonTrees.read(body.toByteArray()).path("kvHandle").asText();
-            return handle.isEmpty() ? Optional.empty() : Optional.of(new PromptMemory(prefillEngine.address(), handle));
+            return handle.isEmpty()
+                    ? Optional.empty()
+                    : Optional.of(new KvCacheHandle(prefillEngine.address(), handle));
         } catch (IOException e) {
             LogEvent.of("memory_not_understood")
                     .with("target", prefillEngine.id())
@@ -89,7 +91,7 @@
     }
 
     @Override
-    public void release(Incarnation prefillEngine, PromptMemory kvCache) {
+    public void releaseCache(Incarnation prefillEngine, KvCacheHandle kvCache) {
         String uri = "/kv-handle/" + kvCache.handle();
         call(prefillEngine, HttpMethod.DELETE, uri, timeoutMillis, controlHeaders(prefillEngine))
                 .thenAccept(reply -> {
@@ -110,7 +112,7 @@
     }
 
     @Override
-    public CompletionStage<Optional<CacheList>> cacheList(Incarnation engine) {
+    public CompletionStage<Optional<CacheSnapshot>> cacheSnapshot(Incarnation engine) {
         return call(engine, HttpMethod.GET, "/kv-list", timeoutMillis, controlHeaders(engine))
                 .thenApply(reply -> parseCacheList(engine, reply));
     }
@@ -154,7 +156,7 @@
         return controlCaller
                 .call(
                         Addresses.of(engine.host(), engine.port()),
-                        new ControlCall(HttpMethod.POST, "/order", headers, Bytes.ofUtf8(body.toString())),
+                        new ControlRequest(HttpMethod.POST, "/order", headers, Bytes.ofUtf8(body.toString())),
                         timeoutMillis)
                 .thenApply(EngineClient::toOrderOutcome);
     }
@@ -175,7 +177,7 @@
             Incarnation engine, HttpMethod method, String uri, long timeout, HttpHeaders headers) {
         return controlCaller.call(
                 Addresses.of(engine.host(), engine.port()),
-                new ControlCall(method, uri, headers, Bytes.EMPTY),
+                new ControlRequest(method, uri, headers, Bytes.EMPTY),
                 timeout);
     }
 
@@ -194,9 +196,9 @@
                         parseCacheRows(root.path("events"), EVENT_SEGMENT_COLUMN, EVENT_CACHED_TOKENS_COLUMN)));
     }
 
-    private static Optional<CacheList> parseCacheList(Incarnation engine, ControlReply reply) {
+    private static Optional<CacheSnapshot> parseCacheList(Incarnation engine, ControlReply reply) {
         return readSequenced(engine, reply, "held")
-                .map(root -> new CacheList(
+                .map(root -> new CacheSnapshot(
                         root.path("epoch").asText(),
                         root.path("nextToken").asLong(),
                         parseCacheRows(root.path("held"), LIST_SEGMENT_COLUMN, LIST_CACHED_TOKENS_COLUMN)));
--- a/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
+++ b/src/main/java/org/dogwoodwinch/platform/PlatformHeaders.java
@@ -17,10 +17,10 @@
 import java.util.regex.Pattern;
 import org.dogwoodwinch.forwarding.Prompt;
 import org.dogwoodwinch.forwarding.PromptSegment;
-import org.dogwoodwinch.relay.AnswerFacts;
-import org.dogwoodwinch.relay.CallFacts;
+import org.dogwoodwinch.relay.CallAttributes;
 import org.dogwoodwinch.relay.CallHeaders;
-import org.dogwoodwinch.relay.SendFacts;
+import org.dogwoodwinch.relay.ResponseAttributes;
+import org.dogwoodwinch.relay.SendAttributes;
 
 /** Translates between the platform's HTTP headers and this system's types. */
 public final class PlatformHeaders implements CallHeaders {
@@ -61,10 +61,10 @@
             HeaderNames.LAST_EVENT_ID);
 
     @Override
-    public CallFacts readCall(HttpHeaders headers) {
+    public CallAttributes parseCall(HttpHeaders headers) {
         List<String> ids = headers.getAll(HeaderNames.REQUEST_ID);
         Optional<String> id = ids.size() == 1 ? Optional.of(ids.get(0)) : Optional.empty();
-        return new CallFacts(
+        return new CallAttributes(
                 id.filter(text -> !text.isEmpty()),
                 parseNumber(headers.get(HeaderNames.DEADLINE_MILLIS)),
                 parsePrompt(headers),
@@ -72,15 +72,15 @@
     }
 
     @Override
-    public HttpHeaders forSend(HttpHeaders callerHeaders, SendFacts facts) {
+    public HttpHeaders targetHeaders(HttpHeaders callerHeaders, SendAttributes facts) {
         HttpHeaders headers = copyWithoutHopByHop(callerHeaders);
         RESERVED_HEADERS.forEach(headers::remove);
         headers.set(HeaderNames.DEADLINE_MILLIS, Long.toString(facts.remainingMillis()));
         headers.set(HeaderNames.EXPECTED_INCARNATION, facts.target().id());
         facts.level().ifPresent(priority -> headers.set(HeaderNames.QUEUE_PRIORITY, Integer.toString(priority)));
-        facts.keeper().ifPresent(cacheHolder -> headers.set(HeaderNames.KV_FETCH, cacheHolder.address()));
+        facts.cacheSource().ifPresent(cacheHolder -> headers.set(HeaderNames.KV_FETCH, cacheHolder.address()));
         facts.lastEventId().ifPresent(id -> headers.set(HeaderNames.LAST_EVENT_ID, id));
-        facts.memory()
+        facts.cacheHandle()
                 .ifPresent(kvCache -> headers.set(HeaderNames.KV_SOURCE, kvCache.address() + "/" + kvCache.handle()));
         if (facts.prefillOnly()) {
             headers.set(HeaderNames.STAGE, PREFILL_STAGE);
@@ -89,9 +89,9 @@
     }
 
     @Override
-    public AnswerFacts readAnswer(HttpResponse answer) {
+    public ResponseAttributes parseResponse(HttpResponse answer) {
         HttpHeaders headers = answer.headers();
-        return new AnswerFacts(
+        return new ResponseAttributes(
                 answer.status().code(),
                 Optional.ofNullable(headers.get(HeaderNames.REQUEST_ID)),
                 headers.contains(HeaderNames.SERVER_STAMP),
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public HttpHeaders forCaller(HttpHeaders targetHeaders) {
+    public HttpHeaders callerHeaders(HttpHeaders targetHeaders) {
         return copyWithoutHopByHop(targetHeaders);
     }
 
--- a/src/main/java/org/dogwoodwinch/platform/StoreClient.java
+++ b/src/main/java/org/dogwoodwinch/platform/StoreClient.java
@@ -23,9 +23,9 @@
 import org.dogwoodwinch.follow.KeyedStream;
 import org.dogwoodwinch.follow.KeyedWriter;
 import org.dogwoodwinch.follow.ReadResult;
-import org.dogwoodwinch.relay.ControlCall;
-import org.dogwoodwinch.relay.ControlCaller;
+import org.dogwoodwinch.relay.ControlClient;
 import org.dogwoodwinch.relay.ControlReply;
+import org.dogwoodwinch.relay.ControlRequest;
 
 /** Reads and writes the keyed streams and logs of the platform's store. */
 public final class StoreClient {
@@ -45,7 +45,7 @@
     private static final int RECORD_LENGTH_BYTES = 4;
     private static final int READ_HEADER_BYTES = 16;
 
-    private final ControlCaller controlCaller;
+    private final ControlClient controlCaller;
     private final InetSocketAddress address;
     private final long timeoutMillis;
 
@@ -56,7 +56,7 @@
      * @param address the store's address, not null
      * @param timeoutMillis the timeout of a call, in milliseconds, in addition to the time for which the store holds it
      */
-    public StoreClient(ControlCaller controlCaller, InetSocketAddress address, long timeoutMillis) {
+    public StoreClient(ControlClient controlCaller, InetSocketAddress address, long timeoutMillis) {
         this.controlCaller = Objects.requireNonNull(controlCaller, "caller");
         this.address = Objects.requireNonNull(address, "address");
         this.timeoutMillis = timeoutMillis;
@@ -95,7 +95,7 @@
      */
     public KeyedWriter writer(String topic) {
         return (key, value) -> {
-            ControlCall call = new ControlCall(
+            ControlRequest call = new ControlRequest(
                     HttpMethod.POST,
                     partitionUri("/log-append", topic).toString(),
                     new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "application/octet-stream"),
@@ -118,7 +118,7 @@
             uri.addParam("at", Long.toString(endOffset));
             ByteBuffer record = ByteBuffer.allocate(RECORD_LENGTH_BYTES + content.length());
             record.putInt(content.length()).put(content.toByteArray());
-            ControlCall call = new ControlCall(
+            ControlRequest call = new ControlRequest(
                     HttpMethod.POST,
                     uri.toString(),
                     new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "application/octet-stream"),
@@ -164,7 +164,7 @@
     private CompletionStage<ControlReply> sendGet(QueryStringEncoder uri, long timeoutMillis) {
         return controlCaller.call(
                 address,
-                new ControlCall(HttpMethod.GET, uri.toString(), EmptyHttpHeaders.INSTANCE, Bytes.EMPTY),
+                new ControlRequest(HttpMethod.GET, uri.toString(), EmptyHttpHeaders.INSTANCE, Bytes.EMPTY),
                 timeoutMillis);
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/CacheChanges.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheChanges.java
@@ -8,10 +8,10 @@
  *
  * @param epoch identifies one run of the engine; differs after a restart, not null
  * @param nextNumber the sequence number from which the next poll continues
- * @param gap whether earlier changes are missing because the engine no longer retains them
+ * @param hasGap whether earlier changes are missing because the engine no longer retains them
  * @param changes the changes in the order in which they occurred, not null
  */
-public record CacheChanges(String epoch, long nextNumber, boolean gap, List<CacheChange> changes) {
+public record CacheChanges(String epoch, long nextNumber, boolean hasGap, List<CacheChange> changes) {
 
     /** Validates the components and copies the list. */
     public CacheChanges {
@@ -22,13 +22,13 @@
     /**
      * A change of one segment.
      *
-     * @param partId the id of the segment, not null
-     * @param keptTokens the number of its tokens that are now cached; zero if it was evicted
+     * @param segmentId the id of the segment, not null
+     * @param cachedTokens the number of its tokens that are now cached; zero if it was evicted
      */
-    public record CacheChange(String partId, int keptTokens) {
+    public record CacheChange(String segmentId, int cachedTokens) {
         /** Validates the components. */
         public CacheChange {
-            Objects.requireNonNull(partId, "partId");
+            Objects.requireNonNull(segmentId, "partId");
         }
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/CacheListener.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheListener.java
@@ -10,19 +10,19 @@
      * @param partId the id of the segment, not null
      * @param keptTokens the number of its tokens that are now cached; zero if it was evicted
      */
-    void changed(String engineId, String partId, int keptTokens);
+    void onSegmentChange(String engineId, String partId, int keptTokens);
 
     /**
      * An engine's index entries were replaced by its complete list, or removed.
      *
      * @param engineId the engine's id, not null
      */
-    void listed(String engineId);
+    void onReset(String engineId);
 
     /**
      * This instance no longer polls an engine.
      *
      * @param engineId the engine's id, not null
      */
-    void unwatched(String engineId);
+    void onPollingStopped(String engineId);
 }
--- a/src/main/java/org/dogwoodwinch/relay/CacheList.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheSnapshot.java
@@ -8,13 +8,13 @@
  *
  * @param epoch identifies one run of the engine; differs after a restart, not null
  * @param nextNumber the sequence number of the first change that the list does not include
- * @param parts the segments with their numbers of cached tokens, not null
+ * @param segments the segments with their numbers of cached tokens, not null
  */
-public record CacheList(String epoch, long nextNumber, List<CacheChanges.CacheChange> parts) {
+public record CacheSnapshot(String epoch, long nextNumber, List<CacheChanges.CacheChange> segments) {
 
     /** Validates the components and copies the list. */
-    public CacheList {
+    public CacheSnapshot {
         Objects.requireNonNull(epoch, "epoch");
-        parts = List.copyOf(parts);
+        segments = List.copyOf(segments);
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
+++ b/src/main/java/org/dogwoodwinch/relay/CacheWatch.java
@@ -89,13 +89,13 @@
             if (polledHere.test(engine.id())) {
                 poll(engine);
             } else if (engineStates.remove(engine.id()) != null) {
-                listener.unwatched(engine.id());
+                listener.onPollingStopped(engine.id());
             }
         }
         engineStates.keySet().removeIf(id -> {
             boolean gone = !ids.contains(id);
             if (gone) {
-                listener.unwatched(id);
+                listener.onPollingStopped(id);
             }
             return gone;
         });
@@ -109,7 +109,7 @@
             // Changes and the sequence number of the earlier incarnation are invalid, even in a response under way.
             engineStates.remove(engine.id());
             cacheIndex.removeEngine(engine.id());
-            listener.listed(engine.id());
+            listener.onReset(engine.id());
             state = null;
         }
         if (state == null) {
@@ -148,15 +148,15 @@
     private void applyChanges(Incarnation engine, EngineState state, CacheChanges received) {
         if (state.epoch.isPresent() && !state.epoch.get().equals(received.epoch())) {
             cacheIndex.removeEngine(engine.id());
-            listener.listed(engine.id());
+            listener.onReset(engine.id());
         }
         state.epoch = Optional.of(received.epoch());
         state.nextNumber = received.nextNumber();
         for (CacheChanges.CacheChange change : received.changes()) {
-            cacheIndex.setCachedTokens(engine.id(), change.partId(), change.keptTokens());
-            listener.changed(engine.id(), change.partId(), change.keptTokens());
+            cacheIndex.setCachedTokens(engine.id(), change.segmentId(), change.cachedTokens());
+            listener.onSegmentChange(engine.id(), change.segmentId(), change.cachedTokens());
         }
-        if (received.gap() && time.monotonicMillis() >= state.nextListMillis) {
+        if (received.hasGap() && time.monotonicMillis() >= state.nextListMillis) {
             state.nextListMillis = time.monotonicMillis() + LIST_PAUSE_MILLIS;
             requestList(engine, state);
         }
@@ -167,11 +167,13 @@
      */
     private void requestList(Incarnation engine, EngineState state) {
         state.requestPending = true;
-        control.cacheList(engine).thenAccept(list -> {
+        control.cacheSnapshot(engine).thenAccept(list -> {
             state.requestPending = false;
             LogEvent.of("engine_cache_listed")
                     .with("target", engine.id())
-                    .with("parts", list.map(received -> received.parts().size()).orElse(-1))
+                    .with(
+                            "parts",
+                            list.map(received -> received.segments().size()).orElse(-1))
                     .info(log);
             if (engineStates.get(engine.id()) == state) {
                 list.ifPresent(received -> applyList(engine.id(), state, received));
@@ -179,12 +181,13 @@
         });
     }
 
-    private void applyList(String engineId, EngineState state, CacheList received) {
+    private void applyList(String engineId, EngineState state, CacheSnapshot received) {
         cacheIndex.removeEngine(engineId);
         state.epoch = Optional.of(received.epoch());
         state.nextNumber = received.nextNumber();
-        received.parts().forEach(part -> cacheIndex.setCachedTokens(engineId, part.partId(), part.keptTokens()));
-        listener.listed(engineId);
+        received.segments()
+                .forEach(part -> cacheIndex.setCachedTokens(engineId, part.segmentId(), part.cachedTokens()));
+        listener.onReset(engineId);
     }
 
     private static final class EngineState {
--- a/src/main/java/org/dogwoodwinch/relay/CallFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallAttributes.java
@@ -13,14 +13,14 @@
  * @param prompt the prompt for a model; empty for a call to another service
  * @param lastEventId the id of the last event that the caller received; empty if it does not resume a stream
  */
-public record CallFacts(
+public record CallAttributes(
         Optional<String> requestId,
         OptionalLong deadlineMillis,
         Optional<Prompt> prompt,
         Optional<String> lastEventId) {
 
     /** Validates the components. */
-    public CallFacts {
+    public CallAttributes {
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(deadlineMillis, "deadlineMillis");
         Objects.requireNonNull(prompt, "prompt");
--- a/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallHeaders.java
@@ -12,7 +12,7 @@
      * @param headers the headers of the call, not null
      * @return the attributes
      */
-    CallFacts readCall(HttpHeaders headers);
+    CallAttributes parseCall(HttpHeaders headers);
 
     /**
      * Builds the headers of a send from those of the caller. Omits hop-by-hop headers and those that only this system
@@ -22,7 +22,7 @@
      * @param facts the attributes of the send, not null
      * @return new headers without Content-Length
      */
-    HttpHeaders forSend(HttpHeaders callerHeaders, SendFacts facts);
+    HttpHeaders targetHeaders(HttpHeaders callerHeaders, SendAttributes facts);
 
     /**
      * Parses the head of a target's response.
@@ -30,7 +30,7 @@
      * @param responseHead the head of the response, not null
      * @return the attributes
      */
-    AnswerFacts readAnswer(HttpResponse responseHead);
+    ResponseAttributes parseResponse(HttpResponse responseHead);
 
     /**
      * Builds the headers of a response to a caller from those of the target, without hop-by-hop headers.
@@ -38,5 +38,5 @@
      * @param targetHeaders the headers of the target, not null; not modified
      * @return new headers without Content-Length
      */
-    HttpHeaders forCaller(HttpHeaders targetHeaders);
+    HttpHeaders callerHeaders(HttpHeaders targetHeaders);
 }
--- a/src/main/java/org/dogwoodwinch/relay/CallRelay.java
+++ b/src/main/java/org/dogwoodwinch/relay/CallRelay.java
@@ -44,7 +44,7 @@
 
     private final RelayContext context;
     private final IncomingCall call;
-    private final CallFacts facts;
+    private final CallAttributes facts;
     private final ServiceRoute route;
     private final ServiceEntry service;
     private final CallerResponse caller;
@@ -64,7 +64,7 @@
     private int failedConnectsCount;
     private boolean remotePrefillUsed;
     private Optional<RemotePrefill> remotePrefill = Optional.empty();
-    private Optional<PromptMemory> cacheHandle = Optional.empty();
+    private Optional<KvCacheHandle> cacheHandle = Optional.empty();
     private Incarnation cacheHolder;
 
     /**
@@ -81,7 +81,7 @@
     CallRelay(
             RelayContext context,
             IncomingCall call,
-            CallFacts facts,
+            CallAttributes facts,
             ServiceRoute route,
             ServiceEntry service,
             CallerResponse caller,
@@ -377,7 +377,7 @@
     }
 
     private OutboundCall outbound(Incarnation target, boolean prefillOnly) {
-        SendFacts sending = new SendFacts(
+        SendAttributes sending = new SendAttributes(
                 target,
                 Math.max(1, remainingMillis()),
                 facts.prompt().map(_prompt -> plan.prefillWork().level()),
@@ -385,12 +385,12 @@
                 cacheHandle,
                 plan.prefillWork().cacheSource(),
                 eventFramer.lastEventId());
-        HttpHeaders headers = context.callHeaders().forSend(call.headers(), sending);
+        HttpHeaders headers = context.callHeaders().targetHeaders(call.headers(), sending);
         return new OutboundCall(requestId(), call.method(), call.uri(), headers, call.body(), call.framed());
     }
 
     @Override
-    public void onHead(AnswerFacts answerFacts, HttpHeaders headers) {
+    public void onHead(ResponseAttributes answerFacts, HttpHeaders headers) {
         response = new TargetResponse(answerFacts, headers);
         inFlight.ifPresent(started -> started.recordResponseHead(answerFacts));
     }
@@ -440,7 +440,7 @@
         if (state == State.SENDING) {
             state = State.STREAMING;
             context.report().firstByte(this);
-            caller.beginResponse(response.status(), context.callHeaders().forCaller(response.headers()));
+            caller.beginResponse(response.status(), context.callHeaders().callerHeaders(response.headers()));
         }
     }
 
@@ -551,7 +551,8 @@
     }
 
     private void relayBuffered() {
-        caller.sendResponse(response.status(), context.callHeaders().forCaller(response.headers()), response.body());
+        caller.sendResponse(
+                response.status(), context.callHeaders().callerHeaders(response.headers()), response.body());
         finish();
     }
 
@@ -597,7 +598,7 @@
         abandonSend();
         remotePrefill.ifPresent(RemotePrefill::cancel);
         // A KV cache that is never fetched would stay allocated on the prefill target until it expires.
-        cacheHandle.ifPresent(unused -> context.control().release(cacheHolder, unused));
+        cacheHandle.ifPresent(unused -> context.control().releaseCache(cacheHolder, unused));
         onDone.run();
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/BreakOffs.java
+++ b/src/main/java/org/dogwoodwinch/relay/ConnectionAborts.java
@@ -1,7 +1,7 @@
 package org.dogwoodwinch.relay;
 
 /** Tracks targets that close new connections without a response; the result may be sent to other instances. */
-public interface BreakOffs {
+public interface ConnectionAborts {
 
     /**
      * Records that a target closed a connection that was opened for a call, before it responded to the call.
@@ -9,19 +9,19 @@
      * @param targetId the id of the target, not null
      * @return the pause until the target is used again, in milliseconds
      */
-    long brokeOff(String targetId);
+    long recordAbort(String targetId);
 
     /**
      * Records that a target responded to a call, with whatever status.
      *
      * @param targetId the id of the target, not null
      */
-    void answered(String targetId);
+    void recordResponse(String targetId);
 
     /**
      * Removes the records of a target that is no longer listed or has restarted.
      *
      * @param targetId the id of the target, not null
      */
-    void forget(String targetId);
+    void removeTarget(String targetId);
 }
--- a/src/main/java/org/dogwoodwinch/relay/ControlCaller.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlClient.java
@@ -37,7 +37,7 @@
  * time-out, since a connection may stop responding for good; after a time-out, its connection is closed and not reused.
  * Confined to one event loop.
  */
-public final class ControlCaller {
+public final class ControlClient {
 
     private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
@@ -55,7 +55,7 @@
      * @param time timers for the time-outs, not null
      * @param policy time-outs of the connections, not null
      */
-    public ControlCaller(Transport transport, EventLoop loop, TimeSource time, ConnectionPolicy policy) {
+    public ControlClient(Transport transport, EventLoop loop, TimeSource time, ConnectionPolicy policy) {
         this.transport = Objects.requireNonNull(transport, "transport");
         this.loop = Objects.requireNonNull(loop, "loop");
         this.time = Objects.requireNonNull(time, "time");
@@ -70,7 +70,7 @@
      * @param timeoutMillis the time-out for the response, including the time to open a connection
      * @return a stage that completes on the event loop, never exceptionally
      */
-    public CompletionStage<ControlReply> call(InetSocketAddress address, ControlCall call, long timeoutMillis) {
+    public CompletionStage<ControlReply> call(InetSocketAddress address, ControlRequest call, long timeoutMillis) {
         Exchange exchange = new Exchange(call, time);
         exchange.timeout(timeoutMillis);
         PooledConnection kept = pollIdle(address);
@@ -131,13 +131,13 @@
     }
 
     private static final class Exchange {
-        private final ControlCall call;
+        private final ControlRequest call;
         private final TimeSource time;
         private final CompletableFuture<ControlReply> reply = new CompletableFuture<>();
         private PooledConnection connection;
         private Cancellable timeout;
 
-        Exchange(ControlCall call, TimeSource time) {
+        Exchange(ControlRequest call, TimeSource time) {
             this.call = call;
             this.time = time;
         }
--- a/src/main/java/org/dogwoodwinch/relay/ControlCall.java
+++ b/src/main/java/org/dogwoodwinch/relay/ControlRequest.java
@@ -13,10 +13,10 @@
  * @param headers the headers except Host and Content-Length, not null
  * @param body the body, not null
  */
-public record ControlCall(HttpMethod method, String uri, HttpHeaders headers, Bytes body) {
+public record ControlRequest(HttpMethod method, String uri, HttpHeaders headers, Bytes body) {
 
     /** Validates the components. */
-    public ControlCall {
+    public ControlRequest {
         Objects.requireNonNull(method, "method");
         Objects.requireNonNull(uri, "uri");
         Objects.requireNonNull(headers, "headers");
--- a/src/main/java/org/dogwoodwinch/relay/EngineControl.java
+++ b/src/main/java/org/dogwoodwinch/relay/EngineControl.java
@@ -15,7 +15,7 @@
      * @param body the body of the response, not null
      * @return the handle of the KV cache; empty if the response has none
      */
-    Optional<PromptMemory> readMemory(Incarnation engine, Bytes body);
+    Optional<KvCacheHandle> parseCacheHandle(Incarnation engine, Bytes body);
 
     /**
      * Releases the KV cache of a prefilled prompt that will not be fetched.
@@ -23,7 +23,7 @@
      * @param engine the engine that holds the cache, not null
      * @param cacheHandle the handle of the cache, not null
      */
-    void release(Incarnation engine, PromptMemory cacheHandle);
+    void releaseCache(Incarnation engine, KvCacheHandle cacheHandle);
 
     /**
      * Requests the changes of the prompt segments in an engine's KV cache.
@@ -41,7 +41,7 @@
      * @param engine the engine, not null
      * @return a stage that completes with the list, or empty without a usable response; never exceptionally
      */
-    CompletionStage<Optional<CacheList>> cacheList(Incarnation engine);
+    CompletionStage<Optional<CacheSnapshot>> cacheSnapshot(Incarnation engine);
 
     /**
      * Requests an engine's stage and the state of its orders.
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingMetrics.java
@@ -110,7 +110,7 @@
      *
      * @param version the version
      */
-    public void showConfiguration(long version) {
+    public void setConfigurationVersion(long version) {
         configurationVersion.set((double) version);
     }
 
@@ -119,7 +119,7 @@
      *
      * @param count the number of targets
      */
-    public void showTargets(int count) {
+    public void setReadyTargets(int count) {
         targets.set(count);
     }
 
@@ -128,7 +128,7 @@
      *
      * @param reachable whether the store answered the last call
      */
-    public void showStore(boolean reachable) {
+    public void setStoreReachable(boolean reachable) {
         storeReachable.set(reachable ? 1 : 0);
     }
 
@@ -139,7 +139,7 @@
      * @param topic the topic of the messages, not null
      * @return a consumer of the bytes sent: the size of a message times the number of instances that it was sent to
      */
-    public LongConsumer toldPeers(String topic) {
+    public LongConsumer peerBytesCounter(String topic) {
         CounterDataPoint counter = peerBytes.labelValues(topic);
         return bytes -> counter.inc((double) bytes);
     }
@@ -149,7 +149,7 @@
      *
      * @param topic the topic of the message, not null
      */
-    public void peerWordDropped(String topic) {
+    public void peerMessageDropped(String topic) {
         peerDropped.labelValues(topic).inc();
     }
 
@@ -158,7 +158,7 @@
      *
      * @param wayMillis the transit time in milliseconds
      */
-    public void showPeerWay(long wayMillis) {
+    public void setPeerDelayMillis(long wayMillis) {
         peerDelay.set(wayMillis / MILLIS_PER_SECOND);
     }
 
@@ -167,7 +167,7 @@
      *
      * @param count the number of instances
      */
-    public void showInstances(int count) {
+    public void setInstances(int count) {
         instances.set(count);
     }
 
@@ -176,7 +176,7 @@
      *
      * @param count the number of targets
      */
-    public void showLimited(int count) {
+    public void setRateLimitedTargets(int count) {
         rateLimitedTargets.set(count);
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
+++ b/src/main/java/org/dogwoodwinch/relay/ForwardingService.java
@@ -48,7 +48,7 @@
     private final TargetHealth health;
     private Optional<CallerListener> listener = Optional.empty();
     private final BodyMemory bodyMemory = new BodyMemory(MAX_BODY_MEMORY_BYTES);
-    private int openCount;
+    private int openCallsCount;
     private Optional<RouteTable> routeTable = Optional.empty();
     private boolean draining;
     private boolean accepting = true;
@@ -132,8 +132,8 @@
             Quarantine quarantine,
             TargetHealth health,
             TargetRateLimits limits,
-            StatedLimits statedLimits,
-            BreakOffs connectionAborts,
+            StatedRateLimits statedLimits,
+            ConnectionAborts connectionAborts,
             IntSupplier sharingInstancesCount) {}
 
     /**
@@ -233,7 +233,7 @@
      * @param serviceName the service's name, not null
      * @return milliseconds from the configuration in force; zero if it states none
      */
-    public long switchMillis(String serviceName) {
+    public long stageChangeMillis(String serviceName) {
         return routeTable
                 .flatMap(current -> current.service(serviceName))
                 .flatMap(ServiceEntry::engine)
@@ -246,7 +246,7 @@
      *
      * @return false before the first configuration was applied
      */
-    public boolean configured() {
+    public boolean isConfigured() {
         return routeTable.isPresent();
     }
 
@@ -255,9 +255,9 @@
      *
      * @param targetId its id, not null
      */
-    public void targetFoundGone(String targetId) {
-        context.connectionAborts().forget(targetId);
-        context.statedLimits().forget(targetId);
+    public void handleTargetLost(String targetId) {
+        context.connectionAborts().removeTarget(targetId);
+        context.statedLimits().removeTarget(targetId);
         context.suspicions().handleTargetLost(targetId);
     }
 
@@ -266,7 +266,7 @@
      *
      * @param targetId its id, not null
      */
-    public void targetChangedStage(String targetId) {
+    public void handleStageChange(String targetId) {
         health.endStageChange(targetId);
     }
 
@@ -279,9 +279,9 @@
      *
      * @param targetId its id, not null
      */
-    public void targetStartedAgain(String targetId) {
-        targetFoundGone(targetId);
-        forgetTarget(targetId);
+    public void handleTargetRestart(String targetId) {
+        handleTargetLost(targetId);
+        removeTarget(targetId);
         context.cacheIndex().removeEngine(targetId);
     }
 
@@ -291,7 +291,7 @@
     }
 
     /** Closes all idle connections to targets, since after a suspension of the process their idle time is unknown. */
-    public void dropKeptConnections() {
+    public void closeIdleConnections() {
         context.connections().closeIdle();
     }
 
@@ -300,12 +300,12 @@
      *
      * @param targetId its id, not null
      */
-    public void forgetTarget(String targetId) {
+    public void removeTarget(String targetId) {
         context.connections().removeTarget(targetId);
     }
 
     /** Starts draining: from now on, responses ask callers to close their connections. */
-    public void leave() {
+    public void startDraining() {
         draining = true;
     }
 
@@ -316,7 +316,7 @@
      * ready, and callers keep their connections open. A call accepted shortly before the process has to exit would be
      * cut off while it runs.
      */
-    public void stopTaking() {
+    public void stopAccepting() {
         if (accepting) {
             accepting = false;
             logState("stopped_taking");
@@ -334,8 +334,8 @@
      *
      * @return the calls without a complete response
      */
-    public int openCount() {
-        return openCount;
+    public int openCallsCount() {
+        return openCallsCount;
     }
 
     /**
@@ -343,7 +343,7 @@
      *
      * @return the open connections
      */
-    public int callersCount() {
+    public int callerConnectionsCount() {
         return listener.map(CallerListener::connectionsCount).orElse(0);
     }
 
@@ -369,7 +369,7 @@
 
     @Override
     public ActiveCall handle(IncomingCall call, CallerResponse caller, Runnable onDone) {
-        CallFacts facts = callHeaders.readCall(call.headers());
+        CallAttributes facts = callHeaders.parseCall(call.headers());
         if (!accepting) {
             return refuse(facts, caller, onDone, LocalResponses.UNAVAILABLE, "stopping");
         }
@@ -394,21 +394,21 @@
 
     private ActiveCall begin(
             IncomingCall call,
-            CallFacts facts,
+            CallAttributes facts,
             ServiceRoute route,
             ServiceEntry service,
             CallerResponse caller,
             Runnable onDone) {
         CallRelay relay = new CallRelay(context, call, facts, route, service, caller, () -> {
-            openCount--;
+            openCallsCount--;
             onDone.run();
         });
-        openCount++;
+        openCallsCount++;
         relay.start();
         return relay;
     }
 
-    private ActiveCall refuse(CallFacts facts, CallerResponse caller, Runnable onDone, int status, String reason) {
+    private ActiveCall refuse(CallAttributes facts, CallerResponse caller, Runnable onDone, int status, String reason) {
         report.refusedBeforeRouting(facts.requestId().orElse(""), status, reason);
         if (LocalResponses.guaranteesNotRun(status)) {
             LocalResponses.sendRetryable(
@@ -427,8 +427,8 @@
      */
     public void logState(String event) {
         LogEvent.of(event)
-                .with("open", openCount)
-                .with("callers", callersCount())
+                .with("open", openCallsCount)
+                .with("callers", callerConnectionsCount())
                 .with("version", routeTable.map(RouteTable::version).orElse(-1L))
                 .info(log);
     }
--- a/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
+++ b/src/main/java/org/dogwoodwinch/relay/InFlightSend.java
@@ -61,7 +61,7 @@
     }
 
     /** Records the rate limit that the head of the response states. */
-    void recordResponseHead(AnswerFacts facts) {
+    void recordResponseHead(ResponseAttributes facts) {
         context.recordResponseHead(target, facts, sentMillis);
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/PromptMemory.java
+++ b/src/main/java/org/dogwoodwinch/relay/KvCacheHandle.java
@@ -8,10 +8,10 @@
  * @param address the address of that engine, not null
  * @param handle identifies the cache on that engine, not null
  */
-public record PromptMemory(String address, String handle) {
+public record KvCacheHandle(String address, String handle) {
 
     /** Validates the components. */
-    public PromptMemory {
+    public KvCacheHandle {
         Objects.requireNonNull(address, "address");
         Objects.requireNonNull(handle, "handle");
     }
--- a/src/main/java/org/dogwoodwinch/relay/PrefillOutcome.java
+++ b/src/main/java/org/dogwoodwinch/relay/PrefillOutcome.java
@@ -8,7 +8,7 @@
      *
      * @param cacheHandle identifies the KV cache that the engine that runs the call fetches
      */
-    record Completed(PromptMemory cacheHandle) implements PrefillOutcome {}
+    record Completed(KvCacheHandle cacheHandle) implements PrefillOutcome {}
 
     /**
      * No byte was written, so the engine did not receive the request.
--- a/src/main/java/org/dogwoodwinch/relay/RelayContext.java
+++ b/src/main/java/org/dogwoodwinch/relay/RelayContext.java
@@ -49,8 +49,8 @@
         RetryBudget budget,
         Suspicions suspicions,
         TargetHealth health,
-        StatedLimits statedLimits,
-        BreakOffs connectionAborts,
+        StatedRateLimits statedLimits,
+        ConnectionAborts connectionAborts,
         RelayReport report,
         IntSupplier sharingInstancesCount) {
 
@@ -107,22 +107,22 @@
         if (misdirected) {
             report.targetUnreachable(targetId, health.recordUnreachable(targetId), "other_target_answers");
         } else {
-            connectionAborts.answered(targetId);
+            connectionAborts.recordResponse(targetId);
         }
     }
 
     /** Records that a target accepted a connection and closed it without a response to the call. */
     void recordAbort(String targetId) {
-        report.targetUnreachable(targetId, connectionAborts.brokeOff(targetId), "broke_off");
+        report.targetUnreachable(targetId, connectionAborts.recordAbort(targetId), "broke_off");
     }
 
     /**
      * Records the rate limit that the head of a response states. A response from another target at the same address is
      * ignored, and the absence of a rate limit counts only in a successful response.
      */
-    void recordResponseHead(Incarnation target, AnswerFacts facts, long sentMillis) {
-        if (!facts.isMisdirected() && (facts.limitPerSecond().isPresent() || facts.isSuccess())) {
-            statedLimits.answered(target, facts.limitPerSecond(), sentMillis);
+    void recordResponseHead(Incarnation target, ResponseAttributes facts, long sentMillis) {
+        if (!facts.isMisdirected() && (facts.rateLimitPerSecond().isPresent() || facts.isSuccess())) {
+            statedLimits.recordResponse(target, facts.rateLimitPerSecond(), sentMillis);
         }
     }
 
--- a/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
+++ b/src/main/java/org/dogwoodwinch/relay/RemotePrefill.java
@@ -31,7 +31,7 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<TargetConnection> connection = Optional.empty();
     private Optional<InFlightSend> inFlight = Optional.empty();
-    private AnswerFacts responseHead;
+    private ResponseAttributes responseHead;
     private boolean ended;
 
     /**
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void onHead(AnswerFacts facts, HttpHeaders _headers) {
+    public void onHead(ResponseAttributes facts, HttpHeaders _headers) {
         responseHead = facts;
         inFlight.ifPresent(started -> started.recordResponseHead(facts));
     }
@@ -139,7 +139,7 @@
             finish(new PrefillOutcome.Failed("status_" + responseHead.status()));
             return;
         }
-        Optional<PromptMemory> memory = context.control().readMemory(engine, Bytes.of(body.toByteArray()));
+        Optional<KvCacheHandle> memory = context.control().parseCacheHandle(engine, Bytes.of(body.toByteArray()));
         finish(memory.<PrefillOutcome>map(PrefillOutcome.Completed::new)
                 .orElseGet(() -> new PrefillOutcome.NoCacheHandle("no_handle")));
     }
--- a/src/main/java/org/dogwoodwinch/relay/AnswerFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseAttributes.java
@@ -13,28 +13,28 @@
  * @param signed whether the response carries the target's signature
  * @param statesNotRun whether the response states that the call did not run
  * @param encoded whether the body is encoded and so differs from the target's own bytes
- * @param idleMillis how long the target keeps an idle connection open; empty if it does not state it
- * @param limitPerSecond the rate limit of the target for all instances together, in calls per second; empty if it
+ * @param idleTimeoutMillis how long the target keeps an idle connection open; empty if it does not state it
+ * @param rateLimitPerSecond the rate limit of the target for all instances together, in calls per second; empty if it
  *     states none
  */
-public record AnswerFacts(
+public record ResponseAttributes(
         int status,
         Optional<String> requestId,
         boolean signed,
         boolean statesNotRun,
         boolean encoded,
-        OptionalLong idleMillis,
-        OptionalDouble limitPerSecond) {
+        OptionalLong idleTimeoutMillis,
+        OptionalDouble rateLimitPerSecond) {
 
     private static final int SUCCESS_CLASS = 2;
     private static final int CLASS_DIVISOR = 100;
     private static final int MISDIRECTED = 421;
 
     /** Validates the components. */
-    public AnswerFacts {
+    public ResponseAttributes {
         Objects.requireNonNull(requestId, "requestId");
-        Objects.requireNonNull(idleMillis, "idleMillis");
-        Objects.requireNonNull(limitPerSecond, "limitPerSecond");
+        Objects.requireNonNull(idleTimeoutMillis, "idleMillis");
+        Objects.requireNonNull(rateLimitPerSecond, "limitPerSecond");
     }
 
     /** Returns whether another target has the address now, or the target has another stage than expected. */
--- a/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
+++ b/src/main/java/org/dogwoodwinch/relay/ResponseSink.java
@@ -12,7 +12,7 @@
      * @param facts the attributes that the head states, not null
      * @param headers the response headers, not null
      */
-    void onHead(AnswerFacts facts, HttpHeaders headers);
+    void onHead(ResponseAttributes facts, HttpHeaders headers);
 
     /**
      * Receives a chunk of the body.
--- a/src/main/java/org/dogwoodwinch/relay/SendFacts.java
+++ b/src/main/java/org/dogwoodwinch/relay/SendAttributes.java
@@ -11,25 +11,25 @@
  * @param remainingMillis the time until the call's deadline, at least 1 ms
  * @param level the level in the target's queue, where zero is admitted first; empty for a service without models
  * @param prefillOnly whether the target only prefills the prompt
- * @param memory the handle of the prompt's KV cache; empty if the target prefills the prompt itself
- * @param keeper the engine from whose KV cache segments of the prompt are fetched; empty if none are
+ * @param cacheHandle the handle of the prompt's KV cache; empty if the target prefills the prompt itself
+ * @param cacheSource the engine from whose KV cache segments of the prompt are fetched; empty if none are
  * @param lastEventId the id of the last event that the caller received; empty to start from the beginning
  */
-public record SendFacts(
+public record SendAttributes(
         Incarnation target,
         long remainingMillis,
         Optional<Integer> level,
         boolean prefillOnly,
-        Optional<PromptMemory> memory,
-        Optional<Incarnation> keeper,
+        Optional<KvCacheHandle> cacheHandle,
+        Optional<Incarnation> cacheSource,
         Optional<String> lastEventId) {
 
     /** Validates the components. */
-    public SendFacts {
+    public SendAttributes {
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(level, "level");
-        Objects.requireNonNull(memory, "memory");
-        Objects.requireNonNull(keeper, "keeper");
+        Objects.requireNonNull(cacheHandle, "memory");
+        Objects.requireNonNull(cacheSource, "keeper");
         Objects.requireNonNull(lastEventId, "lastEventId");
     }
 }
--- a/src/main/java/org/dogwoodwinch/relay/StatedLimits.java
+++ b/src/main/java/org/dogwoodwinch/relay/StatedRateLimits.java
@@ -4,7 +4,7 @@
 import org.dogwoodwinch.forwarding.Incarnation;
 
 /** Receives the rate limits that targets state in responses; they may be sent to other instances. */
-public interface StatedLimits {
+public interface StatedRateLimits {
 
     /**
      * Records the rate limit, or its absence, in the response of a target.
@@ -14,12 +14,12 @@
      *     not null
      * @param sentMillis when the call was sent, in monotonic milliseconds
      */
-    void answered(Incarnation target, OptionalDouble callsPerSecond, long sentMillis);
+    void recordResponse(Incarnation target, OptionalDouble callsPerSecond, long sentMillis);
 
     /**
      * Removes the rate limit of a target that is no longer listed or has restarted.
      *
      * @param targetId the id of the target, not null
      */
-    void forget(String targetId);
+    void removeTarget(String targetId);
 }
--- a/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetConnection.java
@@ -184,10 +184,10 @@
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             return;
         }
-        AnswerFacts facts = callHeaders.readAnswer(response);
+        ResponseAttributes facts = callHeaders.parseResponse(response);
         keepAlive = HttpUtil.isKeepAlive(response)
                 && (HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response));
-        idleLimitMillis = facts.idleMillis().orElse(Long.MAX_VALUE);
+        idleLimitMillis = facts.idleTimeoutMillis().orElse(Long.MAX_VALUE);
         if (facts.requestId().isPresent() && !facts.requestId().get().equals(requestId)) {
             skipResponse(facts);
             return;
@@ -196,7 +196,7 @@
         sink.onHead(facts, response.headers());
     }
 
-    private void skipResponse(AnswerFacts facts) {
+    private void skipResponse(ResponseAttributes facts) {
         skippedCount++;
         LogEvent.of("stranger_answer_passed_over")
                 .with("target", target.id())
--- a/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
+++ b/src/main/java/org/dogwoodwinch/relay/TargetResponse.java
@@ -13,11 +13,11 @@
 
     private static final int TOO_MANY_REQUESTS = 429;
 
-    private final AnswerFacts facts;
+    private final ResponseAttributes facts;
     private final HttpHeaders headers;
     private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
 
-    TargetResponse(AnswerFacts facts, HttpHeaders headers) {
+    TargetResponse(ResponseAttributes facts, HttpHeaders headers) {
         this.facts = Objects.requireNonNull(facts, "facts");
         this.headers = Objects.requireNonNull(headers, "headers");
     }
--- a/src/main/java/org/dogwoodwinch/relay/SocketConnector.java
+++ b/src/main/java/org/dogwoodwinch/relay/TcpTargetConnector.java
@@ -10,7 +10,7 @@
 import org.dogwoodwinch.net.Transport;
 
 /** Opens connections to targets over TCP. */
-public final class SocketConnector implements TargetConnector {
+public final class TcpTargetConnector implements TargetConnector {
 
     private final Transport transport;
     private final ConnectionPolicy policy;
@@ -21,7 +21,7 @@
      * @param transport the socket transport, not null
      * @param policy time-outs of the connections, not null
      */
-    public SocketConnector(Transport transport, ConnectionPolicy policy) {
+    public TcpTargetConnector(Transport transport, ConnectionPolicy policy) {
         this.transport = Objects.requireNonNull(transport, "transport");
         this.policy = Objects.requireNonNull(policy, "policy");
     }
--- a/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/BrokenTargetsTest.java
@@ -97,7 +97,7 @@
     void reportOnEarlierIncarnationIsIgnored() {
         startedMillisByInstance.put("i1", STARTED_MILLIS + 1);
 
-        brokenTargets.get(0).brokeOff("t3");
+        brokenTargets.get(0).recordAbort("t3");
         fleet.time.advanceMillis(900);
 
         assertEquals(TARGET_COUNT, healths.get(1).filterUsable(targets).size());
@@ -119,9 +119,9 @@
             Incarnation chosen = candidates.get(random.nextInt(candidates.size()));
             if (broken && isAffectedTarget(chosen)) {
                 failedCount++;
-                brokenTargets.get(memberIndex).brokeOff(chosen.id());
+                brokenTargets.get(memberIndex).recordAbort(chosen.id());
             } else {
-                brokenTargets.get(memberIndex).answered(chosen.id());
+                brokenTargets.get(memberIndex).recordResponse(chosen.id());
             }
             fleet.time.advanceMillis(CALL_INTERVAL_MILLIS);
         }
--- a/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/KeptSharingTest.java
@@ -109,8 +109,8 @@
         smallFleet.time.advanceMillis(1_000);
 
         restartedIndexes.get(0).setCachedTokens("engine1", "shared1", SHARED_SEGMENT_TOKENS);
-        restartedSharings.get(0).listed("engine1");
-        restartedSharings.get(0).changed("engine1", "shared2", SHARED_SEGMENT_TOKENS);
+        restartedSharings.get(0).onReset("engine1");
+        restartedSharings.get(0).onSegmentChange("engine1", "shared2", SHARED_SEGMENT_TOKENS);
         smallFleet.time.advanceMillis(1_000);
 
         List<Integer> knownTokens = restartedIndexes.stream()
@@ -161,7 +161,7 @@
         for (int i = 0; i < INSTANCE_COUNT; i++) {
             if (fleet.members.get(i).exchange.isAssignedToSelf(engineId)) {
                 indexes.get(i).setCachedTokens(engineId, segmentId, tokens);
-                sharings.get(i).changed(engineId, segmentId, tokens);
+                sharings.get(i).onSegmentChange(engineId, segmentId, tokens);
             }
         }
     }
--- a/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/LimitSharingTest.java
@@ -236,7 +236,7 @@
                 long sentMillis = fleet.time.monotonicMillis();
                 arrivalTimesMillis.add(sentMillis);
                 OptionalDouble reportedLimit = limit;
-                fleet.time.schedule(5, () -> sharing.answered(TARGET, reportedLimit, sentMillis));
+                fleet.time.schedule(5, () -> sharing.recordResponse(TARGET, reportedLimit, sentMillis));
             }
         }
     }
--- a/src/test/java/org/dogwoodwinch/daemon/RelayBandwidthTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/RelayBandwidthTest.java
@@ -197,7 +197,7 @@
         for (int i = 0; i < fleet.members.size(); i++) {
             if (fleet.members.get(i).exchange.isAssignedToSelf(engineId)) {
                 indexes.get(i).setCachedTokens(engineId, segmentId, tokens);
-                sharings.get(i).changed(engineId, segmentId, tokens);
+                sharings.get(i).onSegmentChange(engineId, segmentId, tokens);
             }
         }
     }
--- a/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageChangeTest.java
@@ -32,8 +32,8 @@
 import org.dogwoodwinch.forwarding.TargetQuery;
 import org.dogwoodwinch.relay.OrderOutcome;
 import org.dogwoodwinch.relay.OrderState;
-import org.dogwoodwinch.relay.SilentEngines;
 import org.dogwoodwinch.relay.StageOrder;
+import org.dogwoodwinch.relay.UnresponsiveEngineControl;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
 
@@ -195,7 +195,7 @@
         }
     }
 
-    private final class SimulatedEngines extends SilentEngines {
+    private final class SimulatedEngines extends UnresponsiveEngineControl {
 
         private OrderOutcome outcome = OrderOutcome.TAKEN;
         private long executionDelayMillis;
--- a/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/StageOrdersTest.java
@@ -25,11 +25,11 @@
 import org.dogwoodwinch.forwarding.TargetDirectory;
 import org.dogwoodwinch.forwarding.TargetHealth;
 import org.dogwoodwinch.relay.CacheChanges;
-import org.dogwoodwinch.relay.CacheList;
+import org.dogwoodwinch.relay.CacheSnapshot;
 import org.dogwoodwinch.relay.EngineControl;
+import org.dogwoodwinch.relay.KvCacheHandle;
 import org.dogwoodwinch.relay.OrderOutcome;
 import org.dogwoodwinch.relay.OrderState;
-import org.dogwoodwinch.relay.PromptMemory;
 import org.dogwoodwinch.relay.StageOrder;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
@@ -129,12 +129,12 @@
         }
 
         @Override
-        public Optional<PromptMemory> readMemory(Incarnation _reader, Bytes _body) {
+        public Optional<KvCacheHandle> parseCacheHandle(Incarnation _reader, Bytes _body) {
             return Optional.empty();
         }
 
         @Override
-        public void release(Incarnation _reader, PromptMemory _memory) {}
+        public void releaseCache(Incarnation _reader, KvCacheHandle _memory) {}
 
         @Override
         public CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation _engine, long _sinceNumber) {
@@ -142,7 +142,7 @@
         }
 
         @Override
-        public CompletionStage<Optional<CacheList>> cacheList(Incarnation _engine) {
+        public CompletionStage<Optional<CacheSnapshot>> cacheSnapshot(Incarnation _engine) {
             return new CompletableFuture<>();
         }
     }
--- a/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
+++ b/src/test/java/org/dogwoodwinch/daemon/TargetsReaderTest.java
@@ -27,9 +27,9 @@
 import org.dogwoodwinch.relay.ConnectionPolicy;
 import org.dogwoodwinch.relay.ForwardingMetrics;
 import org.dogwoodwinch.relay.ForwardingService;
-import org.dogwoodwinch.relay.OwnBreakOffs;
-import org.dogwoodwinch.relay.OwnLimits;
-import org.dogwoodwinch.relay.SilentEngines;
+import org.dogwoodwinch.relay.LocalConnectionFailureRecorder;
+import org.dogwoodwinch.relay.LocalRateLimitRecorder;
+import org.dogwoodwinch.relay.UnresponsiveEngineControl;
 import org.dogwoodwinch.request.Quarantine;
 import org.dogwoodwinch.time.VirtualTimeSource;
 import org.junit.jupiter.api.Test;
@@ -53,7 +53,7 @@
                 new PlatformHeaders(),
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
                 new ConnectionPolicy(1, 1, 1),
-                new SilentEngines(),
+                new UnresponsiveEngineControl(),
                 new ForwardingService.Decisions(
                         new LeastLoadedChooser(directory, loads, RandomSource.XO_RO_SHI_RO_128_PP.create(2)),
                         loads,
@@ -64,8 +64,8 @@
                         Quarantine.NONE,
                         new TargetHealth(() -> 0),
                         NoRateLimits.create(),
-                        new OwnLimits(NoRateLimits.create()),
-                        new OwnBreakOffs(new TargetHealth(() -> 0)),
+                        new LocalRateLimitRecorder(NoRateLimits.create()),
+                        new LocalConnectionFailureRecorder(new TargetHealth(() -> 0)),
                         () -> 1),
                 new ForwardingMetrics(new PrometheusRegistry()));
     }
--- a/src/test/java/org/dogwoodwinch/platform/PlatformHeadersTest.java
+++ b/src/test/java/org/dogwoodwinch/platform/PlatformHeadersTest.java
@@ -29,6 +29,6 @@
     private static OptionalDouble readRateLimit(String text) {
         HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         answer.headers().set("Server-Limit", text);
-        return new PlatformHeaders().readAnswer(answer).limitPerSecond();
+        return new PlatformHeaders().parseResponse(answer).rateLimitPerSecond();
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CacheWatchTest.java
@@ -76,7 +76,7 @@
         engineControl
                 .listRequests
                 .get(0)
-                .complete(Optional.of(new CacheList("x", 95, List.of(new CacheChange("a", 900)))));
+                .complete(Optional.of(new CacheSnapshot("x", 95, List.of(new CacheChange("a", 900)))));
 
         assertEquals(900, cacheIndex.cachedPrefixTokens("e1", PROMPT));
         time.advanceMillis(250);
@@ -90,7 +90,7 @@
         engineControl.completeChanges(new CacheChanges("x", 5, false, List.of(new CacheChange("a", 900))));
         time.advanceMillis(250);
         engineControl.completeChanges(new CacheChanges("x", 90, true, List.of()));
-        engineControl.listRequests.get(0).complete(Optional.of(new CacheList("x", 95, List.of())));
+        engineControl.listRequests.get(0).complete(Optional.of(new CacheSnapshot("x", 95, List.of())));
 
         assertEquals(0, cacheIndex.cachedPrefixTokens("e1", PROMPT));
     }
@@ -179,25 +179,25 @@
         private final List<String> events = new ArrayList<>();
 
         @Override
-        public void changed(String _engineId, String partId, int cachedTokens) {
+        public void onSegmentChange(String _engineId, String partId, int cachedTokens) {
             events.add(partId + "=" + cachedTokens);
         }
 
         @Override
-        public void listed(String engineId) {
+        public void onReset(String engineId) {
             events.add("listed " + engineId);
         }
 
         @Override
-        public void unwatched(String engineId) {
+        public void onPollingStopped(String engineId) {
             events.add("unwatched " + engineId);
         }
     }
 
-    private static final class FakeEngineControl extends SilentEngines {
+    private static final class FakeEngineControl extends UnresponsiveEngineControl {
 
         private final List<Long> requestedSinceNumbers = new ArrayList<>();
-        private final List<CompletableFuture<Optional<CacheList>>> listRequests = new ArrayList<>();
+        private final List<CompletableFuture<Optional<CacheSnapshot>>> listRequests = new ArrayList<>();
         private CompletableFuture<Optional<CacheChanges>> pendingChangesRequest;
 
         /** Answers the latest request for changes. */
@@ -218,7 +218,7 @@
         }
 
         @Override
-        public CompletionStage<Optional<CacheList>> cacheList(Incarnation _engine) {
+        public CompletionStage<Optional<CacheSnapshot>> cacheSnapshot(Incarnation _engine) {
             listRequests.add(new CompletableFuture<>());
             return listRequests.get(listRequests.size() - 1);
         }
--- a/src/test/java/org/dogwoodwinch/relay/CallRelayTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallRelayTest.java
@@ -313,7 +313,7 @@
                 .takeReceived();
 
         assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("retry-after: 0.2"), response);
-        assertEquals(0, relay.service.openCount());
+        assertEquals(0, relay.service.openCallsCount());
     }
 
     /** The final response is due at the route's timeout; it is 504, which does not say whether the call ran. */
@@ -393,7 +393,7 @@
         RelayFixture.FakeCaller runningCaller =
                 singleTarget.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         singleTarget.withTarget(new Incarnation("t1", "desk", "10.0.0.1", 80, "dc-1", 6, true, Stage.WHOLE, 0));
-        singleTarget.service.forgetTarget("t1");
+        singleTarget.service.removeTarget("t1");
 
         String refused = singleTarget
                 .connectCaller()
--- a/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/CallerConnectionTest.java
@@ -191,7 +191,7 @@
         caller.disconnect();
 
         assertFalse(relay.latestTargetConnection().isOpen());
-        assertEquals(0, relay.service.openCount());
+        assertEquals(0, relay.service.openCallsCount());
         assertEquals(0, relay.loads.totalAt("t1").callsCount());
     }
 
@@ -199,7 +199,7 @@
     @Test
     void responsesDuringShutdownCloseTheConnection() {
         RelayFixture.FakeCaller caller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
-        relay.service.leave();
+        relay.service.startDraining();
 
         relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "whole"));
 
@@ -216,8 +216,8 @@
     void requestsShortlyBeforeExitAreRefused() {
         RelayFixture.FakeCaller acceptedCaller = relay.connectCaller().send(RelayFixture.getRequest("/once/a", "a1"));
         RelayFixture.FakeCaller refusedCaller = relay.connectCaller().send("GET /once/b HTTP/1.1\r\n");
-        relay.service.leave();
-        relay.service.stopTaking();
+        relay.service.startDraining();
+        relay.service.stopAccepting();
 
         refusedCaller.send("Host: desk.example\r\nRequest-Id: b2\r\n\r\n");
         relay.latestTargetConnection().respond(RelayFixture.successResponse("a1", "whole"));
--- a/src/test/java/org/dogwoodwinch/relay/OwnBreakOffs.java
+++ b/src/test/java/org/dogwoodwinch/relay/LocalConnectionFailureRecorder.java
@@ -3,20 +3,20 @@
 import org.dogwoodwinch.forwarding.TargetHealth;
 
 /** Records connection failures and responses of targets for one instance only, without sending them to peers. */
-public record OwnBreakOffs(TargetHealth health) implements BreakOffs {
+public record LocalConnectionFailureRecorder(TargetHealth health) implements ConnectionAborts {
 
     @Override
-    public long brokeOff(String targetId) {
+    public long recordAbort(String targetId) {
         return health.recordBrokenConnection(targetId);
     }
 
     @Override
-    public void answered(String targetId) {
+    public void recordResponse(String targetId) {
         health.recordAnswer(targetId);
     }
 
     @Override
-    public void forget(String targetId) {
+    public void removeTarget(String targetId) {
         health.remove(targetId);
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/OwnLimits.java
+++ b/src/test/java/org/dogwoodwinch/relay/LocalRateLimitRecorder.java
@@ -5,15 +5,15 @@
 import org.dogwoodwinch.forwarding.TargetRateLimits;
 
 /** Records the rate limits that targets state for one instance only, without sending them to peers. */
-public record OwnLimits(TargetRateLimits limits) implements StatedLimits {
+public record LocalRateLimitRecorder(TargetRateLimits limits) implements StatedRateLimits {
 
     @Override
-    public void answered(Incarnation target, OptionalDouble perSecond, long sentMillis) {
+    public void recordResponse(Incarnation target, OptionalDouble perSecond, long sentMillis) {
         limits.recordAnswer(target.id(), perSecond, sentMillis);
     }
 
     @Override
-    public void forget(String targetId) {
+    public void removeTarget(String targetId) {
         limits.remove(targetId);
     }
 }
--- a/src/test/java/org/dogwoodwinch/relay/MutatedMessagesTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/MutatedMessagesTest.java
@@ -65,7 +65,7 @@
                 assertForwardedVerbatim(mutant, relay.latestTargetConnection().takeReceived());
             }
             caller.disconnect();
-            assertEquals(0, relay.service.openCount());
+            assertEquals(0, relay.service.openCallsCount());
         }
     }
 
@@ -98,7 +98,7 @@
             relay.latestTargetConnection().respond(mutant);
             relay.latestTargetConnection().close();
             assertResponseVerbatimOrFailure(mutant, caller.takeReceived());
-            assertEquals(0, relay.service.openCount());
+            assertEquals(0, relay.service.openCallsCount());
         }
     }
 
--- a/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
+++ b/src/test/java/org/dogwoodwinch/relay/RelayFixture.java
@@ -110,8 +110,8 @@
                         suspects,
                         health,
                         rateLimits,
-                        new OwnLimits(rateLimits),
-                        new OwnBreakOffs(health),
+                        new LocalRateLimitRecorder(rateLimits),
+                        new LocalConnectionFailureRecorder(health),
                         () -> sharingInstancesCount),
                 new ForwardingMetrics(new PrometheusRegistry()));
     }
@@ -152,8 +152,8 @@
     /** Applies the removal of a target as the reader of the target list does. */
     RelayFixture removeTarget(String id) {
         directory.apply(id, nextOffset++, Optional.empty());
-        service.forgetTarget(id);
-        service.targetFoundGone(id);
+        service.removeTarget(id);
+        service.handleTargetLost(id);
         return this;
     }
 
@@ -161,7 +161,7 @@
     RelayFixture markDraining(String id) {
         Incarnation old = directory.find(id).orElseThrow();
         replaceIncarnation(old, old.host(), true, old.startedMillis());
-        service.forgetTarget(id);
+        service.removeTarget(id);
         return this;
     }
 
@@ -169,7 +169,7 @@
     RelayFixture restartTarget(String id) {
         Incarnation old = directory.find(id).orElseThrow();
         replaceIncarnation(old, "10.0.9.9", false, old.startedMillis() + 1_000);
-        service.targetStartedAgain(id);
+        service.handleTargetRestart(id);
         return this;
     }
 
@@ -364,15 +364,17 @@
         }
     }
 
-    private final class FakeEngineControl extends SilentEngines {
+    private final class FakeEngineControl extends UnresponsiveEngineControl {
         @Override
-        public Optional<PromptMemory> readMemory(Incarnation prefillEngine, Bytes body) {
+        public Optional<KvCacheHandle> parseCacheHandle(Incarnation prefillEngine, Bytes body) {
             String handle = new String(body.toByteArray(), StandardCharsets.UTF_8);
-            return handle.isEmpty() ? Optional.empty() : Optional.of(new PromptMemory(prefillEngine.address(), handle));
+            return handle.isEmpty()
+                    ? Optional.empty()
+                    : Optional.of(new KvCacheHandle(prefillEngine.address(), handle));
         }
 
         @Override
-        public void release(Incarnation prefillEngine, PromptMemory kvCache) {
+        public void releaseCache(Incarnation prefillEngine, KvCacheHandle kvCache) {
             releasedCaches.add(prefillEngine.id() + "/" + kvCache.handle());
         }
     }
--- a/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
+++ b/src/test/java/org/dogwoodwinch/relay/SuspicionsTest.java
@@ -33,7 +33,7 @@
     private void crashTarget(RelayFixture.FakeTargetConnection target) {
         target.close();
         relay.directory.apply(target.targetId(), 1_000 + startsCount, Optional.empty());
-        relay.service.targetFoundGone(target.targetId());
+        relay.service.handleTargetLost(target.targetId());
     }
 
     /**
--- a/src/test/java/org/dogwoodwinch/relay/SilentEngines.java
+++ b/src/test/java/org/dogwoodwinch/relay/UnresponsiveEngineControl.java
@@ -7,15 +7,15 @@
 import org.dogwoodwinch.forwarding.Incarnation;
 
 /** Engine control that gets no usable response; tests override the methods that they need. */
-public class SilentEngines implements EngineControl {
+public class UnresponsiveEngineControl implements EngineControl {
 
     @Override
-    public Optional<PromptMemory> readMemory(Incarnation _prefillEngine, Bytes _body) {
+    public Optional<KvCacheHandle> parseCacheHandle(Incarnation _prefillEngine, Bytes _body) {
         return Optional.empty();
     }
 
     @Override
-    public void release(Incarnation _prefillEngine, PromptMemory _kvCache) {}
+    public void releaseCache(Incarnation _prefillEngine, KvCacheHandle _kvCache) {}
 
     @Override
     public CompletionStage<Optional<CacheChanges>> cacheChanges(Incarnation _engine, long _sinceNumber) {
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public CompletionStage<Optional<CacheList>> cacheList(Incarnation _engine) {
+    public CompletionStage<Optional<CacheSnapshot>> cacheSnapshot(Incarnation _engine) {
         return CompletableFuture.completedFuture(Optional.empty());
     }
 
